--- a/components/dispatch/src/agents.rs
+++ b/components/dispatch/src/agents.rs
@@ -8,7 +8,7 @@
 use wire::{AgentProfile, EmptiedHalls, Load, ToAgent};
 
 use crate::dispatcher::{Dispatcher, Timing};
-use crate::event::{Action, News, SessionId};
+use crate::event::{Action, LogEvent, SessionId};
 
 /// How often agents are looked at for silence and heartbeats that are due. At each event instead, an
 /// entry's time would grow with the square of its agents: each of them brings ten loads a second.
@@ -132,7 +132,7 @@
             self.lose_agent(double, "connected again", out);
         }
         let Some(agent) = self.agents.get_mut(&id) else { return };
-        out.push(Action::News(News::AgentKnown {
+        out.push(Action::Log(LogEvent::AgentKnown {
             agent: profile.node.clone(),
             service: profile.service.clone(),
             capacity: profile.capacity,
@@ -154,7 +154,7 @@
         if before != load.open
             && let Some(name) = agent.name()
         {
-            out.push(Action::News(News::AgentOpen { agent: name.clone(), open: load.open }));
+            out.push(Action::Log(LogEvent::AgentOpen { agent: name.clone(), open: load.open }));
         }
     }
 
--- a/components/dispatch/src/answers.rs
+++ b/components/dispatch/src/answers.rs
@@ -7,7 +7,7 @@
 use wire::ToAgent;
 
 use crate::dispatcher::Dispatcher;
-use crate::event::{Action, News, Outcome, Reason, SessionId, TargetsSeen};
+use crate::event::{Action, LogEvent, Outcome, Reason, SessionId, TargetSummary};
 use crate::job::{Job, TaskState};
 
 impl Dispatcher {
@@ -23,7 +23,7 @@
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        let seen = self.targets_seen(now);
+        let targets = self.targets_seen(now);
         self.leave_queue(id);
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.outcome.is_none()) else { return };
         let breach = breach_of(job, outcome);
@@ -33,11 +33,11 @@
         };
         if let Some(breach) = breach {
             self.counters.breaches += 1;
-            out.push(Action::News(News::Breach(breach)));
+            out.push(Action::Log(LogEvent::Breach(breach)));
         }
         job.outcome = Some(outcome);
         let tickets = std::mem::take(&mut job.tickets);
-        out.push(Action::News(News::Answered {
+        out.push(Action::Log(LogEvent::Answered {
             job: id.clone(),
             queue: job.request.queue.clone(),
             outcome,
@@ -46,7 +46,7 @@
             tasks: job.request.shape.count,
             starts: job.starts,
             waited_ms: job.waited.as_secs_f64() * 1e3,
-            seen,
+            targets,
         }));
         let mut stops: BTreeMap<SessionId, Vec<TaskId>> = BTreeMap::new();
         for (index, task) in job.tasks.iter().enumerate() {
@@ -66,17 +66,17 @@
     }
 
     /// What the agents' targets have free, as far as this entry knows.
-    fn targets_seen(&self, now: Time) -> TargetsSeen {
-        let mut seen = TargetsSeen { waiting: self.queue.len(), ..TargetsSeen::default() };
+    fn targets_seen(&self, now: Time) -> TargetSummary {
+        let mut targets = TargetSummary { waiting: self.queue.len(), ..TargetSummary::default() };
         for agent in self.agents.values().filter(|agent| agent.load.open) {
             let free = agent.free(now);
-            seen.open += 1;
-            if free.cpu_milli >= seen.most_free.cpu_milli {
-                seen.most_free = free;
+            targets.open += 1;
+            if free.cpu_milli >= targets.most_free.cpu_milli {
+                targets.most_free = free;
             }
-            seen.oldest_ms = seen.oldest_ms.max(now.since(agent.heard).as_millis() as u64);
+            targets.oldest_ms = targets.oldest_ms.max(now.since(agent.heard).as_millis() as u64);
         }
-        seen
+        targets
     }
 
     fn count(&mut self, outcome: Outcome) {
--- a/components/dispatch/src/ends.rs
+++ b/components/dispatch/src/ends.rs
@@ -5,7 +5,7 @@
 use model::{JobId, Time};
 
 use crate::dispatcher::Dispatcher;
-use crate::event::{Action, News, Outcome, Reason, SessionId};
+use crate::event::{Action, LogEvent, Outcome, Reason, SessionId};
 use crate::intake::not_run;
 use crate::job::Job;
 
@@ -16,7 +16,7 @@
     /// Agents have stopped what they ran for this entry, and clients have sent their jobs again
     /// elsewhere: nothing may go on.
     pub(crate) fn has_paused(&mut self, gap: Duration, out: &mut Vec<Action>) {
-        out.push(Action::News(News::Paused { gap_ms: gap.as_millis() as u64 }));
+        out.push(Action::Log(LogEvent::Paused { gap_ms: gap.as_millis() as u64 }));
         self.end_all(Reason::Paused, |_| Outcome::MayHaveRun(Reason::Paused), out);
         self.stale_until = self.last_event + STALE;
         let agents: Vec<SessionId> = self.agents.keys().copied().collect();
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -205,12 +205,12 @@
     /// Answers a client.
     Answer(Ticket, Outcome),
     /// Reports a decision or a change of state.
-    News(News),
+    Log(LogEvent),
 }
 
 /// What an entry knows of the targets at a moment, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TargetsSeen {
+pub struct TargetSummary {
     /// Agents that take new work.
     pub open: usize,
     /// The most that is thought to be free at one of them.
@@ -223,7 +223,7 @@
 
 /// What an entry decided or came to believe, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum LogEvent {
     /// A promise was about to be broken: a bug. The answer says no more than is sure.
     Breach(Breach),
     /// An agent is known with its target.
@@ -240,7 +240,7 @@
         /// The agent; none where it had not said who it is.
         agent: Option<NodeName>,
         /// Why.
-        why: &'static str,
+        reason: &'static str,
         /// Tasks that were there.
         tasks: usize,
     },
@@ -326,6 +326,6 @@
         /// Longest wait of a task for room, in ms.
         waited_ms: f64,
         /// What was known of targets at that moment.
-        seen: TargetsSeen,
+        targets: TargetSummary,
     },
 }
--- a/components/dispatch/src/halls.rs
+++ b/components/dispatch/src/halls.rs
@@ -7,7 +7,7 @@
 use wire::{EmptiedHalls, ToAgent};
 
 use crate::dispatcher::Dispatcher;
-use crate::event::{Action, HallsSource, JobRequest, News, Outcome, Reason, SessionId};
+use crate::event::{Action, HallsSource, JobRequest, LogEvent, Outcome, Reason, SessionId};
 use crate::intake::not_run;
 use crate::job::Job;
 use crate::servable::could_run;
@@ -24,7 +24,7 @@
         if !self.halls.update(halls) {
             return;
         }
-        out.push(Action::News(News::Halls { halls: halls.clone(), source }));
+        out.push(Action::Log(LogEvent::Halls { halls: halls.clone(), source }));
         for (id, agent) in &mut self.agents {
             agent.hall_is_emptied = agent.stands_in(halls);
             if agent.profile.is_some() && source != HallsSource::Agent(*id) {
--- a/components/dispatch/src/intake.rs
+++ b/components/dispatch/src/intake.rs
@@ -5,7 +5,7 @@
 use model::Time;
 
 use crate::dispatcher::{Dispatcher, queue_entry};
-use crate::event::{Action, JobRequest, News, Outcome, Reason, Ticket};
+use crate::event::{Action, JobRequest, LogEvent, Outcome, Reason, Ticket};
 use crate::job::Job;
 
 /// When to come back to another entry: at once would do, but where all of them stop, clients would send
@@ -49,7 +49,7 @@
             return self.refuse(ticket, &request, Reason::NoTarget, out);
         }
         let id = request.id.clone();
-        out.push(Action::News(News::Admitted {
+        out.push(Action::Log(LogEvent::Admitted {
             job: id.clone(),
             queue: request.queue.clone(),
             tasks: request.shape.count,
@@ -117,7 +117,7 @@
     ) {
         let outcome = not_run(reason, request);
         self.counters.not_run += 1;
-        out.push(Action::News(News::Refused { job: request.id.clone(), reason }));
+        out.push(Action::Log(LogEvent::Refused { job: request.id.clone(), reason }));
         out.push(Action::Answer(ticket, outcome));
     }
 
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -29,7 +29,7 @@
 
 pub use dispatcher::{Dispatcher, DispatcherCounters, Timing};
 pub use event::{
-    Action, Event, HallsSource, JobRequest, News, Outcome, Reason, SessionId, TargetsSeen,
+    Action, Event, HallsSource, JobRequest, LogEvent, Outcome, Reason, SessionId, TargetSummary,
     TaskShape, Ticket,
 };
 pub use notices::CancelNotices;
--- a/components/dispatch/src/place.rs
+++ b/components/dispatch/src/place.rs
@@ -9,7 +9,7 @@
 use crate::agents::Agent;
 use crate::crashes::Crashes;
 use crate::dispatcher::{Dispatcher, QueueEntry, Timing, queue_entry};
-use crate::event::{Action, JobRequest, News, SessionId};
+use crate::event::{Action, JobRequest, LogEvent, SessionId};
 use crate::job::{Job, Task, TaskState};
 use crate::policy::Policy;
 use crate::reserve::Rooms;
@@ -162,7 +162,7 @@
         let free = agent.free(pass.now);
         let start = start(job, entry.index, agent, id, pass.now, &self.timing);
         if let Some(name) = agent.name() {
-            out.push(Action::News(News::Placed {
+            out.push(Action::Log(LogEvent::Placed {
                 task: TaskId { job: entry.job.clone(), index: entry.index },
                 run: start.run,
                 agent: name.clone(),
--- a/components/dispatch/src/reports.rs
+++ b/components/dispatch/src/reports.rs
@@ -6,7 +6,7 @@
 use wire::{TaskEnd, TaskReport};
 
 use crate::dispatcher::{Dispatcher, queue_entry};
-use crate::event::{Action, News, Outcome, Reason, SessionId};
+use crate::event::{Action, LogEvent, Outcome, Reason, SessionId};
 use crate::job::TaskState;
 
 /// How long a task avoids an agent that had no room for it.
@@ -103,21 +103,26 @@
         }
         let Some(agent) = self.agents.get(&id).and_then(|agent| agent.name()) else { return };
         let agent = agent.clone();
-        out.push(Action::News(News::TaskEnded { task: task.clone(), agent, end, failures }));
+        out.push(Action::Log(LogEvent::TaskEnded { task: task.clone(), agent, end, failures }));
     }
 
     /// An agent's session is dead: it stops what it runs for this entry, or its target's lease
     /// ends. Jobs that can still be done in time wait for that; the others end.
-    pub(crate) fn lose_agent(&mut self, id: SessionId, why: &'static str, out: &mut Vec<Action>) {
+    pub(crate) fn lose_agent(
+        &mut self,
+        id: SessionId,
+        reason: &'static str,
+        out: &mut Vec<Action>,
+    ) {
         let Some(agent) = self.agents.remove(&id) else { return };
         let now = self.now();
         if agent.profile.is_some() {
             self.counters.agents_lost += 1;
             self.agents_changed = now;
         }
-        out.push(Action::News(News::AgentLost {
+        out.push(Action::Log(LogEvent::AgentLost {
             agent: agent.name().cloned(),
-            why,
+            reason,
             tasks: agent.tasks,
         }));
         out.push(Action::Close(id));
--- a/components/dispatch/tests/support/mod.rs
+++ b/components/dispatch/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dispatch::{
-    Action, Dispatcher, Event, JobRequest, News, Outcome, SessionId, TaskShape, Ticket, Timing,
+    Action, Dispatcher, Event, JobRequest, LogEvent, Outcome, SessionId, TaskShape, Ticket, Timing,
 };
 use model::{JobId, NodeName, Resources, TaskId, Time};
 use wire::{AgentProfile, EmptiedHalls, Load, StartTask, TaskEnd, TaskReport, ToAgent, ToEntry};
@@ -56,8 +56,8 @@
                 Action::TellEntries(job) => self.told.push(job),
                 Action::DocumentOffered(..) | Action::DocumentPart(..) => {}
                 Action::Answer(ticket, outcome) => self.answers.push((ticket, outcome)),
-                Action::News(News::Breach(breach)) => panic!("{breach}"),
-                Action::News(_) => {}
+                Action::Log(LogEvent::Breach(breach)) => panic!("{breach}"),
+                Action::Log(_) => {}
             }
         }
     }
--- a/daemon/src/room/entry.rs
+++ b/daemon/src/room/entry.rs
@@ -258,7 +258,7 @@
                     let _ = waiting.try_send(outcome);
                 }
             }
-            Action::News(news) => {
+            Action::Log(news) => {
                 self.figures.borrow_mut().note(&news);
                 entry_news::write(&self.log, &news);
             }
--- a/daemon/src/room/entry_figures.rs
+++ b/daemon/src/room/entry_figures.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use dispatch::{News, Outcome};
+use dispatch::{LogEvent, Outcome};
 use net::Phase;
 use telemetry::Latency;
 
@@ -28,9 +28,9 @@
 
 impl Figures {
     /// Takes note of a decision: how long a job took, waited, or was held before it was refused.
-    pub fn note(&mut self, news: &News) {
-        let News::Answered { queue, outcome, took_ms, waited_ms, starts, .. } = news else {
-            if matches!(news, News::Refused { .. }) {
+    pub fn note(&mut self, news: &LogEvent) {
+        let LogEvent::Answered { queue, outcome, took_ms, waited_ms, starts, .. } = news else {
+            if matches!(news, LogEvent::Refused { .. }) {
                 self.holds.record(Duration::ZERO);
             }
             return;
--- a/daemon/src/room/entry_news.rs
+++ b/daemon/src/room/entry_news.rs
@@ -1,6 +1,6 @@
 //! The entry's decisions as lines of the log.
 
-use dispatch::{HallsSource, News, Outcome};
+use dispatch::{HallsSource, LogEvent, Outcome};
 use serde_json::{Value, json};
 
 use crate::event_log::{Budget, EventLog};
@@ -24,55 +24,57 @@
 }
 
 /// Writes a decision or a change of state.
-pub(super) fn write(log: &EventLog, news: &News) {
+pub(super) fn write(log: &EventLog, news: &LogEvent) {
     match news {
-        News::Breach(breach) => {
+        LogEvent::Breach(breach) => {
             log.line("breach", Budget::Full, || json!({"breach": breach.to_string()}));
         }
-        News::AgentKnown { agent, service, capacity } => {
+        LogEvent::AgentKnown { agent, service, capacity } => {
             log.line("agent-known", Budget::Full, || {
                 json!({"agent": agent.as_str(), "service": &**service,
                     "capacity": capacity.to_string()})
             });
         }
-        News::AgentLost { agent, why, tasks } => log.line("agent-lost", Budget::Full, || {
-            json!({"agent": agent.as_ref().map(model::NodeName::as_str), "why": why,
+        LogEvent::AgentLost { agent, reason, tasks } => {
+            log.line("agent-lost", Budget::Full, || {
+                json!({"agent": agent.as_ref().map(model::NodeName::as_str), "why": reason,
                 "tasks": tasks})
-        }),
-        News::AgentOpen { agent, open } => {
+            })
+        }
+        LogEvent::AgentOpen { agent, open } => {
             log.line("agent-open", Budget::Full, || json!({"agent": agent.as_str(), "open": open}))
         }
-        News::Halls { halls, source } => log.line("halls", Budget::Full, || {
+        LogEvent::Halls { halls, source } => log.line("halls", Budget::Full, || {
             json!({"revision": halls.revision, "emptied": halls.to_string(),
                 "from": halls_source(*source)})
         }),
-        News::Paused { gap_ms } => {
+        LogEvent::Paused { gap_ms } => {
             log.line("paused", Budget::Full, || json!({"gap_ms": gap_ms}));
         }
-        News::Admitted { job, queue, tasks, objective_ms, waiting } => {
+        LogEvent::Admitted { job, queue, tasks, objective_ms, waiting } => {
             log.line("admitted", Budget::Sampled, || {
                 json!({"job": job.as_str(), "queue": &**queue, "tasks": tasks,
                     "objective_ms": objective_ms, "waiting": waiting})
             });
         }
-        News::Refused { job, reason } => log.line(
+        LogEvent::Refused { job, reason } => log.line(
             "refused",
             Budget::Full,
             || json!({"job": job.as_str(), "reason": reason.as_str()}),
         ),
-        News::Placed { task, run, agent, free, age_ms } => {
+        LogEvent::Placed { task, run, agent, free, age_ms } => {
             log.line("placed", Budget::Sampled, || {
                 json!({"job": task.job.as_str(), "task": task.index, "run": run,
                     "agent": agent.as_str(), "free": free.to_string(), "age_ms": age_ms})
             });
         }
-        News::TaskEnded { task, agent, end, failures } => {
+        LogEvent::TaskEnded { task, agent, end, failures } => {
             log.line("task-ended", Budget::Full, || {
                 json!({"job": task.job.as_str(), "task": task.index, "agent": agent.as_str(),
                     "end": format!("{end:?}"), "failures": failures})
             });
         }
-        News::Answered { outcome, .. } => {
+        LogEvent::Answered { outcome, .. } => {
             let (kind, budget) = match outcome {
                 Outcome::Completed => ("completed", Budget::Sampled),
                 _ => ("answered", Budget::Full),
@@ -82,8 +84,8 @@
     }
 }
 
-fn answered(news: &News) -> Value {
-    let News::Answered {
+fn answered(news: &LogEvent) -> Value {
+    let LogEvent::Answered {
         job,
         queue,
         outcome,
@@ -92,7 +94,7 @@
         tasks,
         starts,
         waited_ms,
-        seen,
+        targets,
     } = news
     else {
         return json!({});
@@ -100,6 +102,6 @@
     let (word, reason) = outcome_fields(*outcome);
     json!({"job": job.as_str(), "queue": &**queue, "outcome": word, "reason": reason,
         "took_ms": took_ms, "objective_ms": objective_ms, "tasks": tasks, "starts": starts,
-        "waited_ms": waited_ms, "open": seen.open, "most_free": seen.most_free.to_string(),
-        "oldest_ms": seen.oldest_ms, "waiting": seen.waiting})
+        "waited_ms": waited_ms, "open": targets.open, "most_free": targets.most_free.to_string(),
+        "oldest_ms": targets.oldest_ms, "waiting": targets.waiting})
 }
--- a/soak/src/room/processes.rs
+++ b/soak/src/room/processes.rs
@@ -43,10 +43,10 @@
                     self.fetch(entry, |fetch, now| fetch.answered(now, source, part));
                 }
                 dispatch::Action::Answer(ticket, outcome) => self.answer(entry, ticket, outcome),
-                dispatch::Action::News(dispatch::News::Breach(breach)) => {
+                dispatch::Action::Log(dispatch::LogEvent::Breach(breach)) => {
                     self.checks.violation(self.now, breach.to_string());
                 }
-                dispatch::Action::News(_) => {}
+                dispatch::Action::Log(_) => {}
             }
         }
     }
