--- a/components/dispatch/src/answers.rs
+++ b/components/dispatch/src/answers.rs
@@ -36,7 +36,7 @@
             out.push(Action::Log(LogEvent::Breach(breach)));
         }
         job.outcome = Some(outcome);
-        let tickets = std::mem::take(&mut job.tickets);
+        let calls = std::mem::take(&mut job.calls);
         out.push(Action::Log(LogEvent::Answered {
             job: id.clone(),
             queue: job.request.queue.clone(),
@@ -58,9 +58,9 @@
         for (session, tasks) in stops {
             out.push(Action::Send(session, ToAgent::Stop(tasks)));
         }
-        for ticket in tickets {
-            self.tickets.remove(&ticket);
-            out.push(Action::Answer(ticket, outcome));
+        for call in calls {
+            self.calls.remove(&call);
+            out.push(Action::Answer(call, outcome));
         }
         self.count(outcome);
     }
--- a/components/dispatch/src/cancels.rs
+++ b/components/dispatch/src/cancels.rs
@@ -25,9 +25,9 @@
     pub(crate) fn cancel_own(&mut self, now: Time, id: &JobId, out: &mut Vec<Action>) {
         self.cancelled.add(now, id);
         let again = self.jobs.get_mut(id).and_then(|job| job.again.take());
-        if let Some((ticket, _)) = again {
-            self.tickets.remove(&ticket);
-            out.push(Action::Answer(ticket, Outcome::Cancelled));
+        if let Some((call, _)) = again {
+            self.calls.remove(&call);
+            out.push(Action::Answer(call, Outcome::Cancelled));
         }
         if self.has_job(id) {
             self.finish(now, id, Outcome::Cancelled, out);
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -8,7 +8,7 @@
 
 use crate::agents::Agent;
 use crate::crashes::Crashes;
-use crate::event::{Action, Event, HallsSource, SessionId, Ticket};
+use crate::event::{Action, CallId, Event, HallsSource, SessionId};
 use crate::job::Job;
 use crate::place::ChangedRoom;
 use crate::policy::Policy;
@@ -115,7 +115,7 @@
     pub(crate) policy: Policy,
     pub(crate) agents: BTreeMap<SessionId, Agent>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
-    pub(crate) tickets: BTreeMap<Ticket, JobId>,
+    pub(crate) calls: BTreeMap<CallId, JobId>,
     pub(crate) queue: BTreeSet<QueueEntry>,
     /// Starts that go out at the end of the event, by agent and job.
     pub(crate) outbox: BTreeMap<(SessionId, JobId), Vec<wire::StartTask>>,
@@ -150,7 +150,7 @@
             policy: Policy::default(),
             agents: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            calls: BTreeMap::new(),
             queue: BTreeSet::new(),
             outbox: BTreeMap::new(),
             last_event: now,
@@ -185,8 +185,8 @@
             Event::AgentOpened(id) => self.open_agent(now, id),
             Event::AgentClosed(id) => self.lose_agent(id, "closed", out),
             Event::FromAgent(id, message) => self.hear_agent(now, id, message, out),
-            Event::Submit(ticket, request) => self.submit(now, ticket, request, out),
-            Event::Abandon(ticket) => self.abandon(now, ticket, out),
+            Event::Submit(call, request) => self.submit(now, call, request, out),
+            Event::Abandon(call) => self.abandon(now, call, out),
             Event::Cancel(job) => self.cancel(now, &job, out),
             Event::CancelledElsewhere(job) => self.cancel_own(now, &job, out),
             Event::Halls(halls) => self.take_halls(now, &halls, HallsSource::Keeper, out),
--- a/components/dispatch/src/ends.rs
+++ b/components/dispatch/src/ends.rs
@@ -47,10 +47,10 @@
         for (id, outcome) in ends {
             self.finish(self.last_event, &id, outcome, out);
             let again = self.jobs.get_mut(&id).and_then(|job| job.again.take());
-            if let Some((ticket, _)) = again {
-                self.tickets.remove(&ticket);
+            if let Some((call, _)) = again {
+                self.calls.remove(&call);
                 // Its first try may have run.
-                out.push(Action::Answer(ticket, Outcome::MayHaveRun(reason)));
+                out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
             }
         }
     }
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -10,7 +10,7 @@
 
 /// A client that waits for an answer, numbered by the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct CallId(pub u64);
 
 /// A connection of an agent, numbered by the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -172,9 +172,9 @@
     /// An agent's message.
     FromAgent(SessionId, ToEntry),
     /// A client hands in a job.
-    Submit(Ticket, JobRequest),
+    Submit(CallId, JobRequest),
     /// A client is gone.
-    Abandon(Ticket),
+    Abandon(CallId),
     /// A client cancels a job, which may be another entry's.
     Cancel(JobId),
     /// Another entry tells that a client has cancelled a job there.
@@ -203,7 +203,7 @@
     /// An agent has answered a question for a part of a document.
     DocumentPart(SessionId, Option<DocumentPart>),
     /// Answers a client.
-    Answer(Ticket, Outcome),
+    Answer(CallId, Outcome),
     /// Reports a decision or a change of state.
     Log(LogEvent),
 }
--- a/components/dispatch/src/intake.rs
+++ b/components/dispatch/src/intake.rs
@@ -5,7 +5,7 @@
 use model::Time;
 
 use crate::dispatcher::{Dispatcher, queue_entry};
-use crate::event::{Action, JobRequest, LogEvent, Outcome, Reason, Ticket};
+use crate::event::{Action, CallId, JobRequest, LogEvent, Outcome, Reason};
 use crate::job::Job;
 
 /// When to come back to another entry: at once would do, but where all of them stop, clients would send
@@ -21,32 +21,32 @@
     pub(crate) fn submit(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         request: JobRequest,
         out: &mut Vec<Action>,
     ) {
         self.counters.submitted += 1;
         if self.jobs.contains_key(&request.id) {
-            return self.submit_again(now, ticket, request, out);
+            return self.submit_again(now, call, request, out);
         }
         if now < self.stale_until {
             // Its client may have sent it again elsewhere long ago.
-            return self.refuse(ticket, &request, Reason::Paused, out);
+            return self.refuse(call, &request, Reason::Paused, out);
         }
         if self.cancelled.contains(&request.id) {
-            out.push(Action::Answer(ticket, Outcome::Cancelled));
+            out.push(Action::Answer(call, Outcome::Cancelled));
             self.counters.cancelled += 1;
             return;
         }
         let ends_first = |end: Time| !request.is_over_within(end.since(now));
         if self.stops_at.is_some_and(ends_first) {
-            return self.refuse(ticket, &request, Reason::Draining, out);
+            return self.refuse(call, &request, Reason::Draining, out);
         }
         if self.only_emptied_could_run(now, &request) {
-            return self.refuse(ticket, &request, Reason::HallsEmptied, out);
+            return self.refuse(call, &request, Reason::HallsEmptied, out);
         }
         if self.is_unservable(now, &request) {
-            return self.refuse(ticket, &request, Reason::NoTarget, out);
+            return self.refuse(call, &request, Reason::NoTarget, out);
         }
         let id = request.id.clone();
         out.push(Action::Log(LogEvent::Admitted {
@@ -57,11 +57,11 @@
             waiting: self.queue.len(),
         }));
         self.reserve.job_came(now, &request);
-        let job = Job::new(now, ticket, request);
+        let job = Job::new(now, call, request);
         for index in 0..job.request.shape.count {
             self.queue.insert(queue_entry(&job, index, self.policy));
         }
-        self.tickets.insert(ticket, id.clone());
+        self.calls.insert(call, id.clone());
         self.jobs.insert(id.clone(), job);
         // An earlier try has crashed targets.
         self.give_up_crashing(now, &id, out);
@@ -71,7 +71,7 @@
     pub(crate) fn submit_again(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         request: JobRequest,
         out: &mut Vec<Action>,
     ) {
@@ -79,21 +79,21 @@
         let no_second_try = self.no_second_try(now);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.outcome.is_none() {
-            job.tickets.push(ticket);
-            self.tickets.insert(ticket, id);
+            job.calls.push(call);
+            self.calls.insert(call, id);
             return;
         }
         if let Some(reason) = no_second_try {
             // The first try may have run, so "not run" would not be true.
-            out.push(Action::Answer(ticket, Outcome::MayHaveRun(reason)));
+            out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
             return;
         }
         // Tasks of the first try are being stopped: the second begins after that.
-        let earlier = job.again.replace((ticket, request));
-        self.tickets.insert(ticket, id);
+        let earlier = job.again.replace((call, request));
+        self.calls.insert(call, id);
         if let Some((earlier, _)) = earlier {
             // Its client has sent the job once more since.
-            self.tickets.remove(&earlier);
+            self.calls.remove(&earlier);
             out.push(Action::Answer(earlier, Outcome::MayHaveRun(Reason::ClientGone)));
         }
     }
@@ -110,7 +110,7 @@
     /// Answers a job that is not taken.
     pub(crate) fn refuse(
         &mut self,
-        ticket: Ticket,
+        call: CallId,
         request: &JobRequest,
         reason: Reason,
         out: &mut Vec<Action>,
@@ -118,17 +118,17 @@
         let outcome = not_run(reason, request);
         self.counters.not_run += 1;
         out.push(Action::Log(LogEvent::Refused { job: request.id.clone(), reason }));
-        out.push(Action::Answer(ticket, outcome));
+        out.push(Action::Answer(call, outcome));
     }
 
-    pub(crate) fn abandon(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Action>) {
-        let Some(id) = self.tickets.remove(&ticket) else { return };
+    pub(crate) fn abandon(&mut self, now: Time, call: CallId, out: &mut Vec<Action>) {
+        let Some(id) = self.calls.remove(&call) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.tickets.retain(|other| *other != ticket);
-        if job.again.as_ref().is_some_and(|(again, _)| *again == ticket) {
+        job.calls.retain(|other| *other != call);
+        if job.again.as_ref().is_some_and(|(again, _)| *again == call) {
             job.again = None;
         }
-        if job.tickets.is_empty() && job.outcome.is_none() {
+        if job.calls.is_empty() && job.outcome.is_none() {
             self.finish(now, &id, Outcome::Failed(Reason::ClientGone), out);
         }
     }
--- a/components/dispatch/src/job.rs
+++ b/components/dispatch/src/job.rs
@@ -4,7 +4,7 @@
 
 use model::Time;
 
-use crate::event::{JobRequest, Outcome, SessionId, Ticket};
+use crate::event::{CallId, JobRequest, Outcome, SessionId};
 
 /// How far a task is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     /// Who waits for the answer.
-    pub tickets: Vec<Ticket>,
+    pub calls: Vec<CallId>,
     pub request: JobRequest,
     pub submitted: Time,
     pub tasks: Vec<Task>,
@@ -54,11 +54,11 @@
     /// Longest wait of a task for room.
     pub waited: Duration,
     /// Who handed in the same job again while this one was being ended.
-    pub again: Option<(Ticket, JobRequest)>,
+    pub again: Option<(CallId, JobRequest)>,
 }
 
 impl Job {
-    pub fn new(now: Time, ticket: Ticket, request: JobRequest) -> Self {
+    pub fn new(now: Time, call: CallId, request: JobRequest) -> Self {
         let task = Task {
             state: TaskState::Waiting,
             run: 0,
@@ -69,7 +69,7 @@
         };
         let count = request.shape.count as usize;
         Self {
-            tickets: vec![ticket],
+            calls: vec![call],
             request,
             submitted: now,
             tasks: vec![task; count],
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -29,8 +29,8 @@
 
 pub use dispatcher::{Dispatcher, DispatcherCounters, Timing};
 pub use event::{
-    Action, Event, HallsSource, JobRequest, LogEvent, Outcome, Reason, SessionId, TargetSummary,
-    TaskShape, Ticket,
+    Action, CallId, Event, HallsSource, JobRequest, LogEvent, Outcome, Reason, SessionId,
+    TargetSummary, TaskShape,
 };
 pub use notices::CancelNotices;
 pub use policy::Policy;
--- a/components/dispatch/src/waits.rs
+++ b/components/dispatch/src/waits.rs
@@ -55,15 +55,15 @@
             self.finish(now, &id, outcome, out);
         }
         for id in gone {
-            let Some((ticket, request)) = self.jobs.remove(&id).and_then(|job| job.again) else {
+            let Some((call, request)) = self.jobs.remove(&id).and_then(|job| job.again) else {
                 continue;
             };
             match self.no_second_try(now) {
                 Some(reason) => {
-                    self.tickets.remove(&ticket);
-                    out.push(Action::Answer(ticket, Outcome::MayHaveRun(reason)));
+                    self.calls.remove(&call);
+                    out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
                 }
-                None => self.submit(now, ticket, request, out),
+                None => self.submit(now, call, request, out),
             }
         }
     }
--- a/components/dispatch/tests/dispatcher.rs
+++ b/components/dispatch/tests/dispatcher.rs
@@ -14,16 +14,16 @@
 #[test]
 fn a_job_is_spread_over_the_freest_agents_and_answered_whole() {
     let mut entry = Entry::with_agents([16_000, 12_000]);
-    let ticket = entry.submit(job(6, 200));
+    let call = entry.submit(job(6, 200));
     let starts = entry.starts();
     assert_eq!(starts.len(), 6);
     let at = |id| starts.iter().filter(|(agent, ..)| *agent == id).count();
     assert_eq!((at(1), at(2)), (4, 2), "the freest first");
     for (count, start) in starts.iter().enumerate() {
-        assert_eq!(entry.answer(ticket), None, "after {count} of 6 tasks");
+        assert_eq!(entry.answer(call), None, "after {count} of 6 tasks");
         entry.report(start, TaskEnd::Done);
     }
-    assert_eq!(entry.answer(ticket), Some(Outcome::Completed));
+    assert_eq!(entry.answer(call), Some(Outcome::Completed));
 }
 
 #[test]
@@ -49,53 +49,53 @@
 #[test]
 fn a_refused_start_is_placed_elsewhere_without_an_attempt() {
     let mut entry = Entry::with_agents([16_000, 8_000]);
-    let ticket = entry.submit(job(1, 200));
+    let call = entry.submit(job(1, 200));
     for _ in 0..3 {
         let starts = entry.starts();
         entry.report(&starts[0], TaskEnd::NotRun(Refusal::Room));
         entry.run_for(30, &[(1, 16_000), (2, 8_000)]);
     }
-    assert_eq!(entry.answer(ticket), None);
+    assert_eq!(entry.answer(call), None);
     let starts = entry.starts();
     entry.report(&starts[0], TaskEnd::Done);
-    assert_eq!(entry.answer(ticket), Some(Outcome::Completed));
+    assert_eq!(entry.answer(call), Some(Outcome::Completed));
 }
 
 #[test]
 fn a_failed_task_runs_elsewhere_and_fails_its_job_after_its_attempts() {
     let mut entry = Entry::with_agents([16_000, 8_000]);
-    let ticket = entry.submit(job(1, 200));
+    let call = entry.submit(job(1, 200));
     let first = entry.starts();
     assert_eq!(first[0].0, 1);
     entry.report(&first[0], TaskEnd::Failed);
     let second = entry.starts();
     assert_eq!((second[0].0, second[0].2.run), (2, 2), "never twice in a row at one agent");
-    assert_eq!(entry.answer(ticket), None);
+    assert_eq!(entry.answer(call), None);
     entry.report(&second[0], TaskEnd::Failed);
-    assert_eq!(entry.answer(ticket), Some(Outcome::Failed(Reason::Attempts)));
+    assert_eq!(entry.answer(call), Some(Outcome::Failed(Reason::Attempts)));
 }
 
 #[test]
 fn a_job_that_was_lost_too_often_may_have_run_but_has_not_failed() {
     let mut entry = Entry::with_agents([16_000, 8_000]);
-    let ticket = entry.submit(job(1, 200));
-    while entry.answer(ticket).is_none() {
+    let call = entry.submit(job(1, 200));
+    while entry.answer(call).is_none() {
         let starts = entry.starts();
         entry.report(&starts[0], TaskEnd::Lost);
         entry.run_for(10, &[(1, 16_000), (2, 8_000)]);
     }
-    assert_eq!(entry.answer(ticket), Some(Outcome::MayHaveRun(Reason::Losses)));
+    assert_eq!(entry.answer(call), Some(Outcome::MayHaveRun(Reason::Losses)));
 }
 
 #[test]
 fn a_client_that_leaves_has_its_tasks_stopped() {
     let mut entry = Entry::with_agents([16_000]);
-    let ticket = entry.submit(job(3, 200));
+    let call = entry.submit(job(3, 200));
     entry.starts();
-    entry.handle(Event::Abandon(ticket));
+    entry.handle(Event::Abandon(call));
     assert_eq!(entry.stops().len(), 3);
     assert_eq!(entry.dispatcher.active(), 0);
-    assert_eq!(entry.answer(ticket), None, "nobody waits");
+    assert_eq!(entry.answer(call), None, "nobody waits");
 }
 
 #[test]
@@ -130,13 +130,13 @@
 #[test]
 fn a_cancel_stops_what_runs_and_answers_the_one_who_waits() {
     let mut entry = Entry::with_agents([16_000, 8_000]);
-    let ticket = entry.submit(job(6, 200));
+    let call = entry.submit(job(6, 200));
     let starts = entry.starts().len();
     assert_eq!(starts, 6);
     entry.handle(Event::Cancel(JobId::new("5c0e7a21d94b36f8")));
     assert!(entry.told.is_empty(), "nobody else has it");
     assert_eq!(entry.stops().len(), starts);
-    assert_eq!(entry.answer(ticket), Some(Outcome::Cancelled));
+    assert_eq!(entry.answer(call), Some(Outcome::Cancelled));
 }
 
 /// The client's connection to the entry that has the job is gone, and its cancel reaches another one. No
@@ -158,8 +158,8 @@
     for cancel in [Event::Cancel(id()), Event::CancelledElsewhere(id())] {
         let mut entry = Entry::with_agents([16_000]);
         entry.handle(cancel);
-        let ticket = entry.submit(job(1, 200));
-        assert_eq!(entry.answer(ticket), Some(Outcome::Cancelled));
+        let call = entry.submit(job(1, 200));
+        assert_eq!(entry.answer(call), Some(Outcome::Cancelled));
         assert!(entry.starts().is_empty());
     }
 }
@@ -169,10 +169,10 @@
 #[test]
 fn a_start_that_is_refused_as_cancelled_ends_its_job() {
     let mut entry = Entry::with_agents([16_000, 8_000]);
-    let ticket = entry.submit(job(4, 200));
+    let call = entry.submit(job(4, 200));
     let starts = entry.starts();
     entry.report(&starts[0], TaskEnd::NotRun(Refusal::Cancelled));
-    assert_eq!(entry.answer(ticket), Some(Outcome::Cancelled));
+    assert_eq!(entry.answer(call), Some(Outcome::Cancelled));
     let stops = entry.stops().len();
     assert_eq!(stops, 3, "those that may run");
     entry.run_for(50, &[(1, 16_000), (2, 8_000)]);
@@ -214,25 +214,25 @@
 #[test]
 fn a_job_cancelled_at_another_entry_ends_here() {
     let mut entry = Entry::with_agents([16_000]);
-    let ticket = entry.submit(job(1, 200));
+    let call = entry.submit(job(1, 200));
     let cancelled = ToEntry::Cancelled(JobId::new("5c0e7a21d94b36f8"));
     entry.handle(Event::FromAgent(SessionId(1), cancelled));
-    assert_eq!(entry.answer(ticket), Some(Outcome::Cancelled));
+    assert_eq!(entry.answer(call), Some(Outcome::Cancelled));
 }
 
 #[test]
 fn a_short_job_ends_at_once_with_its_agent() {
     let mut entry = Entry::with_agents([16_000, 8_000]);
-    let ticket = entry.submit(job(2, 200));
+    let call = entry.submit(job(2, 200));
     entry.starts();
     entry.handle(Event::AgentClosed(SessionId(1)));
-    assert_eq!(entry.answer(ticket), Some(Outcome::MayHaveRun(Reason::AgentLost)));
+    assert_eq!(entry.answer(call), Some(Outcome::MayHaveRun(Reason::AgentLost)));
 }
 
 #[test]
 fn a_long_job_waits_for_the_lease_of_a_lost_agent_and_runs_elsewhere() {
     let mut entry = Entry::with_agents([16_000, 3_500]);
-    let ticket = entry.submit(job(1, 900));
+    let call = entry.submit(job(1, 900));
     assert_eq!(entry.starts()[0].0, 1);
     entry.handle(Event::AgentClosed(SessionId(1)));
     entry.run_for(1_200, &[(2, 16_000)]);
@@ -241,7 +241,7 @@
     let starts = entry.starts();
     assert_eq!((starts.len(), starts[0].0), (1, 2));
     entry.report(&starts[0], TaskEnd::Done);
-    assert_eq!(entry.answer(ticket), Some(Outcome::Completed));
+    assert_eq!(entry.answer(call), Some(Outcome::Completed));
 }
 
 #[test]
@@ -257,15 +257,15 @@
 #[test]
 fn a_pause_ends_everything_and_what_lay_unread_is_refused() {
     let mut entry = Entry::with_agents([16_000]);
-    let ticket = entry.submit(job(1, 200));
+    let call = entry.submit(job(1, 200));
     entry.now = entry.now + Duration::from_secs(2);
     entry.handle(Event::Tick);
-    assert_eq!(entry.answer(ticket), Some(Outcome::MayHaveRun(Reason::Paused)));
+    assert_eq!(entry.answer(call), Some(Outcome::MayHaveRun(Reason::Paused)));
     assert_eq!(entry.closed, [SessionId(1)]);
     let mut unread = job(1, 200);
     unread.id = JobId::new("00000000000000b1");
-    let ticket = entry.submit(unread);
-    let refused = entry.answer(ticket);
+    let call = entry.submit(unread);
+    let refused = entry.answer(call);
     assert!(matches!(refused, Some(Outcome::NotRun { reason: Reason::Paused, .. })), "{refused:?}");
 }
 
--- a/components/dispatch/tests/halls.rs
+++ b/components/dispatch/tests/halls.rs
@@ -48,7 +48,7 @@
 #[test]
 fn a_start_that_crossed_the_order_is_placed_in_another_hall() {
     let mut entry = entry_of_two_halls();
-    let ticket = entry.submit(numbered(1));
+    let call = entry.submit(numbered(1));
     let crossed = entry.starts();
     assert_eq!(crossed[0].0, 1);
     entry.handle(Event::Halls(emptied(1, &["north"])));
@@ -57,7 +57,7 @@
     let again = entry.starts();
     assert_eq!(again[0].0, 2);
     entry.report(&again[0], TaskEnd::Done);
-    assert_eq!(entry.answer(ticket), Some(Outcome::Completed));
+    assert_eq!(entry.answer(call), Some(Outcome::Completed));
 }
 
 #[test]
@@ -72,8 +72,8 @@
     let refused =
         Some(Outcome::NotRun { reason: Reason::HallsEmptied, retry_after: Duration::from_secs(8) });
     assert_eq!(entry.answer(waiting), refused, "it need not wait until its time is over");
-    let ticket = entry.submit(numbered(2));
-    assert_eq!(entry.answer(ticket), refused);
+    let call = entry.submit(numbered(2));
+    assert_eq!(entry.answer(call), refused);
     entry.handle(Event::Halls(emptied(2, &["north"])));
     entry.sent.clear();
     entry.load(2, 8_000);
@@ -86,9 +86,9 @@
     let mut entry = Entry::new();
     entry.agent_in(1, "north", 16_000);
     entry.handle(Event::Halls(emptied(1, &["north"])));
-    let ticket = entry.submit(numbered(1));
+    let call = entry.submit(numbered(1));
     entry.run_for(30, &[(1, 16_000)]);
-    assert_eq!(entry.answer(ticket), None);
+    assert_eq!(entry.answer(call), None);
     entry.agent_in(2, "south", 8_000);
     let starts = entry.starts();
     assert_eq!(starts[0].0, 2);
--- a/components/dispatch/tests/rejected.rs
+++ b/components/dispatch/tests/rejected.rs
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dispatch::{Event, Outcome, Reason, SessionId, Ticket};
+use dispatch::{CallId, Event, Outcome, Reason, SessionId};
 use model::{JobId, TaskId, Time};
 use wire::{StartTask, TaskEnd, TaskReport, ToEntry};
 
 use support::{Entry, job};
 
-fn rejection(entry: &Entry, ticket: Ticket) -> Option<(Reason, Duration)> {
-    match entry.answer(ticket) {
+fn rejection(entry: &Entry, call: CallId) -> Option<(Reason, Duration)> {
+    match entry.answer(call) {
         Some(Outcome::NotRun { reason, retry_after }) => Some((reason, retry_after)),
         _ => None,
     }
@@ -50,9 +50,9 @@
     let mut entry = Entry::with_agents([16_000]);
     entry.run_for(2_500, &[(1, 16_000)]);
     entry.handle(Event::AgentClosed(SessionId(1)));
-    let ticket = entry.submit(job(1, 200));
+    let call = entry.submit(job(1, 200));
     entry.run_for(50, &[]);
-    assert_eq!(entry.answer(ticket), None);
+    assert_eq!(entry.answer(call), None);
     entry.agent(1, 16_000, &[]);
     assert_eq!(entry.starts().len(), 1);
 }
@@ -106,7 +106,7 @@
     entry: Entry,
     running: VecDeque<(Time, (u64, JobId, StartTask))>,
     clients: Vec<Client>,
-    open: BTreeMap<Ticket, usize>,
+    open: BTreeMap<CallId, usize>,
     due: BTreeMap<(Time, usize), ()>,
     served: [Served; 2],
 }
@@ -205,14 +205,14 @@
         let mut request = job(1, 100);
         request.id = JobId::new(&format!("{:016x}", number as u64 * 100 + u64::from(client.tries)));
         request.priority = client.priority;
-        let ticket = self.entry.submit(request);
-        self.open.insert(ticket, number);
+        let call = self.entry.submit(request);
+        self.open.insert(call, number);
     }
 
     fn take_answers(&mut self, waits: Waits) {
         let answers = std::mem::take(&mut self.entry.answers);
-        for (ticket, outcome) in answers {
-            let Some(number) = self.open.remove(&ticket) else { continue };
+        for (call, outcome) in answers {
+            let Some(number) = self.open.remove(&call) else { continue };
             let client = &self.clients[number];
             let served = &mut self.served[usize::from(client.priority)];
             match outcome {
--- a/components/dispatch/tests/support/mod.rs
+++ b/components/dispatch/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dispatch::{
-    Action, Dispatcher, Event, JobRequest, LogEvent, Outcome, SessionId, TaskShape, Ticket, Timing,
+    Action, CallId, Dispatcher, Event, JobRequest, LogEvent, Outcome, SessionId, TaskShape, Timing,
 };
 use model::{JobId, NodeName, Resources, TaskId, Time};
 use wire::{AgentProfile, EmptiedHalls, Load, StartTask, TaskEnd, TaskReport, ToAgent, ToEntry};
@@ -18,12 +18,12 @@
 pub struct Entry {
     pub dispatcher: Dispatcher,
     pub now: Time,
-    pub answers: Vec<(Ticket, Outcome)>,
+    pub answers: Vec<(CallId, Outcome)>,
     pub sent: Vec<(SessionId, ToAgent)>,
     pub closed: Vec<SessionId>,
     /// Jobs that other entries were told are cancelled.
     pub told: Vec<JobId>,
-    pub tickets: u64,
+    pub last_call: u64,
 }
 
 impl Entry {
@@ -35,7 +35,7 @@
             sent: Vec::new(),
             closed: Vec::new(),
             told: Vec::new(),
-            tickets: 0,
+            last_call: 0,
         }
     }
 
@@ -55,7 +55,7 @@
                 Action::Close(id) => self.closed.push(id),
                 Action::TellEntries(job) => self.told.push(job),
                 Action::DocumentOffered(..) | Action::DocumentPart(..) => {}
-                Action::Answer(ticket, outcome) => self.answers.push((ticket, outcome)),
+                Action::Answer(call, outcome) => self.answers.push((call, outcome)),
                 Action::Log(LogEvent::Breach(breach)) => panic!("{breach}"),
                 Action::Log(_) => {}
             }
@@ -109,11 +109,11 @@
         }
     }
 
-    pub fn submit(&mut self, request: JobRequest) -> Ticket {
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
-        self.handle(Event::Submit(ticket, request));
-        ticket
+    pub fn submit(&mut self, request: JobRequest) -> CallId {
+        self.last_call += 1;
+        let call = CallId(self.last_call);
+        self.handle(Event::Submit(call, request));
+        call
     }
 
     /// The starts sent so far, taken out: agent and task.
@@ -151,8 +151,8 @@
         self.handle(Event::FromAgent(SessionId(*id), message));
     }
 
-    pub fn answer(&self, ticket: Ticket) -> Option<Outcome> {
-        self.answers.iter().find(|(to, _)| *to == ticket).map(|(_, outcome)| *outcome)
+    pub fn answer(&self, call: CallId) -> Option<Outcome> {
+        self.answers.iter().find(|(to, _)| *to == call).map(|(_, outcome)| *outcome)
     }
 }
 
--- a/components/dispatch/tests/waits.rs
+++ b/components/dispatch/tests/waits.rs
@@ -12,12 +12,12 @@
 #[test]
 fn without_room_a_job_is_refused_early_and_never_starts() {
     let mut entry = Entry::with_agents([1_000]);
-    let ticket = entry.submit(job(2, 200));
+    let call = entry.submit(job(2, 200));
     entry.run_for(70, &[(1, 1_000)]);
-    assert_eq!(entry.answer(ticket), None);
+    assert_eq!(entry.answer(call), None);
     entry.run_for(20, &[(1, 1_000)]);
-    let Some(Outcome::NotRun { reason: Reason::NoRoom, retry_after }) = entry.answer(ticket) else {
-        panic!("{:?}", entry.answer(ticket));
+    let Some(Outcome::NotRun { reason: Reason::NoRoom, retry_after }) = entry.answer(call) else {
+        panic!("{:?}", entry.answer(call));
     };
     assert!(retry_after > Duration::ZERO);
     entry.run_for(500, &[(1, 16_000)]);
@@ -27,12 +27,12 @@
 #[test]
 fn a_job_that_finds_room_before_it_is_refused_starts() {
     let mut entry = Entry::with_agents([1_000]);
-    let ticket = entry.submit(job(2, 200));
+    let call = entry.submit(job(2, 200));
     entry.run_for(70, &[(1, 1_000)]);
     entry.load(1, 16_000);
     assert_eq!(entry.starts().len(), 2);
     entry.run_for(200, &[(1, 16_000)]);
-    assert_eq!(entry.answer(ticket), None, "what has begun is finished");
+    assert_eq!(entry.answer(call), None, "what has begun is finished");
 }
 
 #[test]
@@ -40,9 +40,9 @@
     let mut entry = Entry::with_agents([0]);
     let closed = Load { open: false, ..entry.load_of(16_000) };
     entry.handle(Event::FromAgent(SessionId(1), ToEntry::Load(closed)));
-    let ticket = entry.submit(job(2, 200));
+    let call = entry.submit(job(2, 200));
     entry.run_for(150, &[]);
-    assert_eq!(entry.answer(ticket), None, "nobody knows whether room is short");
+    assert_eq!(entry.answer(call), None, "nobody knows whether room is short");
     entry.load(1, 16_000);
     assert_eq!(entry.starts().len(), 2);
 }
@@ -57,13 +57,13 @@
 #[test]
 fn room_that_has_just_come_is_used_before_a_job_is_refused() {
     let mut entry = Entry::with_agents([1_000]);
-    let ticket = entry.submit(job(2, 200));
+    let call = entry.submit(job(2, 200));
     entry.run_for(70, &[(1, 1_000)]);
     // Its time is over by the event that brings room.
     entry.now = entry.now + Duration::from_millis(10);
     entry.load(1, 16_000);
     assert_eq!(entry.starts().len(), 2);
-    assert_eq!(entry.answer(ticket), None);
+    assert_eq!(entry.answer(call), None);
 }
 
 #[test]
@@ -107,21 +107,21 @@
     let policy = Policy { early_refusal: false, ..Policy::default() };
     entry.dispatcher = Dispatcher::new(Timing::default(), START).with_policy(policy);
     entry.agent(1, 1_000, &[]);
-    let ticket = entry.submit(job(2, 200));
+    let call = entry.submit(job(2, 200));
     entry.run_for(150, &[(1, 1_000)]);
-    assert_eq!(entry.answer(ticket), None);
+    assert_eq!(entry.answer(call), None);
     entry.run_for(30, &[(1, 1_000)]);
-    assert!(matches!(entry.answer(ticket), Some(Outcome::NotRun { .. })));
+    assert!(matches!(entry.answer(call), Some(Outcome::NotRun { .. })));
 }
 
 #[test]
 fn not_run_is_never_said_of_a_job_that_an_agent_has() {
     let mut entry = Entry::with_agents([1_700]);
-    let ticket = entry.submit(job(2, 200));
+    let call = entry.submit(job(2, 200));
     assert_eq!(entry.starts().len(), 1, "one fits, one waits");
     entry.run_for(4_900, &[(1, 0)]);
-    assert_eq!(entry.answer(ticket), None);
+    assert_eq!(entry.answer(call), None);
     entry.run_for(100, &[(1, 0)]);
-    assert_eq!(entry.answer(ticket), Some(Outcome::MayHaveRun(Reason::Deadline)));
+    assert_eq!(entry.answer(call), Some(Outcome::MayHaveRun(Reason::Deadline)));
     assert_eq!(entry.stops().len(), 1, "what is left is stopped");
 }
--- a/daemon/src/room/entry.rs
+++ b/daemon/src/room/entry.rs
@@ -9,7 +9,7 @@
 
 use async_channel::Sender;
 use async_io::{Async, Timer};
-use dispatch::{Action, Dispatcher, Event, Outcome, SessionId, Ticket, Timing};
+use dispatch::{Action, CallId, Dispatcher, Event, Outcome, SessionId, Timing};
 use keeper::DocumentSource;
 use net::Tasks;
 use routing::RouteTable;
@@ -46,7 +46,7 @@
     /// The routes in force; none before the first configuration.
     table: RefCell<Option<Rc<RouteTable>>>,
     agents: RefCell<HashMap<SessionId, Outgoing<ToAgent>>>,
-    waiting: RefCell<HashMap<Ticket, Sender<Outcome>>>,
+    waiting: RefCell<HashMap<CallId, Sender<Outcome>>>,
     pub(super) figures: RefCell<Figures>,
     next: Cell<u64>,
     /// Callers find it.
@@ -338,7 +338,7 @@
         self: &Rc<Self>,
         request: dispatch::JobRequest,
     ) -> (async_channel::Receiver<Outcome>, Guard) {
-        let ticket = Ticket(self.number());
+        let ticket = CallId(self.number());
         let (sender, answer) = async_channel::bounded(1);
         self.waiting.borrow_mut().insert(ticket, sender);
         let guard = Guard { entry: self.clone(), ticket };
@@ -358,7 +358,7 @@
 /// A client that waits; dropped before the answer when the client goes away.
 pub(super) struct Guard {
     entry: Rc<Entry>,
-    ticket: Ticket,
+    ticket: CallId,
 }
 
 impl Drop for Guard {
--- a/soak/src/room/callers.rs
+++ b/soak/src/room/callers.rs
@@ -1,6 +1,6 @@
 //! Clients: what they hand in and what they are answered.
 
-use dispatch::{Outcome, Ticket};
+use dispatch::{CallId, Outcome};
 use model::JobId;
 use rand::Rng;
 
@@ -25,7 +25,7 @@
         }
         process.next += 1;
         let ticket = process.next;
-        process.jobs.insert(Ticket(ticket), id.clone());
+        process.jobs.insert(CallId(ticket), id.clone());
         client.at = Some((entry, ticket));
         let request = client.request.clone();
         self.checks.submitted(self.now, id, request.shape.count, request.max_attempts);
@@ -34,9 +34,9 @@
         if frozen > self.now {
             // It lies unread for so long.
             let life = self.entries[entry].life;
-            return self.at_time(frozen, Happening::Unread(entry, life, Ticket(ticket), request));
+            return self.at_time(frozen, Happening::Unread(entry, life, CallId(ticket), request));
         }
-        self.feed_entry(entry, dispatch::Event::Submit(Ticket(ticket), request));
+        self.feed_entry(entry, dispatch::Event::Submit(CallId(ticket), request));
     }
 
     /// The entry that the balancer hands a client to: any one, or always the same.
@@ -52,10 +52,10 @@
         };
         let Some((entry, ticket)) = client.at.take() else { return };
         let process = &mut self.entries[entry];
-        process.jobs.remove(&Ticket(ticket));
+        process.jobs.remove(&CallId(ticket));
         let (frozen, life) = (process.frozen, process.life);
         let seen = frozen.max(self.now);
-        self.at_time(seen, Happening::Gone(entry, life, Ticket(ticket)));
+        self.at_time(seen, Happening::Gone(entry, life, CallId(ticket)));
         self.send_again(id);
     }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    pub(super) fn answer(&mut self, entry: usize, ticket: Ticket, outcome: Outcome) {
+    pub(super) fn answer(&mut self, entry: usize, ticket: CallId, outcome: Outcome) {
         let Some(id) = self.entries[entry].jobs.remove(&ticket) else { return };
         let now = self.now;
         self.checks.answered(now, &id, outcome);
--- a/soak/src/room/world.rs
+++ b/soak/src/room/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use dispatch::{Dispatcher, JobRequest, Ticket};
+use dispatch::{CallId, Dispatcher, JobRequest};
 use keeper::DocumentFetch;
 use model::{JobId, NodeName, Resources, Time};
 use rand::{Rng, SeedableRng};
@@ -80,8 +80,8 @@
     /// One life of an entry is told that a job is cancelled.
     CancelTold(usize, u64, JobId),
     Submit(JobId),
-    Unread(usize, u64, Ticket, JobRequest),
-    Gone(usize, u64, Ticket),
+    Unread(usize, u64, CallId, JobRequest),
+    Gone(usize, u64, CallId),
     GiveUp(JobId, u32),
     Fault(Fault),
     EntryBack(usize),
@@ -110,7 +110,7 @@
     pub life: u64,
     pub frozen: Time,
     pub sessions: BTreeMap<u64, usize>,
-    pub jobs: BTreeMap<Ticket, JobId>,
+    pub jobs: BTreeMap<CallId, JobId>,
     pub next: u64,
     /// None where all arrives at once, however much it is.
     pub link: Option<EntryLink>,
