--- a/components/dispatch/src/cancels.rs
+++ b/components/dispatch/src/cancels.rs
@@ -14,7 +14,7 @@
     /// job, cancels would grow with entries times agents.
     pub(crate) fn cancel(&mut self, now: Time, id: &JobId, out: &mut Vec<Action>) {
         if !self.jobs.contains_key(id) {
-            out.push(Action::TellEntries(id.clone()));
+            out.push(Action::NotifyEntries(id.clone()));
             let cancel = |agent| Action::Send(agent, ToAgent::Cancel(id.clone()));
             out.extend(self.agents.keys().copied().map(cancel));
         }
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -189,7 +189,7 @@
             Event::Abandon(call) => self.abandon(now, call, out),
             Event::Cancel(job) => self.cancel(now, &job, out),
             Event::CancelledElsewhere(job) => self.cancel_own(now, &job, out),
-            Event::Halls(halls) => self.take_halls(now, &halls, HallsSource::Keeper, out),
+            Event::EmptiedHalls(halls) => self.take_halls(now, &halls, HallsSource::Keeper, out),
             Event::TakeOnlyWhatEndsBy(end) => self.stops_at = Some(end),
             Event::AnswerAll => self.answer_all(now, out),
             Event::Tick => {}
@@ -289,7 +289,7 @@
 /// Where a task of a job stands in the queue.
 pub(crate) fn queue_entry(job: &Job, index: u32, policy: Policy) -> QueueEntry {
     QueueEntry {
-        fresh: policy.begun_first && job.starts == 0,
+        fresh: policy.started_first && job.starts == 0,
         priority: job.request.priority,
         due: job.submitted + job.request.objective,
         job: job.request.id.clone(),
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -30,7 +30,7 @@
     /// A label that the target had better have.
     pub affinity: Option<Arc<str>>,
     /// Most tasks of the job on one target.
-    pub most_together: Option<u32>,
+    pub max_per_target: Option<u32>,
 }
 
 /// A job as a client hands it in.
@@ -62,7 +62,7 @@
 
 impl JobRequest {
     /// The work that it is thought to take, in core-seconds.
-    pub fn work(&self) -> f64 {
+    pub fn estimated_work(&self) -> f64 {
         let shape = &self.shape;
         let task = shape.resources.cpu_milli as f64 * f64::from(shape.estimated_ms) / 1e6;
         f64::from(shape.count) * task
@@ -70,7 +70,7 @@
 
     /// Whether the job is surely over within a time, so that an entry which is about to end may still take
     /// it: because its client waits no longer, or because it ends though its estimate is far too low.
-    pub fn is_over_within(&self, left: Duration) -> bool {
+    pub fn ends_within(&self, left: Duration) -> bool {
         self.deadline.min(self.objective.mul_f64(OBJECTIVES_TAKEN)) < left
     }
 }
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// There was no room within a part of the objective.
-    NoRoom,
+    NoCapacity,
     /// No target of the service is known.
     NoTarget,
     /// Every target that could run it stands in a hall that operators have emptied.
@@ -87,9 +87,9 @@
     /// The entry is stopping.
     Draining,
     /// A task failed as often as it may.
-    Attempts,
+    AttemptsExhausted,
     /// A task was lost too often.
-    Losses,
+    TooManyLosses,
     /// Targets have crashed under a task as often as they may.
     CrashesTargets,
     /// The client's time is over.
@@ -110,12 +110,12 @@
     /// The reason as a word.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::NoRoom => "no-room",
+            Self::NoCapacity => "no-room",
             Self::NoTarget => "no-target",
             Self::HallsEmptied => "halls-emptied",
             Self::Draining => "draining",
-            Self::Attempts => "attempts",
-            Self::Losses => "losses",
+            Self::AttemptsExhausted => "attempts",
+            Self::TooManyLosses => "losses",
             Self::CrashesTargets => "crashes-targets",
             Self::Deadline => "deadline",
             Self::AgentLost => "agent-lost",
@@ -180,7 +180,7 @@
     /// Another entry tells that a client has cancelled a job there.
     CancelledElsewhere(JobId),
     /// A keeper tells which halls are emptied.
-    Halls(EmptiedHalls),
+    EmptiedHalls(EmptiedHalls),
     /// The entry stops: from now on it takes only jobs that surely end by then.
     TakeOnlyWhatEndsBy(Time),
     /// The entry ends in a moment: every open job gets its final answer, and no more are taken.
@@ -197,7 +197,7 @@
     /// Closes the connection of an agent.
     Close(SessionId),
     /// Tells every other entry that a job is cancelled.
-    TellEntries(JobId),
+    NotifyEntries(JobId),
     /// An agent has told which version of the document it has.
     DocumentOffered(SessionId, u64),
     /// An agent has answered a question for a part of a document.
--- a/components/dispatch/src/intake.rs
+++ b/components/dispatch/src/intake.rs
@@ -38,7 +38,7 @@
             self.counters.cancelled += 1;
             return;
         }
-        let ends_first = |end: Time| !request.is_over_within(end.since(now));
+        let ends_first = |end: Time| !request.ends_within(end.since(now));
         if self.stops_at.is_some_and(ends_first) {
             return self.refuse(call, &request, Reason::Draining, out);
         }
--- a/components/dispatch/src/place.rs
+++ b/components/dispatch/src/place.rs
@@ -272,7 +272,7 @@
 
 /// Whether one more task of the job may go to an agent.
 fn has_place_beside(job: &Job, id: SessionId) -> bool {
-    let Some(most) = job.request.shape.most_together else { return true };
+    let Some(most) = job.request.shape.max_per_target else { return true };
     let there =
         |task: &&Task| matches!(task.state, TaskState::Placed { session, .. } if session == id);
     job.tasks.iter().filter(there).count() < most as usize
--- a/components/dispatch/src/policy.rs
+++ b/components/dispatch/src/policy.rs
@@ -5,7 +5,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// What is left of begun jobs goes before jobs of which nothing has run.
-    pub begun_first: bool,
+    pub started_first: bool,
     /// Targets that are slower than others are chosen less.
     pub slowdown_score: bool,
     /// A target that a task fills is chosen before emptier ones.
@@ -15,32 +15,32 @@
     /// Less urgent jobs leave room free for more urgent ones.
     pub urgent_reserve: bool,
     /// A task that was lost with its agent runs again once its lease has surely ended.
-    pub lost_again: bool,
+    pub rerun_lost: bool,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            begun_first: true,
+            started_first: true,
             slowdown_score: true,
             fill_targets: true,
             early_refusal: true,
             urgent_reserve: true,
-            lost_again: true,
+            rerun_lost: true,
         }
     }
 }
 
 impl Policy {
     /// Switches a part off; tells whether there is such a part.
-    pub fn switch_off(&mut self, part: &str) -> bool {
+    pub fn disable(&mut self, part: &str) -> bool {
         let switch = match part {
-            "begun-first" => &mut self.begun_first,
+            "begun-first" => &mut self.started_first,
             "slowdown-score" => &mut self.slowdown_score,
             "fill-targets" => &mut self.fill_targets,
             "early-refusal" => &mut self.early_refusal,
             "urgent-reserve" => &mut self.urgent_reserve,
-            "lost-again" => &mut self.lost_again,
+            "lost-again" => &mut self.rerun_lost,
             _ => return false,
         };
         *switch = false;
--- a/components/dispatch/src/reports.rs
+++ b/components/dispatch/src/reports.rs
@@ -72,13 +72,13 @@
             return;
         }
         if failures >= attempts.max(1) {
-            return self.finish(now, &key.job, Outcome::Failed(Reason::Attempts), out);
+            return self.finish(now, &key.job, Outcome::Failed(Reason::AttemptsExhausted), out);
         }
         if self.give_up_crashing(now, &key.job, out) {
             return;
         }
         if losses >= LOSSES {
-            return self.finish(now, &key.job, Outcome::MayHaveRun(Reason::Losses), out);
+            return self.finish(now, &key.job, Outcome::MayHaveRun(Reason::TooManyLosses), out);
         }
         if again.is_some() {
             self.queue.insert(entry);
@@ -143,7 +143,7 @@
             job.may_have_run = true;
             let estimate = Duration::from_millis(u64::from(job.request.shape.estimated_ms));
             let latest = job.submitted + job.request.objective * LATE_TIMES;
-            if until + estimate > latest || !self.policy.lost_again {
+            if until + estimate > latest || !self.policy.rerun_lost {
                 hit.push(job_id.clone());
             }
         }
--- a/components/dispatch/src/returns.rs
+++ b/components/dispatch/src/returns.rs
@@ -46,9 +46,11 @@
     /// Takes note of how a job ended. One for which there was no room is given a time to come back.
     pub fn with_return(&mut self, now: Time, request: &JobRequest, outcome: Outcome) -> Outcome {
         match outcome {
-            Outcome::Completed => self.done(now, request.work()),
-            Outcome::NotRun { reason: reason @ (Reason::NoRoom | Reason::Deadline), .. } => {
-                let retry_after = self.book(now, request.work(), request.priority);
+            Outcome::Completed => self.done(now, request.estimated_work()),
+            Outcome::NotRun {
+                reason: reason @ (Reason::NoCapacity | Reason::Deadline), ..
+            } => {
+                let retry_after = self.book(now, request.estimated_work(), request.priority);
                 return Outcome::NotRun { reason, retry_after };
             }
             _ => {}
--- a/components/dispatch/src/waits.rs
+++ b/components/dispatch/src/waits.rs
@@ -83,7 +83,7 @@
         && age >= refuse_after(&job.request, timing)
         && (age >= slack_of(&job.request, timing) || room_is_known())
     {
-        return Some(not_run(Reason::NoRoom, &job.request));
+        return Some(not_run(Reason::NoCapacity, &job.request));
     }
     if age + timing.answer_margin >= job.request.deadline {
         return Some(match untouched {
--- a/components/dispatch/tests/dispatcher.rs
+++ b/components/dispatch/tests/dispatcher.rs
@@ -39,7 +39,7 @@
     assert_eq!(entry.starts()[0].0, 3);
     let mut request = job(5, 200);
     request.id = JobId::new("00000000000000b1");
-    request.shape.most_together = Some(1);
+    request.shape.max_per_target = Some(1);
     entry.submit(request);
     let mut agents: Vec<u64> = entry.starts().iter().map(|(agent, ..)| *agent).collect();
     agents.sort_unstable();
@@ -72,7 +72,7 @@
     assert_eq!((second[0].0, second[0].2.run), (2, 2), "never twice in a row at one agent");
     assert_eq!(entry.answer(call), None);
     entry.report(&second[0], TaskEnd::Failed);
-    assert_eq!(entry.answer(call), Some(Outcome::Failed(Reason::Attempts)));
+    assert_eq!(entry.answer(call), Some(Outcome::Failed(Reason::AttemptsExhausted)));
 }
 
 #[test]
@@ -84,7 +84,7 @@
         entry.report(&starts[0], TaskEnd::Lost);
         entry.run_for(10, &[(1, 16_000), (2, 8_000)]);
     }
-    assert_eq!(entry.answer(call), Some(Outcome::MayHaveRun(Reason::Losses)));
+    assert_eq!(entry.answer(call), Some(Outcome::MayHaveRun(Reason::TooManyLosses)));
 }
 
 #[test]
--- a/components/dispatch/tests/halls.rs
+++ b/components/dispatch/tests/halls.rs
@@ -35,11 +35,11 @@
 #[test]
 fn no_task_goes_to_an_emptied_hall_until_it_is_refilled() {
     let mut entry = entry_of_two_halls();
-    entry.handle(Event::Halls(emptied(1, &["north"])));
+    entry.handle(Event::EmptiedHalls(emptied(1, &["north"])));
     entry.sent.clear();
     entry.submit(numbered(1));
     assert_eq!(entry.starts()[0].0, 2);
-    entry.handle(Event::Halls(emptied(2, &[])));
+    entry.handle(Event::EmptiedHalls(emptied(2, &[])));
     entry.sent.clear();
     entry.submit(numbered(2));
     assert_eq!(entry.starts()[0].0, 1);
@@ -51,7 +51,7 @@
     let call = entry.submit(numbered(1));
     let crossed = entry.starts();
     assert_eq!(crossed[0].0, 1);
-    entry.handle(Event::Halls(emptied(1, &["north"])));
+    entry.handle(Event::EmptiedHalls(emptied(1, &["north"])));
     entry.sent.clear();
     entry.report(&crossed[0], TaskEnd::NotRun(Refusal::Closed));
     let again = entry.starts();
@@ -68,13 +68,13 @@
     entry.load(2, 0);
     let waiting = entry.submit(numbered(1));
     assert_eq!(entry.answer(waiting), None);
-    entry.handle(Event::Halls(emptied(1, &["north", "south"])));
+    entry.handle(Event::EmptiedHalls(emptied(1, &["north", "south"])));
     let refused =
         Some(Outcome::NotRun { reason: Reason::HallsEmptied, retry_after: Duration::from_secs(8) });
     assert_eq!(entry.answer(waiting), refused, "it need not wait until its time is over");
     let call = entry.submit(numbered(2));
     assert_eq!(entry.answer(call), refused);
-    entry.handle(Event::Halls(emptied(2, &["north"])));
+    entry.handle(Event::EmptiedHalls(emptied(2, &["north"])));
     entry.sent.clear();
     entry.load(2, 8_000);
     entry.submit(numbered(3));
@@ -85,7 +85,7 @@
 fn an_entry_that_has_just_started_waits_for_agents_of_other_halls() {
     let mut entry = Entry::new();
     entry.agent_in(1, "north", 16_000);
-    entry.handle(Event::Halls(emptied(1, &["north"])));
+    entry.handle(Event::EmptiedHalls(emptied(1, &["north"])));
     let call = entry.submit(numbered(1));
     entry.run_for(30, &[(1, 16_000)]);
     assert_eq!(entry.answer(call), None);
@@ -97,7 +97,7 @@
 #[test]
 fn who_knows_the_newer_order_tells_the_other() {
     let mut entry = Entry::new();
-    entry.handle(Event::Halls(emptied(2, &["north"])));
+    entry.handle(Event::EmptiedHalls(emptied(2, &["north"])));
     entry.agent_in(1, "north", 16_000);
     let told = |entry: &Entry, id: u64| {
         entry.sent.iter().any(|(to, message)| {
--- a/components/dispatch/tests/support/mod.rs
+++ b/components/dispatch/tests/support/mod.rs
@@ -53,7 +53,7 @@
             match action {
                 Action::Send(id, message) => self.sent.push((id, message)),
                 Action::Close(id) => self.closed.push(id),
-                Action::TellEntries(job) => self.told.push(job),
+                Action::NotifyEntries(job) => self.told.push(job),
                 Action::DocumentOffered(..) | Action::DocumentPart(..) => {}
                 Action::Answer(call, outcome) => self.answers.push((call, outcome)),
                 Action::Log(LogEvent::Breach(breach)) => panic!("{breach}"),
@@ -180,7 +180,7 @@
             estimated_ms,
             requirement: None,
             affinity: None,
-            most_together: None,
+            max_per_target: None,
         },
         priority: 0,
         max_attempts: 2,
--- a/components/dispatch/tests/waits.rs
+++ b/components/dispatch/tests/waits.rs
@@ -16,7 +16,8 @@
     entry.run_for(70, &[(1, 1_000)]);
     assert_eq!(entry.answer(call), None);
     entry.run_for(20, &[(1, 1_000)]);
-    let Some(Outcome::NotRun { reason: Reason::NoRoom, retry_after }) = entry.answer(call) else {
+    let Some(Outcome::NotRun { reason: Reason::NoCapacity, retry_after }) = entry.answer(call)
+    else {
         panic!("{:?}", entry.answer(call));
     };
     assert!(retry_after > Duration::ZERO);
@@ -50,8 +51,8 @@
 #[test]
 fn a_stopping_entry_takes_only_what_ends_though_its_estimate_is_far_too_low() {
     // It was thought to take 556 ms and took longer than the 950 ms that were left.
-    assert!(!job(4, 556).is_over_within(Duration::from_millis(950)));
-    assert!(job(4, 180).is_over_within(Duration::from_millis(950)));
+    assert!(!job(4, 556).ends_within(Duration::from_millis(950)));
+    assert!(job(4, 180).ends_within(Duration::from_millis(950)));
 }
 
 #[test]
@@ -96,9 +97,9 @@
 #[test]
 fn parts_of_the_policy_are_switched_off_by_name() {
     let mut policy = Policy::default();
-    assert!(policy.switch_off("early-refusal"));
+    assert!(policy.disable("early-refusal"));
     assert_eq!(policy, Policy { early_refusal: false, ..Policy::default() });
-    assert!(!policy.switch_off("no-such-part"));
+    assert!(!policy.disable("no-such-part"));
 }
 
 #[test]
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -246,7 +246,7 @@
 fn policy(sections: &Sections) -> Result<dispatch::Policy, SettingsError> {
     let mut policy = dispatch::Policy::default();
     for part in sections.value(EXPERIMENT, "without")?.text().split_whitespace() {
-        if !policy.switch_off(part) {
+        if !policy.disable(part) {
             let reason = format!("'{part}' is no part of the policy");
             return Err(SettingsError::key(EXPERIMENT, "without", reason));
         }
--- a/daemon/src/room/entry.rs
+++ b/daemon/src/room/entry.rs
@@ -206,7 +206,7 @@
             WatchCallbacks {
                 document: take,
                 nodes: Box::new(move |entries, _| peers.listed(entries)),
-                halls: Box::new(move |halls| for_halls.feed(Event::Halls(halls))),
+                halls: Box::new(move |halls| for_halls.feed(Event::EmptiedHalls(halls))),
                 ask_agent,
             },
         );
@@ -246,7 +246,7 @@
             Action::Close(id) => {
                 self.agents.borrow_mut().remove(&id);
             }
-            Action::TellEntries(job) => self.peers.cancel(&job),
+            Action::NotifyEntries(job) => self.peers.cancel(&job),
             Action::DocumentOffered(id, version) => {
                 self.tell_watch(id, AgentEvent::Offered(version));
             }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -92,7 +92,7 @@
         let work = if small_tasks { Work::SMALL_TASKS } else { Work::LARGE_TASKS };
         let mut load = load(&get, work);
         if let Some(part) = arguments.get_one::<String>("without")
-            && !load.times.policy.switch_off(part)
+            && !load.times.policy.disable(part)
         {
             eprintln!("no part of the policy is called {part}");
             return ExitCode::FAILURE;
--- a/soak/src/room/client.rs
+++ b/soak/src/room/client.rs
@@ -65,7 +65,7 @@
                 estimated_ms,
                 requirement: None,
                 affinity: None,
-                most_together: None,
+                max_per_target: None,
             },
             priority,
             max_attempts,
--- a/soak/src/room/halls.rs
+++ b/soak/src/room/halls.rs
@@ -155,7 +155,7 @@
             return self.at(TELL_AGAIN, Happening::HallsTold { is_entry, number, emptied });
         }
         match is_entry {
-            true => self.feed_entry(number, dispatch::Event::Halls(emptied)),
+            true => self.feed_entry(number, dispatch::Event::EmptiedHalls(emptied)),
             false => self.feed_agent(number, runner::Event::Halls(emptied)),
         }
     }
--- a/soak/src/room/load.rs
+++ b/soak/src/room/load.rs
@@ -314,7 +314,7 @@
         estimated_ms,
         requirement: None,
         affinity: None,
-        most_together: None,
+        max_per_target: None,
     };
     let known = Duration::from_millis(u64::from(estimated_ms)).mul_f64(STRETCH)
         + Duration::from_secs_f64(TARGET_LATENCY_MS / 1e3);
--- a/soak/src/room/processes.rs
+++ b/soak/src/room/processes.rs
@@ -33,7 +33,7 @@
                         self.fetch(entry, |fetch, now| fetch.gone(now, source));
                     }
                 }
-                dispatch::Action::TellEntries(job) => self.tell_entries(entry, &job),
+                dispatch::Action::NotifyEntries(job) => self.tell_entries(entry, &job),
                 dispatch::Action::DocumentOffered(id, version) => {
                     let source = DocumentSource::Agent(id.0);
                     self.fetch(entry, |fetch, now| fetch.offered(now, source, version));
--- a/soak/tests/load.rs
+++ b/soak/tests/load.rs
@@ -40,7 +40,7 @@
 
 fn without(part: &str, load: Load) -> LoadResult {
     let mut policy = Policy::default();
-    assert!(policy.switch_off(part), "{part} is a part of the policy");
+    assert!(policy.disable(part), "{part} is a part of the policy");
     play_load(&Load { times: RoomTimes { policy, ..load.times }, ..load })
 }
 
