--- a/components/dispatch/src/agents.rs
+++ b/components/dispatch/src/agents.rs
@@ -79,7 +79,7 @@
 
     /// From one sign of life that it is shown to the next.
     fn heartbeat_time(&self, timing: &Timing) -> Duration {
-        if self.tasks > 0 { timing.heartbeat } else { timing.quiet_heartbeat }
+        if self.tasks > 0 { timing.heartbeat_interval } else { timing.idle_heartbeat_interval }
     }
 
     /// Whether it takes new work.
@@ -166,7 +166,7 @@
         self.agents_watched = now;
         let mut silent = Vec::new();
         for (id, agent) in &mut self.agents {
-            if now.since(agent.heard) > self.timing.session_silence {
+            if now.since(agent.heard) > self.timing.session_timeout {
                 silent.push(*id);
             } else if now.since(agent.heartbeat) >= agent.heartbeat_time(&self.timing) {
                 agent.heartbeat = now;
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -19,30 +19,30 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// From one sign of life to the next, for an agent that has tasks of this entry.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// From one sign of life to the next, for an agent that has none: it has nothing to stop once this
     /// entry is gone. Three of them fit into the silence after which it ends the session.
-    pub quiet_heartbeat: Duration,
+    pub idle_heartbeat_interval: Duration,
     /// Silence of an agent after which it is given no new work: two of its reports of the load have not come. A host that
     /// gets its share of a core in parts may be nearly that late.
-    pub agent_silence: Duration,
+    pub max_load_age: Duration,
     /// Silence of an agent after which its session is dead.
-    pub session_silence: Duration,
+    pub session_timeout: Duration,
     /// A gap between two events after which the process is taken to have stood still: agents have
     /// given up on it.
-    pub longest_pause: Duration,
+    pub pause_threshold: Duration,
     /// After the loss of an agent, nothing of what it ran runs any more.
-    pub lost_lease: Duration,
+    pub lost_agent_lease: Duration,
     /// How long a task waits at an agent for room. Short, so that a start that crosses others' on its way is soon tried
     /// elsewhere.
-    pub longest_wait: Duration,
+    pub max_wait_at_agent: Duration,
     /// What part of its objective a job waits at least for its first room before it is refused.
-    pub refuse_part: f64,
+    pub min_wait_fraction: f64,
     /// What part of its objective it waits at most, where it can still end in time. Far from all of
     /// its slack: the tasks after the first wait as well, and estimates are far off.
-    pub refuse_part_most: f64,
+    pub max_wait_fraction: f64,
     /// What starting and answering take besides the work.
-    pub overhead: Duration,
+    pub start_overhead: Duration,
     /// Left of the client's time when a job is given up, for the answer to arrive.
     pub answer_margin: Duration,
 }
@@ -50,16 +50,16 @@
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            heartbeat: Duration::from_millis(100),
-            quiet_heartbeat: Duration::from_millis(280),
-            agent_silence: Duration::from_millis(200),
-            session_silence: Duration::from_millis(700),
-            longest_pause: Duration::from_millis(450),
-            lost_lease: Duration::from_millis(1_250),
-            longest_wait: Duration::from_millis(10),
-            refuse_part: 0.08,
-            refuse_part_most: 0.20,
-            overhead: Duration::from_millis(15),
+            heartbeat_interval: Duration::from_millis(100),
+            idle_heartbeat_interval: Duration::from_millis(280),
+            max_load_age: Duration::from_millis(200),
+            session_timeout: Duration::from_millis(700),
+            pause_threshold: Duration::from_millis(450),
+            lost_agent_lease: Duration::from_millis(1_250),
+            max_wait_at_agent: Duration::from_millis(10),
+            min_wait_fraction: 0.08,
+            max_wait_fraction: 0.20,
+            start_overhead: Duration::from_millis(15),
             answer_margin: Duration::from_millis(20),
         }
     }
@@ -85,9 +85,9 @@
     /// Starts that were refused without having run.
     pub refused_starts: u64,
     /// Tasks that failed.
-    pub failures: u64,
+    pub task_failures: u64,
     /// Tasks that were lost.
-    pub losses: u64,
+    pub task_losses: u64,
     /// Agents that were lost.
     pub agents_lost: u64,
     /// Promises that were about to be broken: bugs.
@@ -177,7 +177,7 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let gap = now.since(self.last_event);
         self.last_event = now;
-        if gap > self.timing.longest_pause {
+        if gap > self.timing.pause_threshold {
             self.has_paused(gap, out);
         }
         let changed = changed_room(&event);
@@ -208,7 +208,7 @@
     }
 
     /// Jobs whose client waits.
-    pub fn active(&self) -> usize {
+    pub fn active_jobs(&self) -> usize {
         self.jobs.values().filter(|job| job.outcome.is_none()).count()
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Jobs of a queue of which no task has left this entry.
-    pub fn waiting(&self, queue: &str) -> usize {
+    pub fn waiting_jobs(&self, queue: &str) -> usize {
         let waits = |job: &&Job| {
             job.outcome.is_none() && *job.request.queue == *queue && job.is_untouched()
         };
@@ -236,12 +236,12 @@
     }
 
     /// The halls that it knows to be emptied.
-    pub fn halls(&self) -> &EmptiedHalls {
+    pub fn emptied_halls(&self) -> &EmptiedHalls {
         &self.halls
     }
 
     /// Tasks that wait for room.
-    pub fn queued(&self) -> usize {
+    pub fn queued_tasks(&self) -> usize {
         self.queue.len()
     }
 
--- a/components/dispatch/src/place.rs
+++ b/components/dispatch/src/place.rs
@@ -227,7 +227,7 @@
 
 /// The most processor that any agent which takes work has free, in thousandths of a core.
 fn largest_free(agents: btree_map::Range<'_, SessionId, Agent>, now: Time, timing: &Timing) -> u64 {
-    let takes_work = |agent: &&Agent| agent.takes_work(now, timing.agent_silence);
+    let takes_work = |agent: &&Agent| agent.takes_work(now, timing.max_load_age);
     let agents = agents.map(|(_, agent)| agent).filter(takes_work);
     agents.map(|agent| agent.free(now).cpu_milli).max().unwrap_or(0)
 }
@@ -251,7 +251,7 @@
         let key = TaskId { job: request.id.clone(), index };
         let task = &job.tasks[index as usize];
         let fit = |(id, agent, free): &(&SessionId, &Agent, Resources)| {
-            agent.serves(&request.service, now, timing.agent_silence)
+            agent.serves(&request.service, now, timing.max_load_age)
                 && request.shape.resources.fits(free)
                 && has_requirement(agent, request.shape.requirement.as_ref())
                 && has_place_beside(job, **id)
@@ -323,7 +323,7 @@
         run: task.run,
         resources: job.request.shape.resources,
         estimated_ms: job.request.shape.estimated_ms,
-        longest_wait_ms: timing.longest_wait.as_millis() as u32,
+        longest_wait_ms: timing.max_wait_at_agent.as_millis() as u32,
         priority: job.request.priority,
     }
 }
--- a/components/dispatch/src/reports.rs
+++ b/components/dispatch/src/reports.rs
@@ -97,8 +97,8 @@
     ) {
         match end {
             TaskEnd::Done => return,
-            TaskEnd::Failed => self.counters.failures += 1,
-            TaskEnd::Lost | TaskEnd::Stopped | TaskEnd::Crashed => self.counters.losses += 1,
+            TaskEnd::Failed => self.counters.task_failures += 1,
+            TaskEnd::Lost | TaskEnd::Stopped | TaskEnd::Crashed => self.counters.task_losses += 1,
             TaskEnd::NotRun(_) => self.counters.refused_starts += 1,
         }
         let Some(agent) = self.agents.get(&id).and_then(|agent| agent.name()) else { return };
@@ -126,7 +126,7 @@
             tasks: agent.tasks,
         }));
         out.push(Action::Close(id));
-        let until = now + self.timing.lost_lease;
+        let until = now + self.timing.lost_agent_lease;
         let mut hit = Vec::new();
         for (job_id, job) in &mut self.jobs {
             let mut lost = 0;
@@ -147,7 +147,7 @@
                 hit.push(job_id.clone());
             }
         }
-        self.counters.losses += hit.len() as u64;
+        self.counters.task_losses += hit.len() as u64;
         for job in hit {
             self.finish(now, &job, Outcome::MayHaveRun(Reason::AgentLost), out);
         }
--- a/components/dispatch/src/reserve.rs
+++ b/components/dispatch/src/reserve.rs
@@ -93,7 +93,7 @@
             return *room;
         }
         let serving =
-            agents.values().filter(|agent| agent.serves(service, now, timing.agent_silence));
+            agents.values().filter(|agent| agent.serves(service, now, timing.max_load_age));
         let room = serving.fold(Room::default(), |room, agent| Room {
             free: room.free + agent.free(now).cpu_milli,
             all: room.all + agent.capacity().cpu_milli,
--- a/components/dispatch/src/waits.rs
+++ b/components/dispatch/src/waits.rs
@@ -42,7 +42,7 @@
                 self.queue.insert(queue_entry(job, index, self.policy));
             }
             let service = &job.request.service;
-            let silence = self.timing.agent_silence;
+            let silence = self.timing.max_load_age;
             let room_is_known = || {
                 self.policy.early_refusal
                     && self.agents.values().any(|agent| agent.serves(service, now, silence))
@@ -97,13 +97,13 @@
 /// How long a job waits for its first room while targets take work: as long as it can still end in
 /// time, within bounds.
 fn refuse_after(request: &JobRequest, timing: &Timing) -> Duration {
-    let most = request.objective.mul_f64(timing.refuse_part_most);
+    let most = request.objective.mul_f64(timing.max_wait_fraction);
     slack_of(request, timing).min(most)
 }
 
 /// How long a job may wait and still end in time, at least a part of its objective.
 fn slack_of(request: &JobRequest, timing: &Timing) -> Duration {
     let work = Duration::from_millis(u64::from(request.shape.estimated_ms));
-    let slack = request.objective.saturating_sub(work + timing.overhead);
-    slack.max(request.objective.mul_f64(timing.refuse_part))
+    let slack = request.objective.saturating_sub(work + timing.start_overhead);
+    slack.max(request.objective.mul_f64(timing.min_wait_fraction))
 }
--- a/components/dispatch/tests/dispatcher.rs
+++ b/components/dispatch/tests/dispatcher.rs
@@ -94,7 +94,7 @@
     entry.starts();
     entry.handle(Event::Abandon(call));
     assert_eq!(entry.stops().len(), 3);
-    assert_eq!(entry.dispatcher.active(), 0);
+    assert_eq!(entry.dispatcher.active_jobs(), 0);
     assert_eq!(entry.answer(call), None, "nobody waits");
 }
 
--- a/components/dispatch/tests/halls.rs
+++ b/components/dispatch/tests/halls.rs
@@ -108,9 +108,13 @@
     entry.sent.clear();
     let newer = ToEntry::Halls(emptied(3, &[]));
     entry.handle(Event::FromAgent(SessionId(1), newer));
-    assert_eq!(entry.dispatcher.halls().revision, 3);
+    assert_eq!(entry.dispatcher.emptied_halls().revision, 3);
     let older = ToEntry::Halls(emptied(2, &["north"]));
     entry.handle(Event::FromAgent(SessionId(1), older));
-    assert_eq!(entry.dispatcher.halls().revision, 3, "nothing falls back to an older order");
+    assert_eq!(
+        entry.dispatcher.emptied_halls().revision,
+        3,
+        "nothing falls back to an older order"
+    );
     assert!(entry.sent.iter().all(|(_, message)| !matches!(message, ToAgent::Halls(_))));
 }
--- a/components/dispatch/tests/planned_stop.rs
+++ b/components/dispatch/tests/planned_stop.rs
@@ -93,7 +93,7 @@
     assert_eq!(entry.answer(running), Some(Outcome::MayHaveRun(Reason::Draining)));
     assert_eq!(entry.answer(untouched), Some(ELSEWHERE));
     assert_eq!(entry.stops().len(), 2);
-    assert_eq!(entry.dispatcher.active(), 0);
+    assert_eq!(entry.dispatcher.active_jobs(), 0);
     let mut late = job(1, 20);
     late.id = JobId::new("00000000000000b2");
     let late = entry.submit(late);
--- a/daemon/src/room/entry.rs
+++ b/daemon/src/room/entry.rs
@@ -320,7 +320,7 @@
 
     /// Jobs whose client waits.
     pub fn active(&self) -> usize {
-        self.dispatcher.borrow().active()
+        self.dispatcher.borrow().active_jobs()
     }
 
     pub fn now(&self) -> model::Time {
@@ -351,7 +351,7 @@
     }
 
     pub fn waiting(&self, queue: &str) -> usize {
-        self.dispatcher.borrow().waiting(queue)
+        self.dispatcher.borrow().waiting_jobs(queue)
     }
 }
 
--- a/daemon/src/room/entry_figures.rs
+++ b/daemon/src/room/entry_figures.rs
@@ -97,14 +97,14 @@
         }
         page.value("starts_total", "", counters.starts);
         page.value("starts_refused_total", "", counters.refused_starts);
-        page.value("task_failures_total", "", counters.failures);
-        page.value("task_losses_total", "", counters.losses);
+        page.value("task_failures_total", "", counters.task_failures);
+        page.value("task_losses_total", "", counters.task_losses);
         page.value("breaches_total", "", counters.breaches);
         page.value("agents_lost_total", "", counters.agents_lost);
         page.value("agents", "{state=\"known\"}", dispatcher.known_agents() as u64);
         page.value("agents", "{state=\"open\"}", dispatcher.open_agents() as u64);
-        page.value("jobs_active", "", dispatcher.active() as u64);
-        page.value("tasks_queued", "", dispatcher.queued() as u64);
+        page.value("jobs_active", "", dispatcher.active_jobs() as u64);
+        page.value("tasks_queued", "", dispatcher.queued_tasks() as u64);
         let callers = &self.stop.callers;
         page.value("connections_accepted_total", "", callers.accepted());
         for phase in Phase::ALL {
@@ -115,7 +115,7 @@
         page.value("ready", "", u64::from(self.is_ready()));
         let version = self.table().map_or(0, |table| table.version);
         page.value("configuration_version", "", version);
-        page.value("halls_revision", "", dispatcher.halls().revision);
+        page.value("halls_revision", "", dispatcher.emptied_halls().revision);
         page.value("log_lines_omitted_total", "", self.log.omitted());
         self.figures.borrow().fill(page);
     }
--- a/soak/src/room/halls.rs
+++ b/soak/src/room/halls.rs
@@ -174,7 +174,7 @@
         let Some(halls) = &self.halls else { return };
         let last = halls.emptied.revision;
         let entries = self.entries.iter().map(|entry| {
-            entry.dispatcher.as_ref().map_or(last, |dispatcher| dispatcher.halls().revision)
+            entry.dispatcher.as_ref().map_or(last, |dispatcher| dispatcher.emptied_halls().revision)
         });
         let agents = self
             .agents
--- a/soak/src/room/world.rs
+++ b/soak/src/room/world.rs
@@ -309,7 +309,7 @@
         let now = self.now;
         let mut wrong = Vec::new();
         for (index, entry) in self.entries.iter().enumerate() {
-            let active = entry.dispatcher.as_ref().map_or(0, Dispatcher::active);
+            let active = entry.dispatcher.as_ref().map_or(0, Dispatcher::active_jobs);
             if active > 0 {
                 wrong.push(format!("entry {index} has {active} jobs at the end"));
             }
--- a/soak/tests/load.rs
+++ b/soak/tests/load.rs
@@ -147,7 +147,7 @@
     let cut = Some(Cut { from, span, part: 0.25 });
     let load = Load { span: Duration::from_secs(4), cut, ..usual() };
     let late = |mut load: Load| {
-        load.times.entry.agent_silence = Duration::from_millis(350);
+        load.times.entry.max_load_age = Duration::from_millis(350);
         play_load(&load)
     };
     let before = mean_of_four(late, &load);
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -227,16 +227,16 @@
 #[test]
 fn an_entry_that_does_not_wait_for_a_lost_lease_is_found() {
     let mut times = RoomTimes::default();
-    times.entry.lost_lease = Duration::ZERO;
+    times.entry.lost_agent_lease = Duration::ZERO;
     assert_found(times, "runs twice at once");
 }
 
 #[test]
 fn an_entry_that_goes_on_after_a_pause_is_found() {
     let mut times = RoomTimes::default();
-    times.entry.longest_pause = Duration::from_secs(60);
-    times.entry.session_silence = Duration::from_secs(60);
-    times.entry.agent_silence = Duration::from_secs(60);
+    times.entry.pause_threshold = Duration::from_secs(60);
+    times.entry.session_timeout = Duration::from_secs(60);
+    times.entry.max_load_age = Duration::from_secs(60);
     times.agent.start_age = Duration::from_secs(60);
     times.agent.session_silence = Duration::from_secs(60);
     assert_found(times, "");
