--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -190,7 +190,7 @@
             Event::Cancel(job) => self.cancel(now, &job, out),
             Event::CancelledElsewhere(job) => self.cancel_own(now, &job, out),
             Event::EmptiedHalls(halls) => self.take_halls(now, &halls, HallsSource::Keeper, out),
-            Event::TakeOnlyWhatEndsBy(end) => self.stops_at = Some(end),
+            Event::AdmitOnlyJobsEndingBy(end) => self.stops_at = Some(end),
             Event::AnswerAll => self.answer_all(now, out),
             Event::Tick => {}
         }
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -182,7 +182,7 @@
     /// A keeper tells which halls are emptied.
     EmptiedHalls(EmptiedHalls),
     /// The entry stops: from now on it takes only jobs that surely end by then.
-    TakeOnlyWhatEndsBy(Time),
+    AdmitOnlyJobsEndingBy(Time),
     /// The entry ends in a moment: every open job gets its final answer, and no more are taken.
     AnswerAll,
     /// Time has passed.
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -34,4 +34,4 @@
 };
 pub use notices::CancelNotices;
 pub use policy::Policy;
-pub use stop::{PlannedStop, StopStep, StopTiming, StopView};
+pub use stop::{PlannedStop, StopStatus, StopStep, StopTiming};
--- a/components/dispatch/src/stop.rs
+++ b/components/dispatch/src/stop.rs
@@ -16,19 +16,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopTiming {
     /// How often the balancer is told that the entry is not ready before it sends nobody any more.
-    pub notices: u32,
+    pub required_notices: u32,
     /// How long the entry waits for the balancer to ask so often.
-    pub notice: Duration,
+    pub notice_timeout: Duration,
     /// No connection and no request has come for so long: the balancer sends nobody any more.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
     /// When no more requests are taken at the latest.
-    pub intake: Duration,
+    pub close_listener_after: Duration,
     /// How long after that the entry ends at the earliest.
     pub linger: Duration,
     /// When every job that is still open gets its final answer.
-    pub answers: Duration,
+    pub answer_all_after: Duration,
     /// When the process ends at the latest.
-    pub end: Duration,
+    pub end_after: Duration,
 }
 
 /// How often the platform's balancer asks, and what it misses before it takes an entry out, are its
@@ -59,28 +59,28 @@
     pub fn within(grace: Duration) -> Self {
         let before = |margin: Duration, part: u32| grace - margin.min(grace / part);
         Self {
-            notices: NOTICES,
-            notice: NOTICE.min(grace / 2),
-            quiet: QUIET,
-            intake: before(INTAKE_MARGIN, INTAKE_PART),
+            required_notices: NOTICES,
+            notice_timeout: NOTICE.min(grace / 2),
+            quiet_period: QUIET,
+            close_listener_after: before(INTAKE_MARGIN, INTAKE_PART),
             linger: LINGER,
-            answers: before(ANSWER_MARGIN, ANSWER_PART),
-            end: before(END_MARGIN, END_PART),
+            answer_all_after: before(ANSWER_MARGIN, ANSWER_PART),
+            end_after: before(END_MARGIN, END_PART),
         }
     }
 }
 
 /// What a stopping entry sees of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopView {
+pub struct StopStatus {
     /// How often the balancer was told that the entry is not ready.
     pub notices: u32,
     /// Jobs whose client waits.
     pub jobs: usize,
     /// Connections over which a request may still have to be answered.
-    pub open: usize,
+    pub busy_connections: usize,
     /// Since a connection or a request came last.
-    pub quiet: Duration,
+    pub quiet_for: Duration,
 }
 
 /// What a stopping entry does next.
@@ -88,9 +88,9 @@
 pub enum StopStep {
     /// The balancer has noticed: only what surely ends by then is taken from now on, and connections
     /// close once they are idle.
-    TakeOnlyWhatEndsBy(Time),
+    AdmitOnlyJobsEndingBy(Time),
     /// The listener closes.
-    CloseIntake,
+    CloseListener,
     /// Every open job gets its final answer.
     AnswerAll,
     /// The process ends.
@@ -114,7 +114,7 @@
 #[derive(Debug)]
 pub struct PlannedStop {
     timing: StopTiming,
-    began: Time,
+    started_at: Time,
     phase: Phase,
     /// Since when it is in this phase.
     since: Time,
@@ -123,30 +123,32 @@
 impl PlannedStop {
     /// A stop that begins now.
     pub fn new(timing: StopTiming, now: Time) -> Self {
-        Self { timing, began: now, phase: Phase::Noticing, since: now }
+        Self { timing, started_at: now, phase: Phase::Noticing, since: now }
     }
 
     /// When it began.
-    pub fn began(&self) -> Time {
-        self.began
+    pub fn started_at(&self) -> Time {
+        self.started_at
     }
 
     /// The next step, if one is due.
-    pub fn next(&mut self, now: Time, view: &StopView) -> Option<StopStep> {
-        let age = now.since(self.began);
+    pub fn next_step(&mut self, now: Time, status: &StopStatus) -> Option<StopStep> {
+        let age = now.since(self.started_at);
         let (phase, step) = match self.phase {
-            Phase::Noticing if self.is_noticed(age, view) => {
-                let by = self.began + self.timing.answers;
-                (Phase::Taking, StopStep::TakeOnlyWhatEndsBy(by))
+            Phase::Noticing if self.is_noticed(age, status) => {
+                let by = self.started_at + self.timing.answer_all_after;
+                (Phase::Taking, StopStep::AdmitOnlyJobsEndingBy(by))
             }
-            Phase::Taking if self.is_quiet(now, view) || age >= self.timing.intake => {
-                (Phase::Finishing, StopStep::CloseIntake)
+            Phase::Taking
+                if self.is_quiet(now, status) || age >= self.timing.close_listener_after =>
+            {
+                (Phase::Finishing, StopStep::CloseListener)
             }
-            Phase::Finishing if self.is_done(now, view) => (Phase::Over, StopStep::End),
-            Phase::Finishing if age >= self.timing.answers => {
+            Phase::Finishing if self.is_done(now, status) => (Phase::Over, StopStep::End),
+            Phase::Finishing if age >= self.timing.answer_all_after => {
                 (Phase::Answered, StopStep::AnswerAll)
             }
-            Phase::Answered if self.has_answered(now, age, view) => (Phase::Over, StopStep::End),
+            Phase::Answered if self.has_answered(now, age, status) => (Phase::Over, StopStep::End),
             _ => return None,
         };
         self.phase = phase;
@@ -154,23 +156,25 @@
         Some(step)
     }
 
-    fn is_noticed(&self, age: Duration, view: &StopView) -> bool {
-        view.notices >= self.timing.notices || age >= self.timing.notice
+    fn is_noticed(&self, age: Duration, status: &StopStatus) -> bool {
+        status.notices >= self.timing.required_notices || age >= self.timing.notice_timeout
     }
 
     /// A process that was held up until after its latest time still has a moment for its answers.
-    fn has_answered(&self, now: Time, age: Duration, view: &StopView) -> bool {
+    fn has_answered(&self, now: Time, age: Duration, status: &StopStatus) -> bool {
         let lingered = now.since(self.since) >= self.timing.linger;
-        view.open == 0 || (age >= self.timing.end && lingered)
+        status.busy_connections == 0 || (age >= self.timing.end_after && lingered)
     }
 
-    fn is_done(&self, now: Time, view: &StopView) -> bool {
-        view.jobs == 0 && view.open == 0 && now.since(self.since) >= self.timing.linger
+    fn is_done(&self, now: Time, status: &StopStatus) -> bool {
+        status.jobs == 0
+            && status.busy_connections == 0
+            && now.since(self.since) >= self.timing.linger
     }
 
     /// What the balancer sent before it noticed may still be on its way, so the time since then counts too.
-    fn is_quiet(&self, now: Time, view: &StopView) -> bool {
-        let quiet = view.quiet.min(now.since(self.since));
-        view.jobs == 0 && view.open == 0 && quiet >= self.timing.quiet
+    fn is_quiet(&self, now: Time, status: &StopStatus) -> bool {
+        let quiet = status.quiet_for.min(now.since(self.since));
+        status.jobs == 0 && status.busy_connections == 0 && quiet >= self.timing.quiet_period
     }
 }
--- a/daemon/src/room/entry_stop.rs
+++ b/daemon/src/room/entry_stop.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use dispatch::{Event, PlannedStop, StopStep, StopTiming, StopView};
+use dispatch::{Event, PlannedStop, StopStatus, StopStep, StopTiming};
 use model::Time;
 use net::{ConnectionInfo, Connections, Phase};
 use serde_json::{Value, json};
@@ -67,12 +67,12 @@
         self.answers_at.get().map(|at| at.since(now))
     }
 
-    fn view(&self, jobs: usize) -> StopView {
-        StopView {
+    fn view(&self, jobs: usize) -> StopStatus {
+        StopStatus {
             notices: self.notices.get(),
             jobs,
-            open: self.callers.unfinished(),
-            quiet: self.callers.quiet(),
+            busy_connections: self.callers.unfinished(),
+            quiet_for: self.callers.quiet(),
         }
     }
 
@@ -88,11 +88,11 @@
         let timing = StopTiming::within(self.stop.grace.get());
         let mut stop = PlannedStop::new(timing, self.now());
         self.stop.began.set(true);
-        self.tell_stop("draining", stop.began());
+        self.tell_stop("draining", stop.started_at());
         loop {
             Timer::after(STOP_POLL).await;
-            while let Some(step) = stop.next(self.now(), &self.stop.view(self.active())) {
-                self.take_step(step, stop.began());
+            while let Some(step) = stop.next_step(self.now(), &self.stop.view(self.active())) {
+                self.take_step(step, stop.started_at());
                 if step == StopStep::End {
                     return;
                 }
@@ -102,13 +102,13 @@
 
     fn take_step(&self, step: StopStep, began: Time) {
         match step {
-            StopStep::TakeOnlyWhatEndsBy(end) => {
+            StopStep::AdmitOnlyJobsEndingBy(end) => {
                 self.stop.answers_at.set(Some(end));
-                self.feed(Event::TakeOnlyWhatEndsBy(end));
+                self.feed(Event::AdmitOnlyJobsEndingBy(end));
                 self.stop.callers.close_idle();
                 self.tell_stop("closing", began);
             }
-            StopStep::CloseIntake => {
+            StopStep::CloseListener => {
                 self.stop.callers.close();
                 self.tell_stop("intake-closed", began);
             }
