--- a/components/dispatch/src/notices.rs
+++ b/components/dispatch/src/notices.rs
@@ -25,14 +25,18 @@
 
 impl CancelNotices {
     /// A client has cancelled a job that is not here; returns the entries to tell now.
-    pub fn cancelled(&mut self, now: Time, job: &JobId) -> Vec<SocketAddr> {
+    pub fn record_cancel(&mut self, now: Time, job: &JobId) -> Vec<SocketAddr> {
         self.forget(now);
         self.recent.push_back((now, job.clone()));
         self.listed.iter().copied().collect()
     }
 
     /// Keepers list these other entries; returns who is to be told of which cancels.
-    pub fn listed(&mut self, now: Time, entries: BTreeSet<SocketAddr>) -> Vec<(SocketAddr, JobId)> {
+    pub fn update_entries(
+        &mut self,
+        now: Time,
+        entries: BTreeSet<SocketAddr>,
+    ) -> Vec<(SocketAddr, JobId)> {
         self.forget(now);
         let come: Vec<SocketAddr> = entries.difference(&self.listed).copied().collect();
         self.listed = entries;
@@ -41,7 +45,7 @@
     }
 
     /// Whether an entry that could not be reached is tried again.
-    pub fn is_owed(&mut self, now: Time, entry: SocketAddr) -> bool {
+    pub fn has_pending(&mut self, now: Time, entry: SocketAddr) -> bool {
         self.forget(now);
         self.listed.contains(&entry) && !self.recent.is_empty()
     }
--- a/daemon/src/room/entry_peers.rs
+++ b/daemon/src/room/entry_peers.rs
@@ -49,7 +49,7 @@
     pub fn listed(self: &Rc<Self>, nodes: &[NodeInfo]) {
         let others = nodes.iter().filter(|node| node.role == NodeRole::Entry);
         let addresses = others.map(|node| node.address).filter(|address| *address != self.own);
-        let owed = self.notices.borrow_mut().listed(self.clock.now(), addresses.collect());
+        let owed = self.notices.borrow_mut().update_entries(self.clock.now(), addresses.collect());
         for (entry, job) in owed {
             self.log.line(
                 "cancel-told-later",
@@ -62,7 +62,7 @@
 
     /// Tells every other entry that a job is cancelled.
     pub fn cancel(self: &Rc<Self>, job: &JobId) {
-        let told = self.notices.borrow_mut().cancelled(self.clock.now(), job);
+        let told = self.notices.borrow_mut().record_cancel(self.clock.now(), job);
         for entry in told {
             self.tell(entry, job.clone());
         }
@@ -106,7 +106,7 @@
                 Err(error) => self.note_untold(entry, &error.to_string()),
             }
             Timer::after(RETRY_PAUSE).await;
-            if !self.notices.borrow_mut().is_owed(self.clock.now(), entry) {
+            if !self.notices.borrow_mut().has_pending(self.clock.now(), entry) {
                 return None;
             }
         }
