--- a/components/dispatch/src/intake.rs
+++ b/components/dispatch/src/admission.rs
@@ -13,7 +13,7 @@
 const ELSEWHERE_PAUSE: Duration = Duration::from_secs(1);
 /// When to come back where every hall with a target for the job is emptied: operators refill one after minutes
 /// rather than seconds, and a client is told the latest second that any rejected one is.
-const HALLS_EMPTIED_PAUSE: Duration = crate::returns::LATEST_RETURN;
+const HALLS_EMPTIED_PAUSE: Duration = crate::retry_schedule::LATEST_RETURN;
 /// When to come back where no target can run the job: one has to start first, which takes seconds.
 const NO_TARGET_PAUSE: Duration = Duration::from_secs(3);
 
--- a/components/dispatch/src/ends.rs
+++ b/components/dispatch/src/bulk_end.rs
@@ -4,9 +4,9 @@
 
 use model::{JobId, Time};
 
+use crate::admission::not_run;
 use crate::dispatcher::Dispatcher;
 use crate::event::{Action, LogEvent, Outcome, Reason, SessionId};
-use crate::intake::not_run;
 use crate::job::Job;
 
 /// What is read so soon after a pause of the process may be old.
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -10,10 +10,10 @@
 use crate::crashes::Crashes;
 use crate::event::{Action, CallId, Event, HallsSource, SessionId};
 use crate::job::Job;
-use crate::place::ChangedRoom;
+use crate::placement::ChangedRoom;
 use crate::policy::Policy;
-use crate::reserve::Reserve;
-use crate::returns::Returns;
+use crate::retry_schedule::Returns;
+use crate::urgent_reserve::Reserve;
 
 /// The times of an entry.
 #[derive(Clone, Copy, Debug)]
--- a/components/dispatch/src/halls.rs
+++ b/components/dispatch/src/halls.rs
@@ -6,11 +6,11 @@
 use model::{JobId, Time};
 use wire::{EmptiedHalls, ToAgent};
 
+use crate::admission::not_run;
 use crate::dispatcher::Dispatcher;
 use crate::event::{Action, HallsSource, JobRequest, LogEvent, Outcome, Reason, SessionId};
-use crate::intake::not_run;
+use crate::feasibility::could_run;
 use crate::job::Job;
-use crate::servable::could_run;
 
 impl Dispatcher {
     /// Takes note of the halls that are emptied, and refuses what only their targets could run.
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -7,31 +7,31 @@
 //! No clock, socket or thread in here: [`Dispatcher::handle`] takes a time and an event and gives
 //! the actions that follow.
 
+mod admission;
 mod agents;
 mod answers;
+mod bulk_end;
+mod cancel_notices;
 mod cancels;
 mod crashes;
 mod dispatcher;
-mod ends;
 mod event;
+mod feasibility;
 mod halls;
-mod intake;
 mod job;
-mod notices;
-mod place;
+mod placement;
+mod planned_stop;
 mod policy;
-mod reports;
-mod reserve;
-mod returns;
-mod servable;
-mod stop;
-mod waits;
+mod retry_schedule;
+mod task_reports;
+mod timeouts;
+mod urgent_reserve;
 
+pub use cancel_notices::CancelNotices;
 pub use dispatcher::{Dispatcher, DispatcherCounters, Timing};
 pub use event::{
     Action, CallId, Event, HallsSource, JobRequest, LogEvent, Outcome, Reason, SessionId,
     TargetSummary, TaskShape,
 };
-pub use notices::CancelNotices;
+pub use planned_stop::{PlannedStop, StopStatus, StopStep, StopTiming};
 pub use policy::Policy;
-pub use stop::{PlannedStop, StopStatus, StopStep, StopTiming};
--- a/components/dispatch/src/place.rs
+++ b/components/dispatch/src/placement.rs
@@ -12,7 +12,7 @@
 use crate::event::{Action, JobRequest, LogEvent, SessionId};
 use crate::job::{Job, Task, TaskState};
 use crate::policy::Policy;
-use crate::reserve::Rooms;
+use crate::urgent_reserve::Rooms;
 
 /// Tasks at the head of the queue for which every agent is looked at though none suits.
 const LOOK_AHEAD: usize = 16;
--- a/components/dispatch/src/waits.rs
+++ b/components/dispatch/src/timeouts.rs
@@ -4,9 +4,9 @@
 
 use model::Time;
 
+use crate::admission::not_run;
 use crate::dispatcher::{Dispatcher, Timing, queue_entry};
 use crate::event::{Action, JobRequest, Outcome, Reason};
-use crate::intake::not_run;
 use crate::job::{Job, TaskState};
 
 /// How often jobs are looked at for what has waited too long.
