--- a/components/dispatch/src/admission.rs
+++ b/components/dispatch/src/admission.rs
@@ -1,4 +1,5 @@
-//! Jobs as they come: taken, joined to their first try, or refused; and clients that leave or cancel.
+//! Admission of submitted jobs: admitted, joined to an earlier submission, or refused. Also handles
+//! clients that disconnect.
 
 use std::time::Duration;
 
@@ -8,13 +9,13 @@
 use crate::event::{Action, CallId, JobRequest, LogEvent, Outcome, Reason};
 use crate::job::Job;
 
-/// When to come back to another entry: at once would do, but where all of them stop, clients would send
-/// again and again. A second is the least that a client can be told besides.
+/// Retry delay when this entry is stopping. Another entry could take the job at once, but where all
+/// entries are stopping, clients would retry in a loop.
 const ELSEWHERE_PAUSE: Duration = Duration::from_secs(1);
-/// When to come back where every hall with a target for the job is emptied: operators refill one after minutes
-/// rather than seconds, and a client is told the latest second that any rejected one is.
+/// Retry delay when all suitable halls are emptied. Operators take minutes to refill a hall, so
+/// clients get the longest delay.
 const HALLS_EMPTIED_PAUSE: Duration = crate::retry_schedule::LATEST_RETURN;
-/// When to come back where no target can run the job: one has to start first, which takes seconds.
+/// Retry delay when no target can run the job: a new target takes seconds to start.
 const NO_TARGET_PAUSE: Duration = Duration::from_secs(3);
 
 impl Dispatcher {
@@ -30,7 +31,7 @@
             return self.submit_again(now, call, request, out);
         }
         if now < self.stale_until {
-            // Its client may have sent it again elsewhere long ago.
+            // The client may have submitted the job elsewhere in the meantime.
             return self.refuse(call, &request, Reason::Paused, out);
         }
         if self.cancelled.contains(&request.id) {
@@ -63,11 +64,12 @@
         }
         self.calls.insert(call, id.clone());
         self.jobs.insert(id.clone(), job);
-        // An earlier try has crashed targets.
+        // An earlier run of the job may have crashed too many targets already.
         self.give_up_crashing(now, &id, out);
     }
 
-    /// A job comes of which this entry has an earlier try: its client has lost the connection.
+    /// Handles a submission of a job that is already known here, usually because its client lost
+    /// the connection.
     pub(crate) fn submit_again(
         &mut self,
         now: Time,
@@ -84,22 +86,22 @@
             return;
         }
         if let Some(reason) = no_second_try {
-            // The first try may have run, so "not run" would not be true.
+            // The first run may have executed tasks, so "not run" could be false.
             out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
             return;
         }
-        // Tasks of the first try are being stopped: the second begins after that.
+        // The tasks of the first run are being stopped. The job starts again after that.
         let earlier = job.again.replace((call, request));
         self.calls.insert(call, id);
         if let Some((earlier, _)) = earlier {
-            // Its client has sent the job once more since.
+            // Only the latest resubmission of the client is kept.
             self.calls.remove(&earlier);
             out.push(Action::Answer(earlier, Outcome::MayHaveRun(Reason::ClientGone)));
         }
     }
 
-    /// Why a job is not begun a second time, if so: the entry stops, or the client may have sent the job
-    /// elsewhere long ago.
+    /// Returns why a known job can't be started again, if so: the entry is stopping, or the
+    /// submission may be stale after a pause.
     pub(crate) fn no_second_try(&self, now: Time) -> Option<Reason> {
         if self.stops_at.is_some() {
             return Some(Reason::Draining);
@@ -107,7 +109,7 @@
         (now < self.stale_until).then_some(Reason::Paused)
     }
 
-    /// Answers a job that is not taken.
+    /// Answers a job that is not admitted as not run.
     pub(crate) fn refuse(
         &mut self,
         call: CallId,
--- a/components/dispatch/src/agents.rs
+++ b/components/dispatch/src/agents.rs
@@ -1,4 +1,4 @@
-//! The agents that have a session with this entry, and what is free at their targets.
+//! Connected agents and the free capacity of their targets, as this entry knows it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,24 +10,24 @@
 use crate::dispatcher::{Dispatcher, Timing};
 use crate::event::{Action, LogEvent, SessionId};
 
-/// How often agents are looked at for silence and heartbeats that are due. At each event instead, an
-/// entry's time would grow with the square of its agents: each of them brings ten loads a second.
+/// Minimum interval between scans of all agents for timeouts and due heartbeats. A scan on every
+/// event would cost time quadratic in the number of agents.
 const WATCH_EVERY: Duration = Duration::from_millis(5);
 
-/// One agent.
+/// A connected agent and the last load that it reported.
 #[derive(Debug)]
 pub(crate) struct Agent {
-    /// Who it is; none until it has said so.
+    /// `None` until the agent has sent its profile.
     pub profile: Option<AgentProfile>,
     pub load: Load,
     pub heard: Time,
     heartbeat: Time,
     next_sequence: u64,
-    /// Starts that its last load does not count in.
+    /// Sequence and resources of starts that the last reported load does not include yet.
     unseen: VecDeque<(u64, Resources)>,
-    /// Tasks of this entry that are there.
+    /// Tasks of this entry placed at this agent.
     pub tasks: usize,
-    /// Its target stands in a hall that operators have emptied.
+    /// Whether the target is in a hall that operators have emptied.
     pub hall_is_emptied: bool,
 }
 
@@ -49,8 +49,8 @@
         self.profile.as_ref().map(|profile| &profile.node)
     }
 
-    /// What is free as far as this entry knows: by the last load, less its own starts since, and
-    /// less what other entries are thought to have taken since.
+    /// Estimates the free capacity of the target: the last reported load, less this entry's starts
+    /// since then and the expected starts of other entries.
     pub fn free(&self, now: Time) -> Resources {
         let age = now.since(self.heard).as_secs_f64() * 1e3;
         let by_others = (age * f64::from(self.load.taken_per_ms)) as u64;
@@ -60,7 +60,7 @@
         free
     }
 
-    /// Takes note of a start that is about to be sent; returns its sequence.
+    /// Records a start that is about to be sent and returns its sequence number.
     pub fn take(&mut self, resources: Resources) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -77,23 +77,22 @@
         }
     }
 
-    /// From one sign of life that it is shown to the next.
     fn heartbeat_time(&self, timing: &Timing) -> Duration {
         if self.tasks > 0 { timing.heartbeat_interval } else { timing.idle_heartbeat_interval }
     }
 
-    /// Whether it takes new work.
+    /// Whether the agent accepts new work and its last load is recent enough to be trusted.
     pub fn takes_work(&self, now: Time, silence: Duration) -> bool {
         self.load.open && !self.hall_is_emptied && now.since(self.heard) < silence
     }
 
-    /// Whether it is of a service and takes new work.
+    /// Whether the agent belongs to a service and accepts new work.
     pub fn serves(&self, service: &str, now: Time, silence: Duration) -> bool {
         self.takes_work(now, silence)
             && self.profile.as_ref().is_some_and(|profile| *profile.service == *service)
     }
 
-    /// Whether its target stands in one of these halls.
+    /// Whether the agent's target is in one of these halls.
     pub fn stands_in(&self, halls: &EmptiedHalls) -> bool {
         self.profile.as_ref().is_some_and(|profile| halls.contains(&profile.hall))
     }
@@ -118,14 +117,14 @@
         profile: AgentProfile,
         out: &mut Vec<Action>,
     ) {
-        // An agent that connects again before its old session is known to be dead.
+        // The agent may have reconnected before its old session was closed.
         let double = |(other, agent): (&SessionId, &Agent)| {
             (*other != id && agent.name() == Some(&profile.node)).then_some(*other)
         };
         let doubles: Vec<SessionId> = self.agents.iter().filter_map(double).collect();
         if doubles.iter().any(|other| *other > id) {
-            // An agent connects again only after it has given up the connection before, so that a
-            // greeting on the older one was held up.
+            // An agent reconnects only after it has closed its previous connection, so this profile
+            // was delayed on the older one.
             return self.lose_agent(id, "connected again", out);
         }
         for double in doubles {
@@ -158,7 +157,7 @@
         }
     }
 
-    /// Shows each agent that this entry lives, and gives up those that are silent.
+    /// Sends the heartbeats that are due and removes agents that have timed out.
     pub(crate) fn watch_agents(&mut self, now: Time, out: &mut Vec<Action>) {
         if now.since(self.agents_watched) < WATCH_EVERY {
             return;
@@ -176,7 +175,7 @@
         silent.into_iter().for_each(|id| self.lose_agent(id, "silent", out));
     }
 
-    /// Takes note that the agent was just shown that this entry lives.
+    /// Records that a message was just sent which the agent counts as a heartbeat.
     pub(crate) fn heartbeat_sent(&mut self, now: Time, id: SessionId) {
         if let Some(agent) = self.agents.get_mut(&id) {
             agent.heartbeat = now;
--- a/components/dispatch/src/answers.rs
+++ b/components/dispatch/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers: each job gets one, and nothing of it goes on after it.
+//! Answers jobs: every job gets exactly one answer, and its remaining tasks are stopped.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,8 @@
         self.last_event
     }
 
-    /// Answers a job and stops what is left of it.
+    /// Answers a job's callers and stops the tasks that are still placed. A job that is already
+    /// answered is left alone.
     pub(crate) fn finish(
         &mut self,
         now: Time,
@@ -65,7 +66,7 @@
         self.count(outcome);
     }
 
-    /// What the agents' targets have free, as far as this entry knows.
+    /// Summarizes the state of the targets as this entry knows it.
     fn targets_seen(&self, now: Time) -> TargetSummary {
         let mut targets = TargetSummary { waiting: self.queue.len(), ..TargetSummary::default() };
         for agent in self.agents.values().filter(|agent| agent.load.open) {
@@ -93,7 +94,7 @@
     }
 }
 
-/// The promise that an answer would break.
+/// Returns the invariant that an outcome would violate, if any.
 fn breach_of(job: &Job, outcome: Outcome) -> Option<Breach> {
     let id = || job.request.id.clone();
     match outcome {
--- a/components/dispatch/src/bulk_end.rs
+++ b/components/dispatch/src/bulk_end.rs
@@ -1,4 +1,4 @@
-//! Moments at which every job ends at once.
+//! Events that end all jobs at once.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::event::{Action, LogEvent, Outcome, Reason, SessionId};
 use crate::job::Job;
 
-/// What is read so soon after a pause of the process may be old.
+/// Period after a pause of the process in which incoming requests may be stale.
 const STALE: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
-    /// Agents have stopped what they ran for this entry, and clients have sent their jobs again
-    /// elsewhere: nothing may go on.
+    /// Ends all jobs after a pause of the process: agents have stopped their tasks, and clients may
+    /// have submitted them elsewhere.
     pub(crate) fn has_paused(&mut self, gap: Duration, out: &mut Vec<Action>) {
         out.push(Action::Log(LogEvent::Paused { gap_ms: gap.as_millis() as u64 }));
         self.end_all(Reason::Paused, |_| Outcome::MayHaveRun(Reason::Paused), out);
@@ -23,9 +23,9 @@
         agents.into_iter().for_each(|id| self.lose_agent(id, "stood still", out));
     }
 
-    /// The process ends in a moment. A connection that ends without an answer tells a client
-    /// nothing; now it knows what has not run and may be sent again at once, and tasks of what may have
-    /// run are stopped before it is sent again.
+    /// Answers all jobs because the process is about to exit. Without an answer a client can't tell
+    /// whether its job ran; this way it can resubmit at once, and remaining tasks are stopped
+    /// before it does.
     pub(crate) fn answer_all(&mut self, now: Time, out: &mut Vec<Action>) {
         self.stops_at = Some(now);
         let outcome = |job: &Job| match job.is_untouched() {
@@ -35,7 +35,7 @@
         self.end_all(Reason::Draining, outcome, out);
     }
 
-    /// Ends every job, and answers those that wait for the end of their first try.
+    /// Ends every job, and answers resubmissions that wait for their first run to end.
     pub(crate) fn end_all(
         &mut self,
         reason: Reason,
@@ -49,7 +49,7 @@
             let again = self.jobs.get_mut(&id).and_then(|job| job.again.take());
             if let Some((call, _)) = again {
                 self.calls.remove(&call);
-                // Its first try may have run.
+                // The first run may have executed tasks.
                 out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
             }
         }
--- a/components/dispatch/src/cancel_notices.rs
+++ b/components/dispatch/src/cancel_notices.rs
@@ -1,9 +1,9 @@
-//! Which other entries are told that a job is cancelled.
+//! Tracks which other entries must be notified of a cancelled job.
 //!
-//! A client cancels at any entry, and the job is another one's. An entry that has just come may be known to agents,
-//! and have jobs, some moments before the others hear of it: of 64 starts of a fleet three had their cancel told to nobody
-//! where keepers gather changes of their list for 700 ms instead of 50. So a cancel is also told to entries that
-//! are listed a little later, and again to those that did not answer.
+//! A client may cancel at any entry, while its job runs at another one. An entry that has just
+//! started may be known to agents and have jobs before other entries have received its address. So
+//! a cancel is also sent to entries that are listed shortly afterwards, and again to entries that
+//! did not answer.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -11,27 +11,29 @@
 
 use model::{JobId, Time};
 
-/// How long a cancel is told to entries that are listed only now, or that could not be reached. A keeper tells of a
-/// new entry 50 ms after it has registered; where its answer is lost, the question is put again after 1.7 s.
+/// How long a cancel is sent to newly listed or unreachable entries. Must be longer than the time
+/// that the list of entries takes to spread, including a lost reply of a keeper.
 const TOLD_FOR: Duration = Duration::from_secs(2);
 
-/// The other entries, and the cancels that they are owed.
+/// The other entries and the recent cancels to send them.
 #[derive(Debug, Default)]
 pub struct CancelNotices {
     listed: BTreeSet<SocketAddr>,
-    /// Cancels of the last moments, the newest last.
+    /// Recent cancels, oldest first.
     recent: VecDeque<(Time, JobId)>,
 }
 
 impl CancelNotices {
-    /// A client has cancelled a job that is not here; returns the entries to tell now.
+    /// Records a client's cancel of a job that is not known here. Returns the entries to notify
+    /// now.
     pub fn record_cancel(&mut self, now: Time, job: &JobId) -> Vec<SocketAddr> {
         self.forget(now);
         self.recent.push_back((now, job.clone()));
         self.listed.iter().copied().collect()
     }
 
-    /// Keepers list these other entries; returns who is to be told of which cancels.
+    /// Replaces the list of other entries. Returns the recent cancels to send to entries that are
+    /// new in it.
     pub fn update_entries(
         &mut self,
         now: Time,
@@ -44,7 +46,7 @@
         come.into_iter().flat_map(owed).collect()
     }
 
-    /// Whether an entry that could not be reached is tried again.
+    /// Whether an entry that could not be reached should be tried again.
     pub fn has_pending(&mut self, now: Time, entry: SocketAddr) -> bool {
         self.forget(now);
         self.listed.contains(&entry) && !self.recent.is_empty()
--- a/components/dispatch/src/cancels.rs
+++ b/components/dispatch/src/cancels.rs
@@ -1,4 +1,4 @@
-//! Cancels, of jobs that are here and of jobs that another entry has.
+//! Cancellation of jobs of this entry and of other entries.
 
 use model::{JobId, Time};
 use wire::ToAgent;
@@ -7,11 +7,12 @@
 use crate::event::{Action, Outcome};
 
 impl Dispatcher {
-    /// A client cancels a job. One that is here ends here: by the time that its client may send it to a
-    /// second entry, nothing of the first try runs any more, so that nobody else has to be told. One that
-    /// is not here may be any other entry's, and all of them are told. Agents are told as well: they may
-    /// be reached where its entry is not, and tell the entries that they serve. Told to everyone for each
-    /// job, cancels would grow with entries times agents.
+    /// Handles a client's cancel request.
+    ///
+    /// A cancel of a job of this entry is not passed on: its tasks have stopped before the client
+    /// may submit the job elsewhere. A cancel of an unknown job goes to every other entry, and to
+    /// every agent in case an entry can be reached only through an agent. Passing on every cancel
+    /// would cost messages in proportion to entries times agents.
     pub(crate) fn cancel(&mut self, now: Time, id: &JobId, out: &mut Vec<Action>) {
         if !self.jobs.contains_key(id) {
             out.push(Action::NotifyEntries(id.clone()));
@@ -21,7 +22,8 @@
         self.cancel_own(now, id, out);
     }
 
-    /// Cancels a job as far as it is here, and whatever comes of it later.
+    /// Cancels the job if it is active at this entry, and remembers the cancel for a later
+    /// submission.
     pub(crate) fn cancel_own(&mut self, now: Time, id: &JobId, out: &mut Vec<Action>) {
         self.cancelled.add(now, id);
         let again = self.jobs.get_mut(id).and_then(|job| job.again.take());
--- a/components/dispatch/src/crashes.rs
+++ b/components/dispatch/src/crashes.rs
@@ -1,8 +1,9 @@
-//! Tasks under which targets have crashed.
+//! Tracks tasks that crash the targets which run them.
 //!
-//! A task may crash each target that starts it, and its job is handed in again where it gets no answer: so what counts is
-//! kept beyond a job's end, and agents tell of a crash to all entries that they serve. A task that only stood beside the cause
-//! is rarely there twice within that time.
+//! A task may crash every target that starts it, and its client submits the job again when it gets
+//! no answer. So crashes are remembered after the job has ended, and agents report each crash to
+//! all of their entries. A task that merely ran beside the cause is unlikely to see a second crash
+//! in that time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,12 +14,13 @@
 use crate::dispatcher::Dispatcher;
 use crate::event::{Action, Outcome, Reason, SessionId};
 
-/// Targets that may crash under a task before it is given up: each further start may cost all that runs at another one.
+/// Number of crashed targets after which a task is not started again, as every further start may
+/// cost all tasks of another target.
 const CRASHES_MAX: usize = 2;
-/// How long a crash is remembered: many times as long as it takes a client to send a job again.
+/// How long a crash is remembered: long enough for clients to submit the job again several times.
 const KEPT: Duration = Duration::from_secs(20);
 
-/// The agents whose targets crashed, by task, and when that is forgotten.
+/// The agents whose targets crashed and the expiry time, by task.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes(BTreeMap<TaskId, (BTreeSet<NodeName>, Time)>);
 
@@ -29,24 +31,25 @@
         *until = now + KEPT;
     }
 
-    /// Whether targets have crashed under a task as often as they may.
+    /// Whether a task has crashed the maximum number of targets.
     fn is_given_up(&self, task: &TaskId) -> bool {
         self.0.get(task).is_some_and(|(agents, _)| agents.len() >= CRASHES_MAX)
     }
 
-    /// Whether the target of an agent has crashed under a task: the agent does not start it again.
+    /// Whether the target of an agent has crashed under a task. The agent refuses to start that
+    /// task again.
     pub fn has_crashed(&self, task: &TaskId, agent: &NodeName) -> bool {
         self.0.get(task).is_some_and(|(agents, _)| agents.contains(agent))
     }
 
-    /// Forgets what was long ago.
+    /// Removes crashes that are past their retention time.
     pub fn forget(&mut self, now: Time) {
         self.0.retain(|_, (_, until)| *until > now);
     }
 }
 
 impl Dispatcher {
-    /// An agent tells of tasks that ran when its target crashed.
+    /// Handles an agent's report of the tasks that ran when its target crashed.
     pub(crate) fn target_crashed(
         &mut self,
         now: Time,
@@ -62,7 +65,8 @@
         }
     }
 
-    /// Takes note of an end that tells of a crash, or of a refused start that does.
+    /// Records a crash if the end of a task indicates one: a crash itself, or a start refused
+    /// because of an earlier crash.
     pub(crate) fn note_crash_by(&mut self, now: Time, id: SessionId, task: &TaskId, end: TaskEnd) {
         if matches!(end, TaskEnd::Crashed | TaskEnd::NotRun(Refusal::CrashedTarget)) {
             self.note_crash(now, id, task);
@@ -76,7 +80,8 @@
         }
     }
 
-    /// Answers a job one of whose tasks has crashed as many targets as it may. Returns whether it has.
+    /// Fails a job if one of its tasks has crashed the maximum number of targets. Returns whether
+    /// the job was failed.
     pub(crate) fn give_up_crashing(
         &mut self,
         now: Time,
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! One life of an entry: its state, and which part takes which event.
+//! The state of an entry and the dispatch of its events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,35 +15,37 @@
 use crate::retry_schedule::Returns;
 use crate::urgent_reserve::Reserve;
 
-/// The times of an entry.
+/// Intervals and timeouts of an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// From one sign of life to the next, for an agent that has tasks of this entry.
+    /// Interval between heartbeats to an agent that has tasks of this entry.
     pub heartbeat_interval: Duration,
-    /// From one sign of life to the next, for an agent that has none: it has nothing to stop once this
-    /// entry is gone. Three of them fit into the silence after which it ends the session.
+    /// Interval between heartbeats to an agent that has no tasks of this entry and so nothing to
+    /// stop if the entry dies. Several must fit into the agent's session timeout.
     pub idle_heartbeat_interval: Duration,
-    /// Silence of an agent after which it is given no new work: two of its reports of the load have not come. A host that
-    /// gets its share of a core in parts may be nearly that late.
+    /// Age of an agent's last load after which the agent gets no new work. Must leave time for late
+    /// reports of a throttled host.
     pub max_load_age: Duration,
-    /// Silence of an agent after which its session is dead.
+    /// Time without a report from an agent after which its session is closed.
     pub session_timeout: Duration,
-    /// A gap between two events after which the process is taken to have stood still: agents have
-    /// given up on it.
+    /// Gap between two events from which the process is taken to have been paused, so that agents
+    /// have already closed its sessions.
     pub pause_threshold: Duration,
-    /// After the loss of an agent, nothing of what it ran runs any more.
+    /// Time after the loss of an agent by which all of its tasks have stopped.
     pub lost_agent_lease: Duration,
-    /// How long a task waits at an agent for room. Short, so that a start that crosses others' on its way is soon tried
-    /// elsewhere.
+    /// How long a task may wait for capacity at an agent. Short, so that a start which conflicts
+    /// with those of other entries is soon retried elsewhere.
     pub max_wait_at_agent: Duration,
-    /// What part of its objective a job waits at least for its first room before it is refused.
+    /// Lower bound, as a fraction of the objective, on a job's wait for its first start before it
+    /// is refused.
     pub min_wait_fraction: f64,
-    /// What part of its objective it waits at most, where it can still end in time. Far from all of
-    /// its slack: the tasks after the first wait as well, and estimates are far off.
+    /// Upper bound, as a fraction of the objective, on that wait. Well below the slack that the
+    /// estimate leaves, as later tasks wait too and estimates are inaccurate.
     pub max_wait_fraction: f64,
-    /// What starting and answering take besides the work.
+    /// Time that starting and answering a job takes besides its work.
     pub start_overhead: Duration,
-    /// Left of the client's time when a job is given up, for the answer to arrive.
+    /// Time before the client's deadline at which a job is answered, so that the answer arrives in
+    /// time.
     pub answer_margin: Duration,
 }
 
@@ -65,50 +67,50 @@
     }
 }
 
-/// What an entry counts since its start.
+/// Event counts of an entry since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatcherCounters {
-    /// Jobs handed in.
+    /// Jobs submitted, including resubmissions.
     pub submitted: u64,
-    /// Jobs completed.
+    /// Jobs answered as completed.
     pub completed: u64,
-    /// Jobs that failed.
+    /// Jobs answered as failed.
     pub failed: u64,
-    /// Jobs that did not run.
+    /// Jobs answered as not run.
     pub not_run: u64,
-    /// Jobs that may have run.
+    /// Jobs answered as possibly run.
     pub may_have_run: u64,
-    /// Jobs cancelled or left by their client.
+    /// Jobs that were cancelled or whose client disconnected.
     pub cancelled: u64,
-    /// Starts sent.
+    /// Starts sent to agents.
     pub starts: u64,
-    /// Starts that were refused without having run.
+    /// Starts that agents refused.
     pub refused_starts: u64,
-    /// Tasks that failed.
+    /// Task runs that failed.
     pub task_failures: u64,
-    /// Tasks that were lost.
+    /// Task runs that ended without a result.
     pub task_losses: u64,
-    /// Agents that were lost.
+    /// Agents that were lost after they had sent their profile.
     pub agents_lost: u64,
-    /// Promises that were about to be broken: bugs.
+    /// Invariant violations. Each is a bug.
     pub breaches: u64,
 }
 
-/// Where a task stands in the queue for room: what is left of jobs that have begun first, then by
-/// priority, then by when its job is to end.
+/// Key of a waiting task in the queue. Tasks of jobs that have started sort first, then by
+/// priority, then by the end of the job's objective.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
-    /// No task of the job has been placed yet.
+    /// Whether no task of the job has been started yet.
     pub fresh: bool,
     pub priority: u8,
     pub due: Time,
     pub job: JobId,
     pub index: u32,
-    /// What the task takes, in thousandths of a core.
+    /// CPU that the task needs, in thousandths of a core.
     pub cpu_milli: u64,
 }
 
-/// One life of an entry.
+/// Places the tasks of one entry's jobs at agents and answers the jobs.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) timing: Timing,
@@ -117,33 +119,33 @@
     pub(crate) jobs: BTreeMap<JobId, Job>,
     pub(crate) calls: BTreeMap<CallId, JobId>,
     pub(crate) queue: BTreeSet<QueueEntry>,
-    /// Starts that go out at the end of the event, by agent and job.
+    /// Starts to be sent at the end of the current event, by agent and job.
     pub(crate) outbox: BTreeMap<(SessionId, JobId), Vec<wire::StartTask>>,
     pub(crate) last_event: Time,
     pub(crate) waits_ended: Time,
     pub(crate) agents_watched: Time,
-    /// What is read before may have lain unread through a pause of the process.
+    /// End of the period after a pause in which incoming requests may be stale.
     pub(crate) stale_until: Time,
-    /// When an agent came or went last.
+    /// When an agent last joined or left.
     pub(crate) agents_changed: Time,
     pub(crate) cancelled: CancelledJobs,
     pub(crate) crashes: Crashes,
-    /// The halls that get no new work.
+    /// Halls that operators have emptied. Their targets get no new work.
     pub(crate) halls: EmptiedHalls,
     pub(crate) reserve: Reserve,
-    /// When rejected clients come back.
+    /// Work that rejected clients were told to submit again, by time.
     pub(crate) returns: Returns,
-    /// Set once the entry stops: what does not surely end by then is not taken.
+    /// Set once the entry is stopping: jobs that may not end by then are refused.
     pub(crate) stops_at: Option<Time>,
     pub(crate) counters: DispatcherCounters,
 }
 
-/// From one tick to the next.
+/// Interval between ticks while tasks are queued.
 const TICK: Duration = Duration::from_millis(10);
 const IDLE_TICK: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
-    /// An entry that knows no agent yet.
+    /// Creates a dispatcher without any agents.
     pub fn new(timing: Timing, now: Time) -> Self {
         Self {
             timing,
@@ -168,12 +170,12 @@
         }
     }
 
-    /// With parts of the policy switched off, for experiments.
+    /// Replaces the scheduling policy, for experiments.
     pub fn with_policy(self, policy: Policy) -> Self {
         Self { policy, ..self }
     }
 
-    /// Takes an event and adds the actions that follow.
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let gap = now.since(self.last_event);
         self.last_event = now;
@@ -195,29 +197,29 @@
             Event::Tick => {}
         }
         self.watch_agents(now, out);
-        // Room that has just come is used before anyone is refused for want of it, and starts are
-        // sent before the stops of jobs that end.
+        // Capacity is assigned before jobs are refused for lack of it, and starts are sent before
+        // the stops of jobs that end.
         self.place(now, changed, out);
         self.send_starts(now, out);
         self.end_waits(now, out);
     }
 
-    /// When the next tick is due.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn next_timer(&self, now: Time) -> Time {
         now + if self.queue.is_empty() { IDLE_TICK } else { TICK }
     }
 
-    /// Jobs whose client waits.
+    /// Number of jobs that are not answered yet.
     pub fn active_jobs(&self) -> usize {
         self.jobs.values().filter(|job| job.outcome.is_none()).count()
     }
 
-    /// Whether a job is active here.
+    /// Whether a job is known here and not answered yet.
     pub fn has_job(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|job| job.outcome.is_none())
     }
 
-    /// Jobs of a queue of which no task has left this entry.
+    /// Number of unanswered jobs of a queue of which nothing can have run.
     pub fn waiting_jobs(&self, queue: &str) -> usize {
         let waits = |job: &&Job| {
             job.outcome.is_none() && *job.request.queue == *queue && job.is_untouched()
@@ -225,27 +227,27 @@
         self.jobs.values().filter(waits).count()
     }
 
-    /// Agents that take new work.
+    /// Number of agents that accept new work.
     pub fn open_agents(&self) -> usize {
         self.agents.values().filter(|agent| agent.load.open).count()
     }
 
-    /// Agents that have a session.
+    /// Number of agents that have sent their profile.
     pub fn known_agents(&self) -> usize {
         self.agents.values().filter(|agent| agent.profile.is_some()).count()
     }
 
-    /// The halls that it knows to be emptied.
+    /// The emptied halls known to this entry.
     pub fn emptied_halls(&self) -> &EmptiedHalls {
         &self.halls
     }
 
-    /// Tasks that wait for room.
+    /// Number of tasks that wait for capacity.
     pub fn queued_tasks(&self) -> usize {
         self.queue.len()
     }
 
-    /// What it counted.
+    /// Event counts since the start of this entry.
     pub fn counters(&self) -> DispatcherCounters {
         self.counters
     }
@@ -272,8 +274,8 @@
     }
 }
 
-/// Where waiting tasks may find room that they did not find before an event. A load changes what one
-/// agent has; any other event may bring tasks that were not looked at yet.
+/// Returns the agents at which queued tasks may find capacity after an event. A load changes the
+/// capacity of a single agent; any other event may have queued tasks that were not tried anywhere.
 fn changed_room(event: &Event) -> ChangedRoom {
     match event {
         Event::FromAgent(id, ToEntry::Load(_)) => ChangedRoom::At(*id),
@@ -286,7 +288,7 @@
     }
 }
 
-/// Where a task of a job stands in the queue.
+/// Returns the queue key of a task of a job.
 pub(crate) fn queue_entry(job: &Job, index: u32, policy: Policy) -> QueueEntry {
     QueueEntry {
         fresh: policy.started_first && job.starts == 0,
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches an entry and what it does.
+//! Events and actions of the dispatcher.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,106 +8,106 @@
 use telemetry::Breach;
 use wire::{DocumentPart, EmptiedHalls, TaskEnd, ToAgent, ToEntry};
 
-/// A client that waits for an answer, numbered by the daemon.
+/// Identifies a client's call that waits for an answer. Numbered by the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A connection of an agent, numbered by the daemon.
+/// Identifies the connection of an agent. Numbered by the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// What each task of a job asks for.
+/// Number, size and placement constraints of a job's tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskShape {
-    /// How many tasks the job has.
+    /// Number of tasks.
     pub count: u32,
-    /// What one takes.
+    /// Resources of each task.
     pub resources: Resources,
-    /// How long one is thought to take, in ms.
+    /// Estimated run time of each task, in milliseconds.
     pub estimated_ms: u32,
-    /// A label that the target must have.
+    /// Label that a target must have.
     pub requirement: Option<Arc<str>>,
-    /// A label that the target had better have.
+    /// Label that a target should preferably have.
     pub affinity: Option<Arc<str>>,
-    /// Most tasks of the job on one target.
+    /// Maximum number of tasks of the job at one target.
     pub max_per_target: Option<u32>,
 }
 
-/// A job as a client hands it in.
+/// A job as submitted by a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobRequest {
-    /// The client's id of it.
+    /// Chosen by the client and kept when it submits the job again.
     pub id: JobId,
-    /// The queue that it is in.
+    /// Name of the queue that the job was submitted to.
     pub queue: Arc<str>,
-    /// The service whose targets run its tasks.
+    /// Name of the service whose targets run the tasks.
     pub service: Arc<str>,
-    /// What the tasks are told to do.
+    /// Payload passed to each task.
     pub spec: Arc<str>,
-    /// What the tasks ask for.
+    /// Number, size and placement constraints of the tasks.
     pub shape: TaskShape,
-    /// 0 goes first.
+    /// Lower values are more urgent.
     pub priority: u8,
-    /// How often a task may fail.
+    /// Number of failures of a task after which the job fails.
     pub max_attempts: u32,
-    /// The time in which it is to end.
+    /// Target time from submission to completion.
     pub objective: Duration,
-    /// How long the client waits.
+    /// How long the client waits for an answer.
     pub deadline: Duration,
 }
 
-/// A job takes at most this many times its objective: with a stretch of 1.6, as the users' queues have,
-/// that is four times its estimate, and tasks take up to three to four (docs/design/policy.md).
+/// Upper bound on the time a job takes, as a multiple of its objective. Allows for estimates that
+/// are too low by several times.
 const OBJECTIVES_TAKEN: f64 = 2.5;
 
 impl JobRequest {
-    /// The work that it is thought to take, in core-seconds.
+    /// Estimated CPU time of all tasks, in core-seconds.
     pub fn estimated_work(&self) -> f64 {
         let shape = &self.shape;
         let task = shape.resources.cpu_milli as f64 * f64::from(shape.estimated_ms) / 1e6;
         f64::from(shape.count) * task
     }
 
-    /// Whether the job is surely over within a time, so that an entry which is about to end may still take
-    /// it: because its client waits no longer, or because it ends though its estimate is far too low.
+    /// Whether the job certainly ends within `left`, because its client stops waiting or because
+    /// even an estimate far too low leaves enough time. A stopping entry admits only such jobs.
     pub fn ends_within(&self, left: Duration) -> bool {
         self.deadline.min(self.objective.mul_f64(OBJECTIVES_TAKEN)) < left
     }
 }
 
-/// Why a job did not end well.
+/// Why a job was not completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// There was no room within a part of the objective.
+    /// No capacity was found early enough to meet the objective.
     NoCapacity,
-    /// No target of the service is known.
+    /// No known target can run the job.
     NoTarget,
-    /// Every target that could run it stands in a hall that operators have emptied.
+    /// Every target that could run the job is in a hall that operators have emptied.
     HallsEmptied,
     /// The entry is stopping.
     Draining,
-    /// A task failed as often as it may.
+    /// A task failed as often as the job allows.
     AttemptsExhausted,
-    /// A task was lost too often.
+    /// A task ended too often without a result.
     TooManyLosses,
-    /// Targets have crashed under a task as often as they may.
+    /// A task has crashed the maximum number of targets.
     CrashesTargets,
-    /// The client's time is over.
+    /// The client's deadline has passed.
     Deadline,
-    /// An agent that had tasks of it is gone.
+    /// An agent with tasks of the job was lost.
     AgentLost,
-    /// This entry has lost track of its tasks: a bug.
+    /// The entry detected an invariant violation. This is a bug.
     Breach,
-    /// The entry stood still for too long.
+    /// The entry's process was paused for too long.
     Paused,
-    /// The client went away.
+    /// The client disconnected.
     ClientGone,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
 impl Reason {
-    /// The reason as a word.
+    /// The name of the reason in answers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoCapacity => "no-room",
@@ -133,199 +133,201 @@
     }
 }
 
-/// What a client is answered.
+/// The answer to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Every task is done.
+    /// All tasks are done.
     Completed,
-    /// It has ended without that: a task failed as often as it may, or nobody waits any more.
+    /// A task failed as often as the job allows, or the client disconnected.
     Failed(Reason),
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
-    /// No task of it ran, nor will.
+    /// No task of the job has run, and none will.
     NotRun {
-        /// Why.
+        /// Why the job was not run.
         reason: Reason,
-        /// When to come back.
+        /// How long the client should wait before it submits the job again.
         retry_after: Duration,
     },
-    /// Tasks of it may have run; none runs within the time after which clients send again.
+    /// Tasks may have run. All of them have stopped by the time the client may submit the job
+    /// again.
     MayHaveRun(Reason),
 }
 
-/// Who told an entry which halls are emptied.
+/// Where an entry learned which halls are emptied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HallsSource {
     /// A keeper.
     Keeper,
-    /// The agent of a session.
+    /// The agent of this session.
     Agent(SessionId),
 }
 
-/// What reaches an entry.
+/// Input of the dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An agent has connected.
     AgentOpened(SessionId),
-    /// The connection is gone.
+    /// The connection of an agent was closed.
     AgentClosed(SessionId),
-    /// An agent's message.
+    /// A message from an agent.
     FromAgent(SessionId, ToEntry),
-    /// A client hands in a job.
+    /// A client submits a job.
     Submit(CallId, JobRequest),
-    /// A client is gone.
+    /// A client disconnected before it was answered.
     Abandon(CallId),
-    /// A client cancels a job, which may be another entry's.
+    /// A client cancels a job, which may belong to another entry.
     Cancel(JobId),
-    /// Another entry tells that a client has cancelled a job there.
+    /// Another entry reports that a client cancelled this job there.
     CancelledElsewhere(JobId),
-    /// A keeper tells which halls are emptied.
+    /// A keeper reports the emptied halls.
     EmptiedHalls(EmptiedHalls),
-    /// The entry stops: from now on it takes only jobs that surely end by then.
+    /// The entry is stopping: from now on it admits only jobs that certainly end by this time.
     AdmitOnlyJobsEndingBy(Time),
-    /// The entry ends in a moment: every open job gets its final answer, and no more are taken.
+    /// The process is about to exit: all jobs are answered, and no more are admitted.
     AnswerAll,
-    /// Time has passed.
+    /// Time has passed. See [`Dispatcher::next_timer`](crate::Dispatcher::next_timer).
     Tick,
 }
 
-/// What an entry does.
+/// Output of the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sends a message to an agent.
+    /// Send a message to an agent.
     Send(SessionId, ToAgent),
-    /// Closes the connection of an agent.
+    /// Close the connection of an agent.
     Close(SessionId),
-    /// Tells every other entry that a job is cancelled.
+    /// Notify all other entries that a job was cancelled.
     NotifyEntries(JobId),
-    /// An agent has told which version of the document it has.
+    /// An agent has reported the version of its configuration document.
     DocumentOffered(SessionId, u64),
-    /// An agent has answered a question for a part of a document.
+    /// An agent has answered a request for a part of its configuration document. `None` if it does
+    /// not have that part.
     DocumentPart(SessionId, Option<DocumentPart>),
-    /// Answers a client.
+    /// Answer a client.
     Answer(CallId, Outcome),
-    /// Reports a decision or a change of state.
+    /// Log a decision or a change of state.
     Log(LogEvent),
 }
 
-/// What an entry knows of the targets at a moment, for the log.
+/// The state of the targets as known to the entry, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TargetSummary {
-    /// Agents that take new work.
+    /// Number of agents that accept new work.
     pub open: usize,
-    /// The most that is thought to be free at one of them.
+    /// Largest estimated free capacity of any of them.
     pub most_free: Resources,
-    /// How old the oldest knowledge of them is, in ms.
+    /// Age of the least recent load report among them, in milliseconds.
     pub oldest_ms: u64,
-    /// Tasks that wait for room at this entry.
+    /// Number of tasks that wait for capacity at this entry.
     pub waiting: usize,
 }
 
-/// What an entry decided or came to believe, for the log.
+/// A decision or a change of state, for the log. Each variant is one kind of log line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// A promise was about to be broken: a bug. The answer says no more than is sure.
+    /// An invariant would have been violated, which is a bug. The job is answered as possibly run.
     Breach(Breach),
-    /// An agent is known with its target.
+    /// An agent has sent its profile.
     AgentKnown {
-        /// The agent.
+        /// Name of the agent's node.
         agent: NodeName,
-        /// Its service.
+        /// Service of its target.
         service: Arc<str>,
-        /// What its target has.
+        /// Total capacity of its target.
         capacity: Resources,
     },
-    /// An agent is gone.
+    /// The session of an agent has ended.
     AgentLost {
-        /// The agent; none where it had not said who it is.
+        /// Name of the agent's node; `None` if it had not sent its profile.
         agent: Option<NodeName>,
-        /// Why.
+        /// What ended the session.
         reason: &'static str,
-        /// Tasks that were there.
+        /// Number of tasks of this entry that were placed there.
         tasks: usize,
     },
-    /// An agent takes new work, or no longer.
+    /// An agent starts or stops accepting new work.
     AgentOpen {
-        /// The agent.
+        /// Name of the agent's node.
         agent: NodeName,
-        /// Whether it does.
+        /// Whether it accepts new work.
         open: bool,
     },
-    /// Other halls are emptied than before.
+    /// The set of emptied halls has changed.
     Halls {
-        /// Those that are, and the revision of the order.
+        /// The emptied halls and the revision of the set.
         halls: EmptiedHalls,
-        /// Who told of it.
+        /// Where the change came from.
         source: HallsSource,
     },
-    /// The process stood still.
+    /// The process was paused.
     Paused {
-        /// How long, in ms.
+        /// Length of the pause, in milliseconds.
         gap_ms: u64,
     },
-    /// A job is taken.
+    /// A job was admitted.
     Admitted {
-        /// The job.
+        /// The job's id.
         job: JobId,
-        /// Its queue.
+        /// The job's queue.
         queue: Arc<str>,
-        /// Its tasks.
+        /// Number of tasks.
         tasks: u32,
-        /// The time in which it is to end, in ms.
+        /// The job's objective, in milliseconds.
         objective_ms: u64,
-        /// Tasks that wait for room.
+        /// Number of tasks that waited for capacity before this job.
         waiting: usize,
     },
-    /// A job is not taken.
+    /// A job was refused on submission.
     Refused {
-        /// The job.
+        /// The job's id.
         job: JobId,
-        /// Why.
+        /// Why it was refused.
         reason: Reason,
     },
-    /// A task is sent to an agent.
+    /// A task was placed at an agent.
     Placed {
-        /// The task.
+        /// The task's id.
         task: TaskId,
-        /// Which run of it.
+        /// Number of the run, from 1.
         run: u64,
-        /// The agent.
+        /// Name of the agent's node.
         agent: NodeName,
-        /// What is thought to be free there.
+        /// Estimated free capacity there before the start.
         free: Resources,
-        /// How old that knowledge is, in ms.
+        /// Age of the agent's last load, in milliseconds.
         age_ms: u64,
     },
-    /// A task did not end well at an agent.
+    /// A task ended at an agent without being done.
     TaskEnded {
-        /// The task.
+        /// The task's id.
         task: TaskId,
-        /// The agent.
+        /// Name of the agent's node.
         agent: NodeName,
-        /// How it ended.
+        /// How the task ended.
         end: TaskEnd,
-        /// Failures of it so far.
+        /// Number of failures of the task so far.
         failures: u32,
     },
-    /// A job is answered.
+    /// A job was answered.
     Answered {
-        /// The job.
+        /// The job's id.
         job: JobId,
-        /// Its queue.
+        /// The job's queue.
         queue: Arc<str>,
         /// The answer.
         outcome: Outcome,
-        /// Since it was handed in, in ms.
+        /// Time since submission, in milliseconds.
         took_ms: f64,
-        /// The time in which it was to end, in ms.
+        /// The job's objective, in milliseconds.
         objective_ms: u64,
-        /// Its tasks.
+        /// Number of tasks.
         tasks: u32,
-        /// Starts that were sent for it.
+        /// Number of starts sent for the job.
         starts: u32,
-        /// Longest wait of a task for room, in ms.
+        /// Longest wait of a task for capacity, in milliseconds.
         waited_ms: f64,
-        /// What was known of targets at that moment.
+        /// State of the targets at that time.
         targets: TargetSummary,
     },
 }
--- a/components/dispatch/src/feasibility.rs
+++ b/components/dispatch/src/feasibility.rs
@@ -1,4 +1,4 @@
-//! Whether any target could ever run a job.
+//! Checks whether any known target could run a job.
 
 use std::time::Duration;
 
@@ -8,24 +8,25 @@
 use crate::dispatcher::Dispatcher;
 use crate::event::JobRequest;
 
-/// For so long no agent has come or gone: those that are known are taken for all there are. An agent
-/// that restarts is back within a second, an entry that starts knows its agents within half of one.
+/// Time without an agent joining or leaving after which the known agents are taken to be complete.
+/// Longer than agents take to reconnect after they or this entry restart.
 const SETTLED: Duration = Duration::from_secs(2);
 
 impl Dispatcher {
-    /// Whether the agents that are known are all there are.
+    /// Whether the set of known agents is taken to be complete.
     pub(crate) fn is_settled(&self, now: Time) -> bool {
         now.since(self.agents_changed) >= SETTLED
     }
 
-    /// Whether it is known that no target can run a job, however long it waits: none of its service is
-    /// there, or each lacks a label that its tasks need, or is smaller than one of its tasks.
+    /// Whether no target can run the job however long it waits: each is of another service, lacks
+    /// the required label or is too small for one task.
     pub(crate) fn is_unservable(&self, now: Time, request: &JobRequest) -> bool {
         self.is_settled(now) && !self.agents.values().any(|agent| could_run(agent, request))
     }
 }
 
-/// Whether an agent's target could run a job; whoever has not said what it is may.
+/// Whether an agent's target could run the job when idle. An agent without a profile counts as able
+/// to.
 pub(crate) fn could_run(agent: &Agent, request: &JobRequest) -> bool {
     let Some(profile) = &agent.profile else { return true };
     let shape = &request.shape;
--- a/components/dispatch/src/halls.rs
+++ b/components/dispatch/src/halls.rs
@@ -1,7 +1,7 @@
-//! Data halls that operators have emptied: no task goes to an agent there.
+//! Data halls that operators have emptied: no task is placed there.
 //!
-//! Agents refuse starts by themselves once they know. An entry that knows first spares its jobs a refused start, and
-//! tells the agents of it that have not heard, as they may be cut off from every keeper.
+//! Agents in such a hall refuse starts themselves. An entry that knows of the hall avoids those
+//! refusals, and forwards the set to agents that may be cut off from all keepers.
 
 use model::{JobId, Time};
 use wire::{EmptiedHalls, ToAgent};
@@ -13,7 +13,8 @@
 use crate::job::Job;
 
 impl Dispatcher {
-    /// Takes note of the halls that are emptied, and refuses what only their targets could run.
+    /// Applies a newer set of emptied halls, forwards it to the agents and refuses the waiting jobs
+    /// that only targets in emptied halls could run.
     pub(crate) fn take_halls(
         &mut self,
         now: Time,
@@ -43,8 +44,8 @@
         }
     }
 
-    /// An agent has told in its greeting which halls it knows to be emptied: whoever knows the newer order tells
-    /// the other.
+    /// Compares the agent's set of emptied halls with this entry's. The side with the older
+    /// revision receives the newer set.
     pub(crate) fn compare_halls(
         &mut self,
         now: Time,
@@ -61,7 +62,7 @@
         self.take_halls(now, halls, HallsSource::Agent(id), out);
     }
 
-    /// Whether every target that could run a job stands in an emptied hall, and there is one.
+    /// Whether at least one target could run the job and every such target is in an emptied hall.
     pub(crate) fn only_emptied_could_run(&self, now: Time, request: &JobRequest) -> bool {
         if self.halls.halls.is_empty() || !self.is_settled(now) {
             return false;
--- a/components/dispatch/src/job.rs
+++ b/components/dispatch/src/job.rs
@@ -1,4 +1,4 @@
-//! A job whose client waits, and its tasks.
+//! A job that is known to this entry, and its tasks.
 
 use std::time::Duration;
 
@@ -6,54 +6,54 @@
 
 use crate::event::{CallId, JobRequest, Outcome, SessionId};
 
-/// How far a task is.
+/// State of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// It waits for room.
+    /// Waits in the queue for capacity.
     Waiting,
-    /// It was sent to an agent.
+    /// Sent to an agent.
     Placed { session: SessionId, sequence: u64 },
-    /// Its agent is gone; it surely does not run from then on.
+    /// Its agent was lost. The task has certainly stopped by `until`.
     Lost { until: Time },
-    /// It is over.
+    /// Done, or ended after the job was answered.
     Over,
 }
 
-/// One task.
+/// A task of a job.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Task {
     pub state: TaskState,
-    /// Starts so far.
+    /// Number of starts so far, which is also the number of the current run.
     pub run: u64,
-    /// Failures so far.
+    /// Number of runs that failed.
     pub failures: u32,
-    /// Ends without an outcome so far.
+    /// Number of runs that ended without a result.
     pub losses: u32,
-    /// The agent that it did not end well at last, and until when it is avoided.
+    /// The agent where the last run was refused or lost, and until when it is avoided.
     pub avoid: Option<(SessionId, Time)>,
-    /// When it began to wait for room.
+    /// When the task last started to wait for capacity.
     pub waits_since: Time,
 }
 
-/// One job.
+/// A job and the calls that wait for its answer.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// Who waits for the answer.
+    /// Calls that wait for the answer.
     pub calls: Vec<CallId>,
     pub request: JobRequest,
     pub submitted: Time,
     pub tasks: Vec<Task>,
-    /// Tasks that are not over.
+    /// Number of tasks that have not ended.
     pub open: usize,
-    /// A task of it may have run.
+    /// Whether a task may have run.
     pub may_have_run: bool,
-    /// Set once it is answered; its tasks are being stopped.
+    /// Set once the job is answered. Its tasks are then being stopped.
     pub outcome: Option<Outcome>,
-    /// Starts that were sent.
+    /// Number of starts sent.
     pub starts: u32,
-    /// Longest wait of a task for room.
+    /// Longest wait of a task for capacity.
     pub waited: Duration,
-    /// Who handed in the same job again while this one was being ended.
+    /// A resubmission that waits until the tasks of this answered job have stopped.
     pub again: Option<(CallId, JobRequest)>,
 }
 
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Whether nothing of it has left this entry, so that "not run" may be said.
+    /// Whether no task has run or is placed at an agent, so that "not run" is a true answer.
     pub fn is_untouched(&self) -> bool {
         !self.may_have_run && self.tasks.iter().all(|task| task.state == TaskState::Waiting)
     }
 
-    /// Whether no agent may have anything of it any more.
+    /// Whether no task can still be running at any agent.
     pub fn is_gone(&self, now: Time) -> bool {
         self.tasks.iter().all(|task| match task.state {
             TaskState::Waiting | TaskState::Over => true,
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -1,11 +1,11 @@
-//! An entry's decisions where tasks are placed by the room that targets have.
+//! Decisions of an entry that places tasks by the free capacity which targets report.
 //!
-//! The entry holds a job for as long as its client waits: it places the tasks at agents with free
-//! room, collects how they end, and answers once, whole. Nothing is kept: a job dies with its
-//! entry, and the agents stop its tasks.
+//! The entry holds a job while its client waits: it places the tasks at agents with free capacity,
+//! collects their results, and gives one answer for the whole job. Nothing is stored: if the entry
+//! dies, its jobs are lost and the agents stop their tasks.
 //!
-//! No clock, socket or thread in here: [`Dispatcher::handle`] takes a time and an event and gives
-//! the actions that follow.
+//! The crate uses no clock, socket or thread: [`Dispatcher::handle`] takes a time and an event and
+//! returns the actions that follow.
 
 mod admission;
 mod agents;
--- a/components/dispatch/src/placement.rs
+++ b/components/dispatch/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which agent gets which task.
+//! Placement of queued tasks at agents.
 
 use std::collections::{BTreeMap, btree_map};
 use std::sync::Arc;
@@ -14,36 +14,36 @@
 use crate::policy::Policy;
 use crate::urgent_reserve::Rooms;
 
-/// Tasks at the head of the queue for which every agent is looked at though none suits.
+/// Number of tasks without a suitable agent after which a pass over the queue ends.
 const LOOK_AHEAD: usize = 16;
-/// Tasks at the head of the queue that are passed over because no agent has so much free.
+/// Maximum number of queued tasks that a pass examines.
 const PASS_OVER: usize = 512;
-/// What a target's slowdown beyond that of others takes from its score.
+/// Score penalty for each multiple by which a target is slower than the median.
 const SLOWDOWN_PRICE: f64 = 0.35;
-/// What the label that a task had better have adds to a target's score.
+/// Score bonus for a target with the task's preferred label.
 const AFFINITY_WORTH: f64 = 10.0;
-/// A target this many times slower than the others is left aside while others have room.
+/// Slowdown relative to the median above which a target is a last resort.
 const FAR_SLOWER: f64 = 2.5;
-/// What stays free at a target below this part of a task holds no other one: the task fills it. A part of the task and not of
-/// the target, as tasks are larger beside their targets for some users than for others.
+/// A task fills a target if the remaining CPU is below this fraction of the task's own. Relative to
+/// the task, as the ratio of task size to target size differs between users.
 const FILLED_PART: f64 = 0.2;
-/// What filling a target adds to its score: more than any free part, less than what makes it a last resort. Room at other
-/// targets stays whole for tasks that need more of it, and entries do not all run for the emptiest target.
+/// Score bonus for a target that the task fills: above any score for free capacity, below the
+/// last-resort penalty. Keeps large free blocks at other targets and stops all entries from
+/// choosing the emptiest target.
 const FILLED_WORTH: f64 = 1.0;
-/// What being far slower, or avoided, takes from a target's score.
+/// Score penalty for a target that is much slower than the median.
 const LAST_RESORT: f64 = 100.0;
 
-/// Which agents may have room for tasks that found none before.
+/// The agents at which queued tasks may find capacity that they did not find before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangedRoom {
-    /// Any of them.
     Anywhere,
-    /// This one alone; looking at all the others as well would cost an entry most of its time.
+    /// A single agent. Searching all agents after each load would dominate an entry's CPU time.
     At(SessionId),
 }
 
 impl ChangedRoom {
-    /// The agents to look at.
+    /// Iterates over the agents to search.
     fn of<'a>(
         self,
         agents: &'a BTreeMap<SessionId, Agent>,
@@ -55,20 +55,20 @@
     }
 }
 
-/// One pass over the queue.
+/// State of one pass over the queue.
 struct Pass {
     now: Time,
-    /// Where room is looked for.
+    /// The agents to search.
     changed: ChangedRoom,
-    /// The most processor that one of these agents has free, in thousandths of a core.
+    /// Largest free CPU of any of these agents, in thousandths of a core.
     largest: u64,
-    /// The slowdown that half of the agents do not exceed.
+    /// Median slowdown of all agents, in percent.
     usual: f64,
     rooms: Rooms,
-    /// Tasks so far that found no agent.
+    /// Number of tasks so far that found no agent.
     misses: usize,
     placed: Vec<QueueEntry>,
-    /// Jobs of which a task was placed for the first time.
+    /// Jobs that had their first task placed in this pass.
     begun: Vec<JobId>,
 }
 
@@ -79,16 +79,16 @@
     }
 }
 
-/// What a look for an agent has found.
+/// Result of the search for an agent for a task.
 enum Choice {
     At(SessionId),
     Nowhere,
-    /// The job of the task is gone.
+    /// The job of the task no longer exists.
     NoJob,
 }
 
 impl Dispatcher {
-    /// Places the tasks that find room, the most urgent first.
+    /// Places queued tasks at agents with enough free capacity, in queue order.
     pub(crate) fn place(&mut self, now: Time, changed: ChangedRoom, out: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
@@ -98,7 +98,7 @@
         if self.queue.iter().take(PASS_OVER).all(too_large) {
             return;
         }
-        // Apart while tasks of it are placed; nothing else is queued meanwhile.
+        // Taken out while its tasks are placed. Nothing is queued during the pass.
         let queue = std::mem::take(&mut self.queue);
         let mut pass = Pass::new(now, changed, largest, self.usual_slowdown());
         for entry in queue.iter().take(PASS_OVER) {
@@ -119,7 +119,7 @@
         pass.begun.iter().for_each(|job| self.move_forward(job));
     }
 
-    /// Looks for the agent that is best for a task.
+    /// Chooses the best agent for a task.
     fn choose(&self, entry: &QueueEntry, pass: &mut Pass) -> Choice {
         let Some(job) = self.jobs.get(&entry.job) else { return Choice::NoJob };
         if entry.fresh && job.starts == 0 && !self.may_begin(job, pass) {
@@ -137,7 +137,8 @@
         look.choose(job, entry.index, self.agents.len()).map_or(Choice::Nowhere, Choice::At)
     }
 
-    /// Whether a job may begin beside what is kept for more urgent ones.
+    /// Whether a job may start its first task without using capacity that is reserved for more
+    /// urgent jobs.
     fn may_begin(&self, job: &Job, pass: &mut Pass) -> bool {
         if !self.policy.urgent_reserve {
             return true;
@@ -146,7 +147,7 @@
         self.reserve.leaves_enough(pass.now, &job.request, room)
     }
 
-    /// Starts a task at an agent that has room for it.
+    /// Places a task at an agent with enough free capacity.
     fn start_at(
         &mut self,
         id: SessionId,
@@ -179,7 +180,7 @@
         pass.placed.push(entry.clone());
     }
 
-    /// A job has begun: what is left of it goes before jobs that have not.
+    /// Moves the remaining tasks of a job that has started ahead of jobs that have not.
     fn move_forward(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for index in 0..job.request.shape.count {
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Sends the starts of this event, those of one job to one agent together.
+    /// Sends the starts collected during this event, one message for each agent and job.
     pub(crate) fn send_starts(&mut self, now: Time, out: &mut Vec<Action>) {
         for ((id, job), tasks) in std::mem::take(&mut self.outbox) {
             let (Some(agent), Some(known)) = (self.agents.get(&id), self.jobs.get(&job)) else {
@@ -203,7 +204,8 @@
         }
     }
 
-    /// The slowdown that half of the agents do not exceed, at least that of estimates which hold.
+    /// Median slowdown of the agents that accept work, in percent, with a lower bound so that fast
+    /// targets don't make ordinary ones look slow.
     fn usual_slowdown(&self) -> f64 {
         if !self.policy.slowdown_score {
             return f64::INFINITY;
@@ -216,7 +218,7 @@
         f64::from(median.max(50))
     }
 
-    /// Takes the tasks of a job out of the queue.
+    /// Removes the tasks of a job from the queue.
     pub(crate) fn leave_queue(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for index in 0..job.request.shape.count {
@@ -225,26 +227,27 @@
     }
 }
 
-/// The most processor that any agent which takes work has free, in thousandths of a core.
+/// Largest free CPU of any agent that accepts work, in thousandths of a core.
 fn largest_free(agents: btree_map::Range<'_, SessionId, Agent>, now: Time, timing: &Timing) -> u64 {
     let takes_work = |agent: &&Agent| agent.takes_work(now, timing.max_load_age);
     let agents = agents.map(|(_, agent)| agent).filter(takes_work);
     agents.map(|agent| agent.free(now).cpu_milli).max().unwrap_or(0)
 }
 
-/// A look at agents for room.
+/// A search for the best agent for a task.
 struct Look<'a> {
     agents: btree_map::Range<'a, SessionId, Agent>,
     now: Time,
     timing: &'a Timing,
-    /// The slowdown that half of the agents do not exceed.
+    /// Median slowdown of all agents, in percent.
     usual: f64,
     policy: Policy,
     crashes: &'a Crashes,
 }
 
 impl Look<'_> {
-    /// The agent that is best for a task, if any has room; `known` agents have a session.
+    /// Returns the eligible agent with the highest score. A task may return to the agent that it
+    /// avoids if that is the only one of `known_agents`.
     fn choose(self, job: &Job, index: u32, known: usize) -> Option<SessionId> {
         let Self { agents, now, timing, usual, policy, crashes } = self;
         let request = &job.request;
@@ -270,7 +273,7 @@
     label.is_none_or(|label| agent.has_label(label))
 }
 
-/// Whether one more task of the job may go to an agent.
+/// Whether the agent has fewer tasks of the job than the job allows at one target.
 fn has_place_beside(job: &Job, id: SessionId) -> bool {
     let Some(most) = job.request.shape.max_per_target else { return true };
     let there =
@@ -282,7 +285,8 @@
     task.avoid.is_some_and(|(avoided, until)| avoided == id && now < until)
 }
 
-/// How good an agent is for a task: the part of it that stays free, unless the task fills it, less what it is slower.
+/// Scores an agent for a task: the fraction of its capacity that stays free, with a bonus if the
+/// task fills it and a penalty if it is slow.
 fn score(agent: &Agent, free: Resources, request: &JobRequest, usual: f64, policy: Policy) -> f64 {
     let free = free.less(&request.shape.resources);
     let capacity = agent.capacity().cpu_milli.max(1);
@@ -302,7 +306,7 @@
     score
 }
 
-/// Takes note of a task's new run at an agent.
+/// Records a new run of a task at an agent and returns the start to send.
 fn start(
     job: &mut Job,
     index: u32,
--- a/components/dispatch/src/planned_stop.rs
+++ b/components/dispatch/src/planned_stop.rs
@@ -1,61 +1,62 @@
 //! The steps of an entry's planned stop.
 //!
-//! The balancer is told that the entry is not ready, and the entry serves on until the balancer has
-//! noticed. Then it closes idle connections, so that their clients go to other entries, and takes only what
-//! is over in time by its estimate's bound. It goes on listening: where all entries are stopping, the balancer
-//! still sends to them. In a day of overlapping stops of all entries, five plays, a closed listener turned away 106, 122
-//! and 694 of some 5,000 tries (four entries), 1,141 and 908 (three); an open one 0, 7 and 76, 35 and 67. The
-//! entry ends once nothing is under way and no request has come for a moment. What is open near the end of
-//! the time that the platform grants gets its final answer then.
+//! The entry reports to the load balancer that it is not ready and continues to serve until the
+//! balancer has noticed. Then it closes idle connections, so that their clients connect to other
+//! entries, and admits only jobs that certainly end in time. The listener stays open, as the
+//! balancer still sends requests here if all entries are stopping. The entry ends once nothing is
+//! in progress and no request has arrived for a while. Jobs that are still open near the end of the
+//! platform's grace period are answered then.
 
 use std::time::Duration;
 
 use model::Time;
 
-/// The times of a planned stop.
+/// Times of a planned stop. Times named `..._after` count from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopTiming {
-    /// How often the balancer is told that the entry is not ready before it sends nobody any more.
+    /// Number of not-ready responses after which the balancer sends no more requests.
     pub required_notices: u32,
-    /// How long the entry waits for the balancer to ask so often.
+    /// How long to wait for the balancer to ask that often.
     pub notice_timeout: Duration,
-    /// No connection and no request has come for so long: the balancer sends nobody any more.
+    /// Time without a new connection or request after which the balancer is taken to send no more.
     pub quiet_period: Duration,
-    /// When no more requests are taken at the latest.
+    /// When the listener closes at the latest.
     pub close_listener_after: Duration,
-    /// How long after that the entry ends at the earliest.
+    /// Minimum time from closing the listener to the end.
     pub linger: Duration,
-    /// When every job that is still open gets its final answer.
+    /// When all open jobs are answered.
     pub answer_all_after: Duration,
     /// When the process ends at the latest.
     pub end_after: Duration,
 }
 
-/// How often the platform's balancer asks, and what it misses before it takes an entry out, are its
-/// own; these are two answers, a second apart, and a little.
+/// The balancer checks an entry at regular intervals and removes it after a few failed checks. This
+/// covers two failed checks.
 const NOTICES: u32 = 2;
 const NOTICE: Duration = Duration::from_millis(2_400);
-/// A connection that the balancer handed out before it noticed arrives within a few milliseconds, and is
-/// accepted within the 50 ms or so that an entry on a tenth of a core may wait for its turn. Longer stops overlap more:
-/// with 300 ms two days of overlapping stops of three entries turned away 35 and 236 tries, with 100 ms 35 and 67.
+/// Must cover the delivery of a connection that the balancer opened before it noticed, and the time
+/// until a throttled entry accepts it. Longer values make the stops of several entries overlap
+/// more.
 const QUIET: Duration = Duration::from_millis(100);
-/// Left of the platform's time when no more requests are taken: hardly any job that begins then ends.
+/// Time before the end of the grace period at which the listener closes. Hardly any job admitted
+/// later would end in time.
 const INTAKE_MARGIN: Duration = Duration::from_millis(1_500);
-/// Two turns of the entry's look at itself: what waited to be accepted is among the open connections.
+/// Must cover two polls of the stopping entry, so that connections which waited to be accepted are
+/// counted as busy.
 const LINGER: Duration = Duration::from_millis(40);
-/// Left when final answers are given: they and the last log lines leave within some hundred milliseconds
-/// where a process has a tenth of a core.
+/// Time before the end of the grace period at which open jobs are answered. Must cover sending the
+/// answers and the last log lines on a throttled host.
 const ANSWER_MARGIN: Duration = Duration::from_millis(600);
-/// Left when the process ends at the latest, for its last log lines.
+/// Time before the end of the grace period at which the process ends, for its last log lines.
 const END_MARGIN: Duration = Duration::from_millis(250);
-/// Where the platform grants little time, each margin is at most this part of it, so that the steps keep
+/// With a short grace period, each margin is at most this fraction of it, so that the steps keep
 /// their order.
 const INTAKE_PART: u32 = 4;
 const ANSWER_PART: u32 = 10;
 const END_PART: u32 = 24;
 
 impl StopTiming {
-    /// The times where the platform grants so long from the request to stop to the end.
+    /// Derives the times from the grace period that the platform allows.
     pub fn within(grace: Duration) -> Self {
         let before = |margin: Duration, part: u32| grace - margin.min(grace / part);
         Self {
@@ -70,68 +71,68 @@
     }
 }
 
-/// What a stopping entry sees of itself.
+/// What a stopping entry observes about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopStatus {
-    /// How often the balancer was told that the entry is not ready.
+    /// Number of not-ready responses to the balancer so far.
     pub notices: u32,
-    /// Jobs whose client waits.
+    /// Number of jobs that are not answered yet.
     pub jobs: usize,
-    /// Connections over which a request may still have to be answered.
+    /// Number of connections on which a request may still need an answer.
     pub busy_connections: usize,
-    /// Since a connection or a request came last.
+    /// Time since the last connection or request arrived.
     pub quiet_for: Duration,
 }
 
-/// What a stopping entry does next.
+/// The next step of a stopping entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopStep {
-    /// The balancer has noticed: only what surely ends by then is taken from now on, and connections
-    /// close once they are idle.
+    /// The balancer has noticed: admit only jobs that certainly end by this time, and close
+    /// connections once they are idle.
     AdmitOnlyJobsEndingBy(Time),
-    /// The listener closes.
+    /// Close the listener.
     CloseListener,
-    /// Every open job gets its final answer.
+    /// Answer all open jobs.
     AnswerAll,
-    /// The process ends.
+    /// End the process.
     End,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// The balancer does not know yet.
+    /// The balancer has not noticed yet.
     Noticing,
-    /// New connections are still accepted.
+    /// The balancer has noticed. The listener is still open.
     Taking,
-    /// What is under way ends.
+    /// The listener is closed. Jobs in progress end.
     Finishing,
-    /// Every job is answered; the answers leave.
+    /// All jobs are answered. The answers are being sent.
     Answered,
     Over,
 }
 
-/// An entry's planned stop.
+/// State of an entry's planned stop.
 #[derive(Debug)]
 pub struct PlannedStop {
     timing: StopTiming,
     started_at: Time,
     phase: Phase,
-    /// Since when it is in this phase.
+    /// When the current phase started.
     since: Time,
 }
 
 impl PlannedStop {
-    /// A stop that begins now.
+    /// Starts a planned stop.
     pub fn new(timing: StopTiming, now: Time) -> Self {
         Self { timing, started_at: now, phase: Phase::Noticing, since: now }
     }
 
-    /// When it began.
+    /// When the stop started.
     pub fn started_at(&self) -> Time {
         self.started_at
     }
 
-    /// The next step, if one is due.
+    /// Returns the next step if one is due.
     pub fn next_step(&mut self, now: Time, status: &StopStatus) -> Option<StopStep> {
         let age = now.since(self.started_at);
         let (phase, step) = match self.phase {
@@ -160,7 +161,7 @@
         status.notices >= self.timing.required_notices || age >= self.timing.notice_timeout
     }
 
-    /// A process that was held up until after its latest time still has a moment for its answers.
+    /// A process that was stalled past the end of its time still gets a moment to send its answers.
     fn has_answered(&self, now: Time, age: Duration, status: &StopStatus) -> bool {
         let lingered = now.since(self.since) >= self.timing.linger;
         status.busy_connections == 0 || (age >= self.timing.end_after && lingered)
@@ -172,7 +173,8 @@
             && now.since(self.since) >= self.timing.linger
     }
 
-    /// What the balancer sent before it noticed may still be on its way, so the time since then counts too.
+    /// Requests that the balancer sent before it noticed may still be in transit, so the quiet
+    /// period starts no earlier than the current phase.
     fn is_quiet(&self, now: Time, status: &StopStatus) -> bool {
         let quiet = status.quiet_for.min(now.since(self.since));
         status.jobs == 0 && status.busy_connections == 0 && quiet >= self.timing.quiet_period
--- a/components/dispatch/src/policy.rs
+++ b/components/dispatch/src/policy.rs
@@ -1,20 +1,21 @@
-//! Which parts of the policy are in force: all are, but in experiments that measure what each of
-//! them is worth.
+//! Switches for parts of the scheduling policy. All are on except in experiments that measure the
+//! effect of one of them.
 
-/// The parts that an experiment may switch off.
+/// The parts of the scheduling policy that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// What is left of begun jobs goes before jobs of which nothing has run.
+    /// Tasks of started jobs are placed before jobs that have not started.
     pub started_first: bool,
-    /// Targets that are slower than others are chosen less.
+    /// Targets that are slower than the median get a lower score.
     pub slowdown_score: bool,
-    /// A target that a task fills is chosen before emptier ones.
+    /// A target that a task fills is preferred over emptier ones.
     pub fill_targets: bool,
-    /// Jobs that find no room soon are refused while what is left could still be in time.
+    /// Jobs that find no capacity early are refused while they could still finish elsewhere in
+    /// time.
     pub early_refusal: bool,
-    /// Less urgent jobs leave room free for more urgent ones.
+    /// Less urgent jobs leave capacity free for more urgent ones.
     pub urgent_reserve: bool,
-    /// A task that was lost with its agent runs again once its lease has surely ended.
+    /// A task that was lost with its agent is started again after the agent's lease has ended.
     pub rerun_lost: bool,
 }
 
@@ -32,7 +33,7 @@
 }
 
 impl Policy {
-    /// Switches a part off; tells whether there is such a part.
+    /// Disables a part by its name in the settings. Returns `false` if there is no such part.
     pub fn disable(&mut self, part: &str) -> bool {
         let switch = match part {
             "begun-first" => &mut self.started_first,
--- a/components/dispatch/src/retry_schedule.rs
+++ b/components/dispatch/src/retry_schedule.rs
@@ -1,12 +1,12 @@
-//! When rejected clients come back, and in which order.
+//! Assigns retry delays to rejected clients.
 //!
-//! Clients that are all told to come back after the same time come back all at once, find the fleet full again,
-//! and keep out those that come for the first time. So each is given the first of the next seconds for which
-//! not much work has been told to come back yet: a part of what this entry gets done in a second. The most
-//! urgent may use the whole part, others leave some of it to them, so that the urgent come back first.
+//! If all clients got the same delay, they would return together, overload the fleet again and
+//! displace new clients. So each client is assigned the first second for which the returning work
+//! is below a fraction of this entry's throughput. Part of that fraction is kept for the most
+//! urgent clients, so that they return first.
 //!
-//! More are served at their first try, with fewer tries; the last of a burst wait longer, as those who have waited no longer push
-//! aside those who come.
+//! This serves more clients at their first try and with fewer tries in total. The last clients of a
+//! burst wait longer in return.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,35 +15,36 @@
 
 use crate::event::{JobRequest, Outcome, Reason};
 
-/// `Retry-After` counts whole seconds.
+/// Unit of the `Retry-After` header.
 const SECOND: Duration = Duration::from_secs(1);
-/// Latest second that a client is told: a rejected client would rather give up than wait longer, and what is
-/// known now of the load says little about later.
+/// Maximum delay in seconds. Clients would rather give up than wait longer, and the current load
+/// says little about a later one.
 const SECONDS: usize = 8;
-/// The longest that a rejected client is told to wait.
+/// Maximum retry delay.
 pub(crate) const LATEST_RETURN: Duration = Duration::from_secs(SECONDS as u64);
-/// What part of the work that an entry gets done in a second may come back in one.
+/// Fraction of the throughput that may be assigned to each second.
 const RETURN_PART: f64 = 0.8;
-/// What part of that is for clients of any priority; the rest is for the most urgent.
+/// Fraction of that share that is open to all priorities. The rest is kept for the most urgent.
 const COMMON_PART: f64 = 0.6;
-/// Weight of the last second in the mean of what gets done: the mean of about three seconds.
+/// Weight of the last second in the moving average of the throughput.
 const RATE_WEIGHT: f64 = 0.3;
 
-/// The work that rejected clients were told to come back with, by second.
+/// Work that rejected clients were told to submit again, by second.
 #[derive(Debug, Default)]
 pub(crate) struct Returns {
-    /// Number of the present second.
+    /// The current second since the epoch of the clock.
     second: u64,
-    /// Work told to come back in the next second and those after it.
+    /// Work assigned to the following seconds, the next one first, in core-seconds.
     booked: VecDeque<f64>,
-    /// Work done in the present second.
+    /// Work completed in the current second, in core-seconds.
     done: f64,
-    /// Mean work done in a second before.
+    /// Moving average of the work completed per second, in core-seconds.
     rate: f64,
 }
 
 impl Returns {
-    /// Takes note of how a job ended. One for which there was no room is given a time to come back.
+    /// Records the outcome of a job. A job that was refused for lack of capacity or time gets a
+    /// retry delay.
     pub fn with_return(&mut self, now: Time, request: &JobRequest, outcome: Outcome) -> Outcome {
         match outcome {
             Outcome::Completed => self.done(now, request.estimated_work()),
@@ -63,7 +64,7 @@
         self.done += work;
     }
 
-    /// When a client that is rejected now comes back with its work. The most urgent have priority 0.
+    /// Assigns a second to rejected work and returns the delay until then.
     fn book(&mut self, now: Time, work: f64, priority: u8) -> Duration {
         self.turn(now);
         let whole = self.rate.max(self.done) * RETURN_PART;
@@ -86,7 +87,7 @@
         (0..SECONDS).min_by(by_work).unwrap_or(0)
     }
 
-    /// Lets the seconds pass that are over.
+    /// Advances to the current second.
     fn turn(&mut self, now: Time) {
         let second = now.since(Time::default()).as_secs();
         let passed = second.saturating_sub(self.second).min(SECONDS as u64);
--- a/components/dispatch/src/task_reports.rs
+++ b/components/dispatch/src/task_reports.rs
@@ -1,4 +1,4 @@
-//! What becomes of tasks at agents, and of agents.
+//! Handles reports of ended tasks and the loss of agents.
 
 use std::time::Duration;
 
@@ -9,15 +9,16 @@
 use crate::event::{Action, LogEvent, Outcome, Reason, SessionId};
 use crate::job::TaskState;
 
-/// How long a task avoids an agent that had no room for it.
+/// How long a task avoids an agent that refused it for lack of capacity.
 const AVOID_FULL: Duration = Duration::from_millis(20);
-/// How long a task avoids an agent where it failed or was lost.
+/// How long a task avoids an agent where it failed, was lost or was refused for another reason.
 const AVOID_BAD: Duration = Duration::from_secs(5);
-/// Ends without an outcome after which a task is given up.
+/// Number of runs without a result after which a job is given up.
 const LOSSES: u32 = 5;
 
 impl Dispatcher {
-    /// An agent reports what became of a task.
+    /// Handles an agent's report of the end of a task. A report that does not match the task's
+    /// current run is ignored.
     pub(crate) fn task_ended(
         &mut self,
         now: Time,
@@ -61,7 +62,8 @@
         let entry = queue_entry(job, key.index, self.policy);
         let (open, answered) = (job.open, job.outcome.is_some());
         if end == TaskEnd::NotRun(wire::Refusal::Cancelled) && !answered {
-            // A cancel that this entry was not told of, as it was down: each start would be refused anew.
+            // This entry missed the cancel. Without it, every agent that knows of the cancel would
+            // refuse the task in a loop.
             self.note_end(id, &key, end, failures, out);
             return self.cancel_own(now, &key.job, out);
         }
@@ -106,8 +108,9 @@
         out.push(Action::Log(LogEvent::TaskEnded { task: task.clone(), agent, end, failures }));
     }
 
-    /// An agent's session is dead: it stops what it runs for this entry, or its target's lease
-    /// ends. Jobs that can still be done in time wait for that; the others end.
+    /// Closes the session of an agent. The agent stops this entry's tasks, or its target's lease
+    /// ends. Jobs that can still end in time wait for that and start the lost tasks again; the
+    /// others are answered now.
     pub(crate) fn lose_agent(
         &mut self,
         id: SessionId,
@@ -154,5 +157,5 @@
     }
 }
 
-/// A job that ends later than this many times its objective is of no use.
+/// Multiple of a job's objective after which its result is of no use to the client.
 const LATE_TIMES: u32 = 3;
--- a/components/dispatch/src/timeouts.rs
+++ b/components/dispatch/src/timeouts.rs
@@ -1,4 +1,4 @@
-//! What has waited for too long.
+//! Ends jobs that have waited too long and removes jobs that have ended.
 
 use std::time::Duration;
 
@@ -9,11 +9,12 @@
 use crate::event::{Action, JobRequest, Outcome, Reason};
 use crate::job::{Job, TaskState};
 
-/// How often jobs are looked at for what has waited too long.
+/// Minimum interval between scans of all jobs.
 const WAITS_EVERY: Duration = Duration::from_millis(5);
 
 impl Dispatcher {
-    /// Ends what has waited for too long.
+    /// Queues lost tasks whose lease has ended, answers jobs that have waited too long, and removes
+    /// answered jobs once their tasks have stopped.
     pub(crate) fn end_waits(&mut self, now: Time, out: &mut Vec<Action>) {
         if now.since(self.waits_ended) < WAITS_EVERY {
             return;
@@ -69,8 +70,9 @@
     }
 }
 
-/// How a job ends that has waited for too long, if it has. While nobody knows of room, as after a
-/// start, room is not known to be short either: a job waits for as long as it can be in time.
+/// Returns the outcome of a job that has waited too long, if it has. While no load is known, as
+/// after a restart, capacity is not known to be short either, so a job waits for as long as it can
+/// still end in time.
 fn overdue(
     job: &Job,
     now: Time,
@@ -94,14 +96,13 @@
     None
 }
 
-/// How long a job waits for its first room while targets take work: as long as it can still end in
-/// time, within bounds.
+/// How long a job waits for its first start while targets accept work: the slack within bounds.
 fn refuse_after(request: &JobRequest, timing: &Timing) -> Duration {
     let most = request.objective.mul_f64(timing.max_wait_fraction);
     slack_of(request, timing).min(most)
 }
 
-/// How long a job may wait and still end in time, at least a part of its objective.
+/// How long a job can wait and still meet its objective, but at least a fraction of it.
 fn slack_of(request: &JobRequest, timing: &Timing) -> Duration {
     let work = Duration::from_millis(u64::from(request.shape.estimated_ms));
     let slack = request.objective.saturating_sub(work + timing.start_overhead);
--- a/components/dispatch/src/urgent_reserve.rs
+++ b/components/dispatch/src/urgent_reserve.rs
@@ -1,10 +1,9 @@
-//! Room that less urgent jobs leave free for more urgent ones.
+//! Capacity that less urgent jobs leave free for more urgent ones.
 //!
-//! Tasks are not preempted, and at full targets whoever asks first gets what becomes free: a wide urgent
-//! job finds its room task by task, behind less urgent ones of all entries, and ends late however high its
-//! priority. So a job begins only where room for the usual more urgent job stays free beside it.
-//!
-//! The load that this answers is far more than the usual jobs while part of the targets is cut off (`soak/tests/load.rs`).
+//! Tasks are not preempted. At full targets, free capacity goes to whichever entry uses it first,
+//! so a wide urgent job would start task by task between the less urgent jobs of other entries and
+//! end late. So a job starts only if enough capacity for a typical more urgent job remains. This
+//! matters under overload while part of the targets is unreachable.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,32 +15,34 @@
 use crate::dispatcher::Timing;
 use crate::event::{JobRequest, SessionId};
 
-/// How many of the usual more urgent job find room. More than one: jobs come unevenly, and loads are some milliseconds old.
+/// Number of typical more urgent jobs to reserve capacity for. More than one, as arrivals are
+/// uneven and load reports are slightly old.
 const JOBS_KEPT: f64 = 1.5;
-/// What part of all known room is kept at most. Where targets are few, one wide job would keep much of it idle.
+/// Upper bound on the reserve as a fraction of the total capacity. With few targets, a reserve for
+/// one wide job would leave much of it idle.
 const PART_KEPT: f64 = 0.07;
-/// Without a more urgent job for so long nothing is kept for one.
+/// Time without a more urgent job after which nothing is reserved.
 const MEMORY: Duration = Duration::from_secs(2);
-/// Weight of a job in the mean size of its kind.
+/// Weight of a new job in the moving average of job sizes.
 const SIZE_WEIGHT: f64 = 0.1;
 
-/// The usual job of a service and priority.
+/// Moving averages over the jobs of one service and priority.
 #[derive(Clone, Copy, Debug)]
 struct Usual {
-    /// Mean of what all tasks of a job take together, in thousandths of a core.
+    /// Mean CPU of all tasks of a job together, in thousandths of a core.
     cpu_milli: f64,
-    /// Mean of what one task takes.
+    /// Mean CPU of a single task, in thousandths of a core.
     task_cpu_milli: f64,
-    /// When one came last.
+    /// When the last such job was admitted.
     at: Time,
 }
 
-/// The usual jobs, by service and priority.
+/// Typical jobs by service and priority, from which the reserve is computed.
 #[derive(Debug, Default)]
 pub(crate) struct Reserve(BTreeMap<Arc<str>, BTreeMap<u8, Usual>>);
 
 impl Reserve {
-    /// Takes note of a job that has come.
+    /// Updates the averages with an admitted job.
     pub fn job_came(&mut self, now: Time, request: &JobRequest) {
         let cpu_milli = all_tasks(request) as f64;
         let task_cpu_milli = request.shape.resources.cpu_milli as f64;
@@ -53,15 +54,15 @@
         usual.at = now;
     }
 
-    /// Whether a job may begin: all of it, and what is kept for more urgent ones, finds room.
+    /// Whether all tasks of a job fit into the free capacity with the reserve left over.
     pub fn leaves_enough(&self, now: Time, request: &JobRequest, room: Room) -> bool {
         let Some(largest) = self.largest_before(now, request) else { return true };
         let kept = (largest.cpu_milli * JOBS_KEPT).min(room.all as f64 * PART_KEPT);
-        // What does not hold a task of it is no use to it.
+        // A reserve smaller than one task would be of no use.
         kept < largest.task_cpu_milli || all_tasks(request) + kept as u64 <= room.free
     }
 
-    /// The largest usual job of the service that is more urgent and came lately.
+    /// Returns the largest typical job of the service that is more urgent and was seen recently.
     fn largest_before(&self, now: Time, request: &JobRequest) -> Option<Usual> {
         let lately = |usual: &Usual| now.since(usual.at) < MEMORY;
         let more_urgent = self.0.get(&request.service)?.range(..request.priority);
@@ -70,14 +71,14 @@
     }
 }
 
-/// The room of all known targets of a service that take work, in thousandths of a core.
+/// CPU capacity of all known targets of a service that accept work, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Room {
     pub free: u64,
     pub all: u64,
 }
 
-/// The room of each service, summed up when it is first asked for.
+/// Capacity of each service, computed on first use within a pass.
 #[derive(Debug, Default)]
 pub(crate) struct Rooms(BTreeMap<Arc<str>, Room>);
 
@@ -102,7 +103,7 @@
         room
     }
 
-    /// A task was placed.
+    /// Subtracts the CPU of a placed task.
     pub fn taken(&mut self, service: &Arc<str>, cpu_milli: u64) {
         if let Some(room) = self.0.get_mut(service) {
             room.free = room.free.saturating_sub(cpu_milli);
