--- a/components/dispatch/src/admission.rs
+++ b/components/dispatch/src/admission.rs
@@ -11,12 +11,12 @@
 
 /// Retry delay when this entry is stopping. Another entry could take the job at once, but where all
 /// entries are stopping, clients would retry in a loop.
-const ELSEWHERE_PAUSE: Duration = Duration::from_secs(1);
+const DRAINING_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Retry delay when all suitable halls are emptied. Operators take minutes to refill a hall, so
 /// clients get the longest delay.
-const HALLS_EMPTIED_PAUSE: Duration = crate::retry_schedule::LATEST_RETURN;
+const HALLS_EMPTIED_RETRY_AFTER: Duration = crate::retry_schedule::MAX_RETRY_AFTER;
 /// Retry delay when no target can run the job: a new target takes seconds to start.
-const NO_TARGET_PAUSE: Duration = Duration::from_secs(3);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(3);
 
 impl Dispatcher {
     pub(crate) fn submit(
@@ -28,22 +28,22 @@
     ) {
         self.counters.submitted += 1;
         if self.jobs.contains_key(&request.id) {
-            return self.submit_again(now, call, request, out);
+            return self.resubmit(now, call, request, out);
         }
         if now < self.stale_until {
             // The client may have submitted the job elsewhere in the meantime.
             return self.refuse(call, &request, Reason::Paused, out);
         }
-        if self.cancelled.contains(&request.id) {
+        if self.cancelled_jobs.contains(&request.id) {
             out.push(Action::Answer(call, Outcome::Cancelled));
             self.counters.cancelled += 1;
             return;
         }
-        let ends_first = |end: Time| !request.ends_within(end.since(now));
-        if self.stops_at.is_some_and(ends_first) {
+        let outlasts_stop = |end: Time| !request.ends_within(end.since(now));
+        if self.stop_deadline.is_some_and(outlasts_stop) {
             return self.refuse(call, &request, Reason::Draining, out);
         }
-        if self.only_emptied_could_run(now, &request) {
+        if self.only_emptied_halls_fit(now, &request) {
             return self.refuse(call, &request, Reason::HallsEmptied, out);
         }
         if self.is_unservable(now, &request) {
@@ -57,7 +57,7 @@
             objective_ms: request.objective.as_millis() as u64,
             waiting: self.queue.len(),
         }));
-        self.reserve.job_came(now, &request);
+        self.reserve.record_job(now, &request);
         let job = Job::new(now, call, request);
         for index in 0..job.request.shape.count {
             self.queue.insert(queue_entry(&job, index, self.policy));
@@ -65,12 +65,12 @@
         self.calls.insert(call, id.clone());
         self.jobs.insert(id.clone(), job);
         // An earlier run of the job may have crashed too many targets already.
-        self.give_up_crashing(now, &id, out);
+        self.fail_if_crashing(now, &id, out);
     }
 
     /// Handles a submission of a job that is already known here, usually because its client lost
     /// the connection.
-    pub(crate) fn submit_again(
+    pub(crate) fn resubmit(
         &mut self,
         now: Time,
         call: CallId,
@@ -78,32 +78,32 @@
         out: &mut Vec<Action>,
     ) {
         let id = request.id.clone();
-        let no_second_try = self.no_second_try(now);
+        let resubmission_refusal = self.resubmission_refusal(now);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.outcome.is_none() {
             job.calls.push(call);
             self.calls.insert(call, id);
             return;
         }
-        if let Some(reason) = no_second_try {
+        if let Some(reason) = resubmission_refusal {
             // The first run may have executed tasks, so "not run" could be false.
             out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
             return;
         }
         // The tasks of the first run are being stopped. The job starts again after that.
-        let earlier = job.again.replace((call, request));
+        let previous = job.resubmission.replace((call, request));
         self.calls.insert(call, id);
-        if let Some((earlier, _)) = earlier {
+        if let Some((previous, _)) = previous {
             // Only the latest resubmission of the client is kept.
-            self.calls.remove(&earlier);
-            out.push(Action::Answer(earlier, Outcome::MayHaveRun(Reason::ClientGone)));
+            self.calls.remove(&previous);
+            out.push(Action::Answer(previous, Outcome::MayHaveRun(Reason::ClientGone)));
         }
     }
 
     /// Returns why a known job can't be started again, if so: the entry is stopping, or the
     /// submission may be stale after a pause.
-    pub(crate) fn no_second_try(&self, now: Time) -> Option<Reason> {
-        if self.stops_at.is_some() {
+    pub(crate) fn resubmission_refusal(&self, now: Time) -> Option<Reason> {
+        if self.stop_deadline.is_some() {
             return Some(Reason::Draining);
         }
         (now < self.stale_until).then_some(Reason::Paused)
@@ -117,7 +117,7 @@
         reason: Reason,
         out: &mut Vec<Action>,
     ) {
-        let outcome = not_run(reason, request);
+        let outcome = not_run_outcome(reason, request);
         self.counters.not_run += 1;
         out.push(Action::Log(LogEvent::Refused { job: request.id.clone(), reason }));
         out.push(Action::Answer(call, outcome));
@@ -127,20 +127,20 @@
         let Some(id) = self.calls.remove(&call) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.calls.retain(|other| *other != call);
-        if job.again.as_ref().is_some_and(|(again, _)| *again == call) {
-            job.again = None;
+        if job.resubmission.as_ref().is_some_and(|(other, _)| *other == call) {
+            job.resubmission = None;
         }
         if job.calls.is_empty() && job.outcome.is_none() {
-            self.finish(now, &id, Outcome::Failed(Reason::ClientGone), out);
+            self.finish_job(now, &id, Outcome::Failed(Reason::ClientGone), out);
         }
     }
 }
 
-pub(crate) fn not_run(reason: Reason, request: &JobRequest) -> Outcome {
+pub(crate) fn not_run_outcome(reason: Reason, request: &JobRequest) -> Outcome {
     let retry_after = match reason {
-        Reason::Draining => ELSEWHERE_PAUSE,
-        Reason::NoTarget => NO_TARGET_PAUSE,
-        Reason::HallsEmptied => HALLS_EMPTIED_PAUSE,
+        Reason::Draining => DRAINING_RETRY_AFTER,
+        Reason::NoTarget => NO_TARGET_RETRY_AFTER,
+        Reason::HallsEmptied => HALLS_EMPTIED_RETRY_AFTER,
         _ => request.objective,
     };
     Outcome::NotRun { reason, retry_after }
--- a/components/dispatch/src/agents.rs
+++ b/components/dispatch/src/agents.rs
@@ -12,7 +12,7 @@
 
 /// Minimum interval between scans of all agents for timeouts and due heartbeats. A scan on every
 /// event would cost time quadratic in the number of agents.
-const WATCH_EVERY: Duration = Duration::from_millis(5);
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A connected agent and the last load that it reported.
 #[derive(Debug)]
@@ -20,13 +20,13 @@
     /// `None` until the agent has sent its profile.
     pub profile: Option<AgentProfile>,
     pub load: Load,
-    pub heard: Time,
-    heartbeat: Time,
+    pub last_contact: Time,
+    last_heartbeat: Time,
     next_sequence: u64,
     /// Sequence and resources of starts that the last reported load does not include yet.
-    unseen: VecDeque<(u64, Resources)>,
+    unacknowledged: VecDeque<(u64, Resources)>,
     /// Tasks of this entry placed at this agent.
-    pub tasks: usize,
+    pub placed_tasks: usize,
     /// Whether the target is in a hall that operators have emptied.
     pub hall_is_emptied: bool,
 }
@@ -36,11 +36,11 @@
         Self {
             profile: None,
             load: Load::default(),
-            heard: now,
-            heartbeat: Time::default(),
+            last_contact: now,
+            last_heartbeat: Time::default(),
             next_sequence: 1,
-            unseen: VecDeque::new(),
-            tasks: 0,
+            unacknowledged: VecDeque::new(),
+            placed_tasks: 0,
             hall_is_emptied: false,
         }
     }
@@ -52,48 +52,52 @@
     /// Estimates the free capacity of the target: the last reported load, less this entry's starts
     /// since then and the expected starts of other entries.
     pub fn free(&self, now: Time) -> Resources {
-        let age = now.since(self.heard).as_secs_f64() * 1e3;
-        let by_others = (age * f64::from(self.load.taken_per_ms)) as u64;
+        let age = now.since(self.last_contact).as_secs_f64() * 1e3;
+        let taken_by_others = (age * f64::from(self.load.taken_per_ms)) as u64;
         let mut free =
-            self.load.free.less(&Resources { cpu_milli: by_others, ..Resources::default() });
-        self.unseen.iter().for_each(|(_, taken)| free -= *taken);
+            self.load.free.less(&Resources { cpu_milli: taken_by_others, ..Resources::default() });
+        self.unacknowledged.iter().for_each(|(_, taken)| free -= *taken);
         free
     }
 
     /// Records a start that is about to be sent and returns its sequence number.
-    pub fn take(&mut self, resources: Resources) -> u64 {
+    pub fn record_start(&mut self, resources: Resources) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.unseen.push_back((sequence, resources));
-        self.tasks += 1;
+        self.unacknowledged.push_back((sequence, resources));
+        self.placed_tasks += 1;
         sequence
     }
 
-    pub fn load_is(&mut self, now: Time, load: Load) {
-        self.heard = now;
+    pub fn update_load(&mut self, now: Time, load: Load) {
+        self.last_contact = now;
         self.load = load;
-        while self.unseen.front().is_some_and(|(sequence, _)| *sequence <= load.seen) {
-            self.unseen.pop_front();
+        while self.unacknowledged.front().is_some_and(|(sequence, _)| *sequence <= load.seen) {
+            self.unacknowledged.pop_front();
         }
     }
 
-    fn heartbeat_time(&self, timing: &Timing) -> Duration {
-        if self.tasks > 0 { timing.heartbeat_interval } else { timing.idle_heartbeat_interval }
+    fn heartbeat_interval(&self, timing: &Timing) -> Duration {
+        if self.placed_tasks > 0 {
+            timing.heartbeat_interval
+        } else {
+            timing.idle_heartbeat_interval
+        }
     }
 
     /// Whether the agent accepts new work and its last load is recent enough to be trusted.
-    pub fn takes_work(&self, now: Time, silence: Duration) -> bool {
-        self.load.open && !self.hall_is_emptied && now.since(self.heard) < silence
+    pub fn takes_work(&self, now: Time, max_load_age: Duration) -> bool {
+        self.load.open && !self.hall_is_emptied && now.since(self.last_contact) < max_load_age
     }
 
     /// Whether the agent belongs to a service and accepts new work.
-    pub fn serves(&self, service: &str, now: Time, silence: Duration) -> bool {
-        self.takes_work(now, silence)
+    pub fn serves(&self, service: &str, now: Time, max_load_age: Duration) -> bool {
+        self.takes_work(now, max_load_age)
             && self.profile.as_ref().is_some_and(|profile| *profile.service == *service)
     }
 
     /// Whether the agent's target is in one of these halls.
-    pub fn stands_in(&self, halls: &EmptiedHalls) -> bool {
+    pub fn is_in(&self, halls: &EmptiedHalls) -> bool {
         self.profile.as_ref().is_some_and(|profile| halls.contains(&profile.hall))
     }
 
@@ -107,28 +111,28 @@
 }
 
 impl Dispatcher {
-    pub(crate) fn open_agent(&mut self, now: Time, id: SessionId) {
+    pub(crate) fn add_agent(&mut self, now: Time, id: SessionId) {
         self.agents.insert(id, Agent::new(now));
     }
 
-    pub(crate) fn agent_says_hello(
+    pub(crate) fn register_agent(
         &mut self,
         id: SessionId,
         profile: AgentProfile,
         out: &mut Vec<Action>,
     ) {
         // The agent may have reconnected before its old session was closed.
-        let double = |(other, agent): (&SessionId, &Agent)| {
+        let duplicate = |(other, agent): (&SessionId, &Agent)| {
             (*other != id && agent.name() == Some(&profile.node)).then_some(*other)
         };
-        let doubles: Vec<SessionId> = self.agents.iter().filter_map(double).collect();
-        if doubles.iter().any(|other| *other > id) {
+        let duplicates: Vec<SessionId> = self.agents.iter().filter_map(duplicate).collect();
+        if duplicates.iter().any(|other| *other > id) {
             // An agent reconnects only after it has closed its previous connection, so this profile
             // was delayed on the older one.
-            return self.lose_agent(id, "connected again", out);
+            return self.remove_agent(id, "connected again", out);
         }
-        for double in doubles {
-            self.lose_agent(double, "connected again", out);
+        for duplicate in duplicates {
+            self.remove_agent(duplicate, "connected again", out);
         }
         let Some(agent) = self.agents.get_mut(&id) else { return };
         out.push(Action::Log(LogEvent::AgentKnown {
@@ -140,7 +144,7 @@
         self.agents_changed = self.now();
     }
 
-    pub(crate) fn agent_load(
+    pub(crate) fn update_agent_load(
         &mut self,
         now: Time,
         id: SessionId,
@@ -148,9 +152,9 @@
         out: &mut Vec<Action>,
     ) {
         let Some(agent) = self.agents.get_mut(&id) else { return };
-        let before = agent.load.open;
-        agent.load_is(now, load);
-        if before != load.open
+        let was_open = agent.load.open;
+        agent.update_load(now, load);
+        if was_open != load.open
             && let Some(name) = agent.name()
         {
             out.push(Action::Log(LogEvent::AgentOpen { agent: name.clone(), open: load.open }));
@@ -158,27 +162,27 @@
     }
 
     /// Sends the heartbeats that are due and removes agents that have timed out.
-    pub(crate) fn watch_agents(&mut self, now: Time, out: &mut Vec<Action>) {
-        if now.since(self.agents_watched) < WATCH_EVERY {
+    pub(crate) fn check_agents(&mut self, now: Time, out: &mut Vec<Action>) {
+        if now.since(self.agents_checked) < CHECK_INTERVAL {
             return;
         }
-        self.agents_watched = now;
+        self.agents_checked = now;
         let mut silent = Vec::new();
         for (id, agent) in &mut self.agents {
-            if now.since(agent.heard) > self.timing.session_timeout {
+            if now.since(agent.last_contact) > self.timing.session_timeout {
                 silent.push(*id);
-            } else if now.since(agent.heartbeat) >= agent.heartbeat_time(&self.timing) {
-                agent.heartbeat = now;
+            } else if now.since(agent.last_heartbeat) >= agent.heartbeat_interval(&self.timing) {
+                agent.last_heartbeat = now;
                 out.push(Action::Send(*id, ToAgent::Heartbeat { heard: agent.load.at }));
             }
         }
-        silent.into_iter().for_each(|id| self.lose_agent(id, "silent", out));
+        silent.into_iter().for_each(|id| self.remove_agent(id, "silent", out));
     }
 
     /// Records that a message was just sent which the agent counts as a heartbeat.
-    pub(crate) fn heartbeat_sent(&mut self, now: Time, id: SessionId) {
+    pub(crate) fn record_heartbeat_sent(&mut self, now: Time, id: SessionId) {
         if let Some(agent) = self.agents.get_mut(&id) {
-            agent.heartbeat = now;
+            agent.last_heartbeat = now;
         }
     }
 }
--- a/components/dispatch/src/answers.rs
+++ b/components/dispatch/src/answers.rs
@@ -17,20 +17,20 @@
 
     /// Answers a job's callers and stops the tasks that are still placed. A job that is already
     /// answered is left alone.
-    pub(crate) fn finish(
+    pub(crate) fn finish_job(
         &mut self,
         now: Time,
         id: &JobId,
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        let targets = self.targets_seen(now);
-        self.leave_queue(id);
+        let targets = self.summarize_targets(now);
+        self.remove_from_queue(id);
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.outcome.is_none()) else { return };
-        let breach = breach_of(job, outcome);
+        let breach = invariant_violation(job, outcome);
         let outcome = match breach {
             Some(_) => Outcome::MayHaveRun(Reason::Breach),
-            None => self.returns.with_return(now, &job.request, outcome),
+            None => self.retries.record_outcome(now, &job.request, outcome),
         };
         if let Some(breach) = breach {
             self.counters.breaches += 1;
@@ -46,28 +46,28 @@
             objective_ms: job.request.objective.as_millis() as u64,
             tasks: job.request.shape.count,
             starts: job.starts,
-            waited_ms: job.waited.as_secs_f64() * 1e3,
+            waited_ms: job.longest_wait.as_secs_f64() * 1e3,
             targets,
         }));
-        let mut stops: BTreeMap<SessionId, Vec<TaskId>> = BTreeMap::new();
+        let mut to_stop: BTreeMap<SessionId, Vec<TaskId>> = BTreeMap::new();
         for (index, task) in job.tasks.iter().enumerate() {
             if let TaskState::Placed { session, .. } = task.state {
                 let task = TaskId { job: id.clone(), index: index as u32 };
-                stops.entry(session).or_default().push(task);
+                to_stop.entry(session).or_default().push(task);
             }
         }
-        for (session, tasks) in stops {
+        for (session, tasks) in to_stop {
             out.push(Action::Send(session, ToAgent::Stop(tasks)));
         }
         for call in calls {
             self.calls.remove(&call);
             out.push(Action::Answer(call, outcome));
         }
-        self.count(outcome);
+        self.count_outcome(outcome);
     }
 
     /// Summarizes the state of the targets as this entry knows it.
-    fn targets_seen(&self, now: Time) -> TargetSummary {
+    fn summarize_targets(&self, now: Time) -> TargetSummary {
         let mut targets = TargetSummary { waiting: self.queue.len(), ..TargetSummary::default() };
         for agent in self.agents.values().filter(|agent| agent.load.open) {
             let free = agent.free(now);
@@ -75,12 +75,13 @@
             if free.cpu_milli >= targets.most_free.cpu_milli {
                 targets.most_free = free;
             }
-            targets.oldest_ms = targets.oldest_ms.max(now.since(agent.heard).as_millis() as u64);
+            targets.oldest_ms =
+                targets.oldest_ms.max(now.since(agent.last_contact).as_millis() as u64);
         }
         targets
     }
 
-    fn count(&mut self, outcome: Outcome) {
+    fn count_outcome(&mut self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Completed => &mut self.counters.completed,
             Outcome::Failed(crate::event::Reason::ClientGone) | Outcome::Cancelled => {
@@ -95,11 +96,11 @@
 }
 
 /// Returns the invariant that an outcome would violate, if any.
-fn breach_of(job: &Job, outcome: Outcome) -> Option<Breach> {
+fn invariant_violation(job: &Job, outcome: Outcome) -> Option<Breach> {
     let id = || job.request.id.clone();
     match outcome {
-        Outcome::NotRun { .. } if !job.is_untouched() => Some(Breach::FalseNotRunJob(id())),
-        Outcome::Completed if job.open > 0 => Some(Breach::PartialJob(id())),
+        Outcome::NotRun { .. } if !job.is_provably_not_run() => Some(Breach::FalseNotRunJob(id())),
+        Outcome::Completed if job.open_tasks > 0 => Some(Breach::PartialJob(id())),
         _ => None,
     }
 }
--- a/components/dispatch/src/bulk_end.rs
+++ b/components/dispatch/src/bulk_end.rs
@@ -4,32 +4,32 @@
 
 use model::{JobId, Time};
 
-use crate::admission::not_run;
+use crate::admission::not_run_outcome;
 use crate::dispatcher::Dispatcher;
 use crate::event::{Action, LogEvent, Outcome, Reason, SessionId};
 use crate::job::Job;
 
 /// Period after a pause of the process in which incoming requests may be stale.
-const STALE: Duration = Duration::from_millis(100);
+const STALE_INPUT_PERIOD: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
     /// Ends all jobs after a pause of the process: agents have stopped their tasks, and clients may
     /// have submitted them elsewhere.
-    pub(crate) fn has_paused(&mut self, gap: Duration, out: &mut Vec<Action>) {
+    pub(crate) fn handle_pause(&mut self, gap: Duration, out: &mut Vec<Action>) {
         out.push(Action::Log(LogEvent::Paused { gap_ms: gap.as_millis() as u64 }));
         self.end_all(Reason::Paused, |_| Outcome::MayHaveRun(Reason::Paused), out);
-        self.stale_until = self.last_event + STALE;
+        self.stale_until = self.last_event + STALE_INPUT_PERIOD;
         let agents: Vec<SessionId> = self.agents.keys().copied().collect();
-        agents.into_iter().for_each(|id| self.lose_agent(id, "stood still", out));
+        agents.into_iter().for_each(|id| self.remove_agent(id, "stood still", out));
     }
 
     /// Answers all jobs because the process is about to exit. Without an answer a client can't tell
     /// whether its job ran; this way it can resubmit at once, and remaining tasks are stopped
     /// before it does.
     pub(crate) fn answer_all(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.stops_at = Some(now);
-        let outcome = |job: &Job| match job.is_untouched() {
-            true => not_run(Reason::Draining, &job.request),
+        self.stop_deadline = Some(now);
+        let outcome = |job: &Job| match job.is_provably_not_run() {
+            true => not_run_outcome(Reason::Draining, &job.request),
             false => Outcome::MayHaveRun(Reason::Draining),
         };
         self.end_all(Reason::Draining, outcome, out);
@@ -45,9 +45,9 @@
         let jobs = self.jobs.iter().map(|(id, job)| (id.clone(), outcome(job)));
         let ends: Vec<(JobId, Outcome)> = jobs.collect();
         for (id, outcome) in ends {
-            self.finish(self.last_event, &id, outcome, out);
-            let again = self.jobs.get_mut(&id).and_then(|job| job.again.take());
-            if let Some((call, _)) = again {
+            self.finish_job(self.last_event, &id, outcome, out);
+            let resubmission = self.jobs.get_mut(&id).and_then(|job| job.resubmission.take());
+            if let Some((call, _)) = resubmission {
                 self.calls.remove(&call);
                 // The first run may have executed tasks.
                 out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
--- a/components/dispatch/src/cancel_notices.rs
+++ b/components/dispatch/src/cancel_notices.rs
@@ -13,12 +13,12 @@
 
 /// How long a cancel is sent to newly listed or unreachable entries. Must be longer than the time
 /// that the list of entries takes to spread, including a lost reply of a keeper.
-const TOLD_FOR: Duration = Duration::from_secs(2);
+const NOTICE_RETENTION: Duration = Duration::from_secs(2);
 
 /// The other entries and the recent cancels to send them.
 #[derive(Debug, Default)]
 pub struct CancelNotices {
-    listed: BTreeSet<SocketAddr>,
+    entries: BTreeSet<SocketAddr>,
     /// Recent cancels, oldest first.
     recent: VecDeque<(Time, JobId)>,
 }
@@ -27,9 +27,9 @@
     /// Records a client's cancel of a job that is not known here. Returns the entries to notify
     /// now.
     pub fn record_cancel(&mut self, now: Time, job: &JobId) -> Vec<SocketAddr> {
-        self.forget(now);
+        self.expire(now);
         self.recent.push_back((now, job.clone()));
-        self.listed.iter().copied().collect()
+        self.entries.iter().copied().collect()
     }
 
     /// Replaces the list of other entries. Returns the recent cancels to send to entries that are
@@ -39,21 +39,22 @@
         now: Time,
         entries: BTreeSet<SocketAddr>,
     ) -> Vec<(SocketAddr, JobId)> {
-        self.forget(now);
-        let come: Vec<SocketAddr> = entries.difference(&self.listed).copied().collect();
-        self.listed = entries;
-        let owed = |entry: SocketAddr| self.recent.iter().map(move |(_, job)| (entry, job.clone()));
-        come.into_iter().flat_map(owed).collect()
+        self.expire(now);
+        let added: Vec<SocketAddr> = entries.difference(&self.entries).copied().collect();
+        self.entries = entries;
+        let pending =
+            |entry: SocketAddr| self.recent.iter().map(move |(_, job)| (entry, job.clone()));
+        added.into_iter().flat_map(pending).collect()
     }
 
     /// Whether an entry that could not be reached should be tried again.
     pub fn has_pending(&mut self, now: Time, entry: SocketAddr) -> bool {
-        self.forget(now);
-        self.listed.contains(&entry) && !self.recent.is_empty()
+        self.expire(now);
+        self.entries.contains(&entry) && !self.recent.is_empty()
     }
 
-    fn forget(&mut self, now: Time) {
-        while self.recent.front().is_some_and(|(at, _)| now.since(*at) >= TOLD_FOR) {
+    fn expire(&mut self, now: Time) {
+        while self.recent.front().is_some_and(|(at, _)| now.since(*at) >= NOTICE_RETENTION) {
             self.recent.pop_front();
         }
     }
--- a/components/dispatch/src/cancels.rs
+++ b/components/dispatch/src/cancels.rs
@@ -19,20 +19,20 @@
             let cancel = |agent| Action::Send(agent, ToAgent::Cancel(id.clone()));
             out.extend(self.agents.keys().copied().map(cancel));
         }
-        self.cancel_own(now, id, out);
+        self.cancel_local(now, id, out);
     }
 
     /// Cancels the job if it is active at this entry, and remembers the cancel for a later
     /// submission.
-    pub(crate) fn cancel_own(&mut self, now: Time, id: &JobId, out: &mut Vec<Action>) {
-        self.cancelled.add(now, id);
-        let again = self.jobs.get_mut(id).and_then(|job| job.again.take());
-        if let Some((call, _)) = again {
+    pub(crate) fn cancel_local(&mut self, now: Time, id: &JobId, out: &mut Vec<Action>) {
+        self.cancelled_jobs.add(now, id);
+        let resubmission = self.jobs.get_mut(id).and_then(|job| job.resubmission.take());
+        if let Some((call, _)) = resubmission {
             self.calls.remove(&call);
             out.push(Action::Answer(call, Outcome::Cancelled));
         }
         if self.has_job(id) {
-            self.finish(now, id, Outcome::Cancelled, out);
+            self.finish_job(now, id, Outcome::Cancelled, out);
         }
     }
 }
--- a/components/dispatch/src/crashes.rs
+++ b/components/dispatch/src/crashes.rs
@@ -16,9 +16,9 @@
 
 /// Number of crashed targets after which a task is not started again, as every further start may
 /// cost all tasks of another target.
-const CRASHES_MAX: usize = 2;
+const MAX_CRASHES: usize = 2;
 /// How long a crash is remembered: long enough for clients to submit the job again several times.
-const KEPT: Duration = Duration::from_secs(20);
+const CRASH_RETENTION: Duration = Duration::from_secs(20);
 
 /// The agents whose targets crashed and the expiry time, by task.
 #[derive(Debug, Default)]
@@ -28,12 +28,12 @@
     fn add(&mut self, now: Time, task: &TaskId, agent: NodeName) {
         let (agents, until) = self.0.entry(task.clone()).or_default();
         agents.insert(agent);
-        *until = now + KEPT;
+        *until = now + CRASH_RETENTION;
     }
 
     /// Whether a task has crashed the maximum number of targets.
-    fn is_given_up(&self, task: &TaskId) -> bool {
-        self.0.get(task).is_some_and(|(agents, _)| agents.len() >= CRASHES_MAX)
+    fn is_at_crash_limit(&self, task: &TaskId) -> bool {
+        self.0.get(task).is_some_and(|(agents, _)| agents.len() >= MAX_CRASHES)
     }
 
     /// Whether the target of an agent has crashed under a task. The agent refuses to start that
@@ -43,14 +43,14 @@
     }
 
     /// Removes crashes that are past their retention time.
-    pub fn forget(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         self.0.retain(|_, (_, until)| *until > now);
     }
 }
 
 impl Dispatcher {
     /// Handles an agent's report of the tasks that ran when its target crashed.
-    pub(crate) fn target_crashed(
+    pub(crate) fn handle_target_crash(
         &mut self,
         now: Time,
         id: SessionId,
@@ -58,22 +58,28 @@
         out: &mut Vec<Action>,
     ) {
         for task in tasks {
-            self.note_crash(now, id, task);
+            self.record_crash(now, id, task);
             if self.has_job(&task.job) {
-                self.give_up_crashing(now, &task.job, out);
+                self.fail_if_crashing(now, &task.job, out);
             }
         }
     }
 
     /// Records a crash if the end of a task indicates one: a crash itself, or a start refused
     /// because of an earlier crash.
-    pub(crate) fn note_crash_by(&mut self, now: Time, id: SessionId, task: &TaskId, end: TaskEnd) {
+    pub(crate) fn record_crash_from_end(
+        &mut self,
+        now: Time,
+        id: SessionId,
+        task: &TaskId,
+        end: TaskEnd,
+    ) {
         if matches!(end, TaskEnd::Crashed | TaskEnd::NotRun(Refusal::CrashedTarget)) {
-            self.note_crash(now, id, task);
+            self.record_crash(now, id, task);
         }
     }
 
-    fn note_crash(&mut self, now: Time, id: SessionId, task: &TaskId) {
+    fn record_crash(&mut self, now: Time, id: SessionId, task: &TaskId) {
         let agent = self.agents.get(&id).and_then(|agent| agent.name());
         if let Some(agent) = agent.cloned() {
             self.crashes.add(now, task, agent);
@@ -82,7 +88,7 @@
 
     /// Fails a job if one of its tasks has crashed the maximum number of targets. Returns whether
     /// the job was failed.
-    pub(crate) fn give_up_crashing(
+    pub(crate) fn fail_if_crashing(
         &mut self,
         now: Time,
         id: &JobId,
@@ -90,10 +96,11 @@
     ) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let task = |index| TaskId { job: id.clone(), index };
-        let given_up = (0..job.request.shape.count).any(|at| self.crashes.is_given_up(&task(at)));
-        if given_up {
-            self.finish(now, id, Outcome::Failed(Reason::CrashesTargets), out);
+        let at_limit =
+            (0..job.request.shape.count).any(|index| self.crashes.is_at_crash_limit(&task(index)));
+        if at_limit {
+            self.finish_job(now, id, Outcome::Failed(Reason::CrashesTargets), out);
         }
-        given_up
+        at_limit
     }
 }
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -10,10 +10,10 @@
 use crate::crashes::Crashes;
 use crate::event::{Action, CallId, Event, HallsSource, SessionId};
 use crate::job::Job;
-use crate::placement::ChangedRoom;
+use crate::placement::ChangedCapacity;
 use crate::policy::Policy;
-use crate::retry_schedule::Returns;
-use crate::urgent_reserve::Reserve;
+use crate::retry_schedule::RetrySchedule;
+use crate::urgent_reserve::UrgentReserve;
 
 /// Intervals and timeouts of an entry.
 #[derive(Clone, Copy, Debug)]
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
     /// Whether no task of the job has been started yet.
-    pub fresh: bool,
+    pub unstarted: bool,
     pub priority: u8,
     pub due: Time,
     pub job: JobId,
@@ -120,29 +120,29 @@
     pub(crate) calls: BTreeMap<CallId, JobId>,
     pub(crate) queue: BTreeSet<QueueEntry>,
     /// Starts to be sent at the end of the current event, by agent and job.
-    pub(crate) outbox: BTreeMap<(SessionId, JobId), Vec<wire::StartTask>>,
+    pub(crate) pending_starts: BTreeMap<(SessionId, JobId), Vec<wire::StartTask>>,
     pub(crate) last_event: Time,
-    pub(crate) waits_ended: Time,
-    pub(crate) agents_watched: Time,
+    pub(crate) timeouts_checked: Time,
+    pub(crate) agents_checked: Time,
     /// End of the period after a pause in which incoming requests may be stale.
     pub(crate) stale_until: Time,
     /// When an agent last joined or left.
     pub(crate) agents_changed: Time,
-    pub(crate) cancelled: CancelledJobs,
+    pub(crate) cancelled_jobs: CancelledJobs,
     pub(crate) crashes: Crashes,
     /// Halls that operators have emptied. Their targets get no new work.
-    pub(crate) halls: EmptiedHalls,
-    pub(crate) reserve: Reserve,
+    pub(crate) emptied_halls: EmptiedHalls,
+    pub(crate) reserve: UrgentReserve,
     /// Work that rejected clients were told to submit again, by time.
-    pub(crate) returns: Returns,
+    pub(crate) retries: RetrySchedule,
     /// Set once the entry is stopping: jobs that may not end by then are refused.
-    pub(crate) stops_at: Option<Time>,
+    pub(crate) stop_deadline: Option<Time>,
     pub(crate) counters: DispatcherCounters,
 }
 
 /// Interval between ticks while tasks are queued.
-const TICK: Duration = Duration::from_millis(10);
-const IDLE_TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
     /// Creates a dispatcher without any agents.
@@ -154,18 +154,18 @@
             jobs: BTreeMap::new(),
             calls: BTreeMap::new(),
             queue: BTreeSet::new(),
-            outbox: BTreeMap::new(),
+            pending_starts: BTreeMap::new(),
             last_event: now,
-            waits_ended: now,
-            agents_watched: now,
+            timeouts_checked: now,
+            agents_checked: now,
             stale_until: now,
             agents_changed: now,
-            cancelled: CancelledJobs::default(),
+            cancelled_jobs: CancelledJobs::default(),
             crashes: Crashes::default(),
-            halls: EmptiedHalls::default(),
-            reserve: Reserve::default(),
-            returns: Returns::default(),
-            stops_at: None,
+            emptied_halls: EmptiedHalls::default(),
+            reserve: UrgentReserve::default(),
+            retries: RetrySchedule::default(),
+            stop_deadline: None,
             counters: DispatcherCounters::default(),
         }
     }
@@ -180,33 +180,35 @@
         let gap = now.since(self.last_event);
         self.last_event = now;
         if gap > self.timing.pause_threshold {
-            self.has_paused(gap, out);
+            self.handle_pause(gap, out);
         }
-        let changed = changed_room(&event);
+        let changed = changed_capacity(&event);
         match event {
-            Event::AgentOpened(id) => self.open_agent(now, id),
-            Event::AgentClosed(id) => self.lose_agent(id, "closed", out),
-            Event::FromAgent(id, message) => self.hear_agent(now, id, message, out),
+            Event::AgentOpened(id) => self.add_agent(now, id),
+            Event::AgentClosed(id) => self.remove_agent(id, "closed", out),
+            Event::FromAgent(id, message) => self.handle_agent_message(now, id, message, out),
             Event::Submit(call, request) => self.submit(now, call, request, out),
             Event::Abandon(call) => self.abandon(now, call, out),
             Event::Cancel(job) => self.cancel(now, &job, out),
-            Event::CancelledElsewhere(job) => self.cancel_own(now, &job, out),
-            Event::EmptiedHalls(halls) => self.take_halls(now, &halls, HallsSource::Keeper, out),
-            Event::AdmitOnlyJobsEndingBy(end) => self.stops_at = Some(end),
+            Event::CancelledElsewhere(job) => self.cancel_local(now, &job, out),
+            Event::EmptiedHalls(halls) => {
+                self.update_emptied_halls(now, &halls, HallsSource::Keeper, out)
+            }
+            Event::AdmitOnlyJobsEndingBy(end) => self.stop_deadline = Some(end),
             Event::AnswerAll => self.answer_all(now, out),
             Event::Tick => {}
         }
-        self.watch_agents(now, out);
+        self.check_agents(now, out);
         // Capacity is assigned before jobs are refused for lack of it, and starts are sent before
         // the stops of jobs that end.
-        self.place(now, changed, out);
+        self.place_tasks(now, changed, out);
         self.send_starts(now, out);
-        self.end_waits(now, out);
+        self.check_timeouts(now, out);
     }
 
     /// Returns when the next [`Event::Tick`] is due.
     pub fn next_timer(&self, now: Time) -> Time {
-        now + if self.queue.is_empty() { IDLE_TICK } else { TICK }
+        now + if self.queue.is_empty() { IDLE_TICK_INTERVAL } else { TICK_INTERVAL }
     }
 
     /// Number of jobs that are not answered yet.
@@ -221,10 +223,10 @@
 
     /// Number of unanswered jobs of a queue of which nothing can have run.
     pub fn waiting_jobs(&self, queue: &str) -> usize {
-        let waits = |job: &&Job| {
-            job.outcome.is_none() && *job.request.queue == *queue && job.is_untouched()
+        let is_waiting = |job: &&Job| {
+            job.outcome.is_none() && *job.request.queue == *queue && job.is_provably_not_run()
         };
-        self.jobs.values().filter(waits).count()
+        self.jobs.values().filter(is_waiting).count()
     }
 
     /// Number of agents that accept new work.
@@ -239,7 +241,7 @@
 
     /// The emptied halls known to this entry.
     pub fn emptied_halls(&self) -> &EmptiedHalls {
-        &self.halls
+        &self.emptied_halls
     }
 
     /// Number of tasks that wait for capacity.
@@ -252,46 +254,54 @@
         self.counters
     }
 
-    fn hear_agent(&mut self, now: Time, id: SessionId, message: ToEntry, out: &mut Vec<Action>) {
+    fn handle_agent_message(
+        &mut self,
+        now: Time,
+        id: SessionId,
+        message: ToEntry,
+        out: &mut Vec<Action>,
+    ) {
         match message {
             ToEntry::Hello { profile, document, halls } => {
-                self.agent_says_hello(id, profile, out);
-                self.compare_halls(now, id, &halls, out);
+                self.register_agent(id, profile, out);
+                self.sync_emptied_halls(now, id, &halls, out);
                 out.push(Action::DocumentOffered(id, document));
             }
-            ToEntry::Load(load) => self.agent_load(now, id, load, out),
+            ToEntry::Load(load) => self.update_agent_load(now, id, load, out),
             ToEntry::Ended { reports, load } => {
-                self.agent_load(now, id, load, out);
+                self.update_agent_load(now, id, load, out);
                 for report in reports {
-                    self.task_ended(now, id, report, out);
+                    self.handle_task_report(now, id, report, out);
                 }
             }
-            ToEntry::Cancelled(job) => self.cancel_own(now, &job, out),
+            ToEntry::Cancelled(job) => self.cancel_local(now, &job, out),
             ToEntry::DocumentPart(part) => out.push(Action::DocumentPart(id, part)),
-            ToEntry::Halls(halls) => self.take_halls(now, &halls, HallsSource::Agent(id), out),
-            ToEntry::TargetCrashed(tasks) => self.target_crashed(now, id, &tasks, out),
+            ToEntry::Halls(halls) => {
+                self.update_emptied_halls(now, &halls, HallsSource::Agent(id), out)
+            }
+            ToEntry::TargetCrashed(tasks) => self.handle_target_crash(now, id, &tasks, out),
         }
     }
 }
 
 /// Returns the agents at which queued tasks may find capacity after an event. A load changes the
 /// capacity of a single agent; any other event may have queued tasks that were not tried anywhere.
-fn changed_room(event: &Event) -> ChangedRoom {
+fn changed_capacity(event: &Event) -> ChangedCapacity {
     match event {
-        Event::FromAgent(id, ToEntry::Load(_)) => ChangedRoom::At(*id),
+        Event::FromAgent(id, ToEntry::Load(_)) => ChangedCapacity::Agent(*id),
         Event::FromAgent(id, ToEntry::Ended { reports, .. })
             if reports.iter().all(|report| report.end == TaskEnd::Done) =>
         {
-            ChangedRoom::At(*id)
+            ChangedCapacity::Agent(*id)
         }
-        _ => ChangedRoom::Anywhere,
+        _ => ChangedCapacity::AnyAgent,
     }
 }
 
 /// Returns the queue key of a task of a job.
 pub(crate) fn queue_entry(job: &Job, index: u32, policy: Policy) -> QueueEntry {
     QueueEntry {
-        fresh: policy.started_first && job.starts == 0,
+        unstarted: policy.started_first && job.starts == 0,
         priority: job.request.priority,
         due: job.submitted + job.request.objective,
         job: job.request.id.clone(),
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -58,7 +58,7 @@
 
 /// Upper bound on the time a job takes, as a multiple of its objective. Allows for estimates that
 /// are too low by several times.
-const OBJECTIVES_TAKEN: f64 = 2.5;
+const MAX_RUN_TIME_OBJECTIVES: f64 = 2.5;
 
 impl JobRequest {
     /// Estimated CPU time of all tasks, in core-seconds.
@@ -71,7 +71,7 @@
     /// Whether the job certainly ends within `left`, because its client stops waiting or because
     /// even an estimate far too low leaves enough time. A stopping entry admits only such jobs.
     pub fn ends_within(&self, left: Duration) -> bool {
-        self.deadline.min(self.objective.mul_f64(OBJECTIVES_TAKEN)) < left
+        self.deadline.min(self.objective.mul_f64(MAX_RUN_TIME_OBJECTIVES)) < left
     }
 }
 
@@ -138,7 +138,7 @@
 pub enum Outcome {
     /// All tasks are done.
     Completed,
-    /// A task failed as often as the job allows, or the client disconnected.
+    /// A task failed or crashed targets too often, or the client disconnected.
     Failed(Reason),
     /// The job was cancelled.
     Cancelled,
--- a/components/dispatch/src/feasibility.rs
+++ b/components/dispatch/src/feasibility.rs
@@ -10,24 +10,24 @@
 
 /// Time without an agent joining or leaving after which the known agents are taken to be complete.
 /// Longer than agents take to reconnect after they or this entry restart.
-const SETTLED: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 impl Dispatcher {
     /// Whether the set of known agents is taken to be complete.
-    pub(crate) fn is_settled(&self, now: Time) -> bool {
-        now.since(self.agents_changed) >= SETTLED
+    pub(crate) fn agents_are_settled(&self, now: Time) -> bool {
+        now.since(self.agents_changed) >= SETTLE_TIME
     }
 
     /// Whether no target can run the job however long it waits: each is of another service, lacks
     /// the required label or is too small for one task.
     pub(crate) fn is_unservable(&self, now: Time, request: &JobRequest) -> bool {
-        self.is_settled(now) && !self.agents.values().any(|agent| could_run(agent, request))
+        self.agents_are_settled(now) && !self.agents.values().any(|agent| can_run(agent, request))
     }
 }
 
 /// Whether an agent's target could run the job when idle. An agent without a profile counts as able
 /// to.
-pub(crate) fn could_run(agent: &Agent, request: &JobRequest) -> bool {
+pub(crate) fn can_run(agent: &Agent, request: &JobRequest) -> bool {
     let Some(profile) = &agent.profile else { return true };
     let shape = &request.shape;
     profile.service == request.service
--- a/components/dispatch/src/job.rs
+++ b/components/dispatch/src/job.rs
@@ -16,7 +16,7 @@
     /// Its agent was lost. The task has certainly stopped by `until`.
     Lost { until: Time },
     /// Done, or ended after the job was answered.
-    Over,
+    Ended,
 }
 
 /// A task of a job.
@@ -32,7 +32,7 @@
     /// The agent where the last run was refused or lost, and until when it is avoided.
     pub avoid: Option<(SessionId, Time)>,
     /// When the task last started to wait for capacity.
-    pub waits_since: Time,
+    pub waiting_since: Time,
 }
 
 /// A job and the calls that wait for its answer.
@@ -44,7 +44,7 @@
     pub submitted: Time,
     pub tasks: Vec<Task>,
     /// Number of tasks that have not ended.
-    pub open: usize,
+    pub open_tasks: usize,
     /// Whether a task may have run.
     pub may_have_run: bool,
     /// Set once the job is answered. Its tasks are then being stopped.
@@ -52,9 +52,9 @@
     /// Number of starts sent.
     pub starts: u32,
     /// Longest wait of a task for capacity.
-    pub waited: Duration,
+    pub longest_wait: Duration,
     /// A resubmission that waits until the tasks of this answered job have stopped.
-    pub again: Option<(CallId, JobRequest)>,
+    pub resubmission: Option<(CallId, JobRequest)>,
 }
 
 impl Job {
@@ -65,7 +65,7 @@
             failures: 0,
             losses: 0,
             avoid: None,
-            waits_since: now,
+            waiting_since: now,
         };
         let count = request.shape.count as usize;
         Self {
@@ -73,24 +73,24 @@
             request,
             submitted: now,
             tasks: vec![task; count],
-            open: count,
+            open_tasks: count,
             may_have_run: false,
             outcome: None,
             starts: 0,
-            waited: Duration::ZERO,
-            again: None,
+            longest_wait: Duration::ZERO,
+            resubmission: None,
         }
     }
 
     /// Whether no task has run or is placed at an agent, so that "not run" is a true answer.
-    pub fn is_untouched(&self) -> bool {
+    pub fn is_provably_not_run(&self) -> bool {
         !self.may_have_run && self.tasks.iter().all(|task| task.state == TaskState::Waiting)
     }
 
     /// Whether no task can still be running at any agent.
-    pub fn is_gone(&self, now: Time) -> bool {
+    pub fn is_quiescent(&self, now: Time) -> bool {
         self.tasks.iter().all(|task| match task.state {
-            TaskState::Waiting | TaskState::Over => true,
+            TaskState::Waiting | TaskState::Ended => true,
             TaskState::Placed { .. } => false,
             TaskState::Lost { until } => until <= now,
         })
--- a/components/dispatch/src/placement.rs
+++ b/components/dispatch/src/placement.rs
@@ -12,103 +12,117 @@
 use crate::event::{Action, JobRequest, LogEvent, SessionId};
 use crate::job::{Job, Task, TaskState};
 use crate::policy::Policy;
-use crate::urgent_reserve::Rooms;
+use crate::urgent_reserve::ServiceCapacities;
 
 /// Number of tasks without a suitable agent after which a pass over the queue ends.
-const LOOK_AHEAD: usize = 16;
+const MAX_MISSES: usize = 16;
 /// Maximum number of queued tasks that a pass examines.
-const PASS_OVER: usize = 512;
+const MAX_QUEUE_SCAN: usize = 512;
 /// Score penalty for each multiple by which a target is slower than the median.
-const SLOWDOWN_PRICE: f64 = 0.35;
+const SLOWDOWN_PENALTY: f64 = 0.35;
 /// Score bonus for a target with the task's preferred label.
-const AFFINITY_WORTH: f64 = 10.0;
+const AFFINITY_BONUS: f64 = 10.0;
 /// Slowdown relative to the median above which a target is a last resort.
-const FAR_SLOWER: f64 = 2.5;
+const MAX_RELATIVE_SLOWDOWN: f64 = 2.5;
 /// A task fills a target if the remaining CPU is below this fraction of the task's own. Relative to
 /// the task, as the ratio of task size to target size differs between users.
-const FILLED_PART: f64 = 0.2;
+const FILLED_FRACTION: f64 = 0.2;
 /// Score bonus for a target that the task fills: above any score for free capacity, below the
 /// last-resort penalty. Keeps large free blocks at other targets and stops all entries from
 /// choosing the emptiest target.
-const FILLED_WORTH: f64 = 1.0;
+const FILLED_BONUS: f64 = 1.0;
 /// Score penalty for a target that is much slower than the median.
-const LAST_RESORT: f64 = 100.0;
+const LAST_RESORT_PENALTY: f64 = 100.0;
 
 /// The agents at which queued tasks may find capacity that they did not find before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ChangedRoom {
-    Anywhere,
+pub(crate) enum ChangedCapacity {
+    AnyAgent,
     /// A single agent. Searching all agents after each load would dominate an entry's CPU time.
-    At(SessionId),
+    Agent(SessionId),
 }
 
-impl ChangedRoom {
+impl ChangedCapacity {
     /// Iterates over the agents to search.
     fn of<'a>(
         self,
         agents: &'a BTreeMap<SessionId, Agent>,
     ) -> btree_map::Range<'a, SessionId, Agent> {
         match self {
-            Self::Anywhere => agents.range(..),
-            Self::At(id) => agents.range(id..=id),
+            Self::AnyAgent => agents.range(..),
+            Self::Agent(id) => agents.range(id..=id),
         }
     }
 }
 
 /// State of one pass over the queue.
-struct Pass {
+struct PlacementPass {
     now: Time,
     /// The agents to search.
-    changed: ChangedRoom,
+    changed: ChangedCapacity,
     /// Largest free CPU of any of these agents, in thousandths of a core.
-    largest: u64,
+    max_free_cpu: u64,
     /// Median slowdown of all agents, in percent.
-    usual: f64,
-    rooms: Rooms,
+    median_slowdown: f64,
+    capacities: ServiceCapacities,
     /// Number of tasks so far that found no agent.
     misses: usize,
     placed: Vec<QueueEntry>,
     /// Jobs that had their first task placed in this pass.
-    begun: Vec<JobId>,
+    started_jobs: Vec<JobId>,
 }
 
-impl Pass {
-    fn new(now: Time, changed: ChangedRoom, largest: u64, usual: f64) -> Self {
-        let (placed, begun) = (Vec::new(), Vec::new());
-        Self { now, changed, largest, usual, rooms: Rooms::default(), misses: 0, placed, begun }
+impl PlacementPass {
+    fn new(now: Time, changed: ChangedCapacity, max_free_cpu: u64, median_slowdown: f64) -> Self {
+        let (placed, started_jobs) = (Vec::new(), Vec::new());
+        Self {
+            now,
+            changed,
+            max_free_cpu,
+            median_slowdown,
+            capacities: ServiceCapacities::default(),
+            misses: 0,
+            placed,
+            started_jobs,
+        }
     }
 }
 
 /// Result of the search for an agent for a task.
 enum Choice {
-    At(SessionId),
-    Nowhere,
+    Agent(SessionId),
+    NoAgent,
     /// The job of the task no longer exists.
     NoJob,
 }
 
 impl Dispatcher {
     /// Places queued tasks at agents with enough free capacity, in queue order.
-    pub(crate) fn place(&mut self, now: Time, changed: ChangedRoom, out: &mut Vec<Action>) {
+    pub(crate) fn place_tasks(
+        &mut self,
+        now: Time,
+        changed: ChangedCapacity,
+        out: &mut Vec<Action>,
+    ) {
         if self.queue.is_empty() {
             return;
         }
-        let largest = largest_free(changed.of(&self.agents), now, &self.timing);
-        let too_large = |entry: &QueueEntry| entry.cpu_milli > largest;
-        if self.queue.iter().take(PASS_OVER).all(too_large) {
+        let max_free_cpu = max_free_cpu(changed.of(&self.agents), now, &self.timing);
+        let too_large = |entry: &QueueEntry| entry.cpu_milli > max_free_cpu;
+        if self.queue.iter().take(MAX_QUEUE_SCAN).all(too_large) {
             return;
         }
         // Taken out while its tasks are placed. Nothing is queued during the pass.
         let queue = std::mem::take(&mut self.queue);
-        let mut pass = Pass::new(now, changed, largest, self.usual_slowdown());
-        for entry in queue.iter().take(PASS_OVER) {
-            if entry.cpu_milli > pass.largest {
+        let mut pass = PlacementPass::new(now, changed, max_free_cpu, self.median_slowdown());
+        for entry in queue.iter().take(MAX_QUEUE_SCAN) {
+            if entry.cpu_milli > pass.max_free_cpu {
                 continue;
             }
-            match self.choose(entry, &mut pass) {
-                Choice::At(id) => self.start_at(id, entry, &mut pass, out),
-                Choice::Nowhere if pass.misses + 1 >= LOOK_AHEAD => break,
-                Choice::Nowhere => pass.misses += 1,
+            match self.choose_agent(entry, &mut pass) {
+                Choice::Agent(id) => self.start_task_at(id, entry, &mut pass, out),
+                Choice::NoAgent if pass.misses + 1 >= MAX_MISSES => break,
+                Choice::NoAgent => pass.misses += 1,
                 Choice::NoJob => {}
             }
         }
@@ -116,76 +130,79 @@
         for entry in &pass.placed {
             self.queue.remove(entry);
         }
-        pass.begun.iter().for_each(|job| self.move_forward(job));
+        pass.started_jobs.iter().for_each(|job| self.requeue_as_started(job));
     }
 
     /// Chooses the best agent for a task.
-    fn choose(&self, entry: &QueueEntry, pass: &mut Pass) -> Choice {
+    fn choose_agent(&self, entry: &QueueEntry, pass: &mut PlacementPass) -> Choice {
         let Some(job) = self.jobs.get(&entry.job) else { return Choice::NoJob };
-        if entry.fresh && job.starts == 0 && !self.may_begin(job, pass) {
-            return Choice::Nowhere;
+        if entry.unstarted && job.starts == 0 && !self.may_start_job(job, pass) {
+            return Choice::NoAgent;
         }
         let agents = pass.changed.of(&self.agents);
-        let look = Look {
+        let search = AgentSearch {
             agents,
             now: pass.now,
             timing: &self.timing,
-            usual: pass.usual,
+            median_slowdown: pass.median_slowdown,
             policy: self.policy,
             crashes: &self.crashes,
         };
-        look.choose(job, entry.index, self.agents.len()).map_or(Choice::Nowhere, Choice::At)
+        search
+            .best_agent(job, entry.index, self.agents.len())
+            .map_or(Choice::NoAgent, Choice::Agent)
     }
 
     /// Whether a job may start its first task without using capacity that is reserved for more
     /// urgent jobs.
-    fn may_begin(&self, job: &Job, pass: &mut Pass) -> bool {
+    fn may_start_job(&self, job: &Job, pass: &mut PlacementPass) -> bool {
         if !self.policy.urgent_reserve {
             return true;
         }
-        let room = pass.rooms.of(&job.request.service, &self.agents, pass.now, &self.timing);
-        self.reserve.leaves_enough(pass.now, &job.request, room)
+        let capacity =
+            pass.capacities.of(&job.request.service, &self.agents, pass.now, &self.timing);
+        self.reserve.leaves_reserve(pass.now, &job.request, capacity)
     }
 
     /// Places a task at an agent with enough free capacity.
-    fn start_at(
+    fn start_task_at(
         &mut self,
         id: SessionId,
         entry: &QueueEntry,
-        pass: &mut Pass,
+        pass: &mut PlacementPass,
         out: &mut Vec<Action>,
     ) {
         let Some(job) = self.jobs.get_mut(&entry.job) else { return };
         let Some(agent) = self.agents.get_mut(&id) else { return };
-        if entry.fresh && job.starts == 0 {
-            pass.begun.push(entry.job.clone());
+        if entry.unstarted && job.starts == 0 {
+            pass.started_jobs.push(entry.job.clone());
         }
         let free = agent.free(pass.now);
-        let start = start(job, entry.index, agent, id, pass.now, &self.timing);
+        let start = record_start(job, entry.index, agent, id, pass.now, &self.timing);
         if let Some(name) = agent.name() {
             out.push(Action::Log(LogEvent::Placed {
                 task: TaskId { job: entry.job.clone(), index: entry.index },
                 run: start.run,
                 agent: name.clone(),
                 free,
-                age_ms: pass.now.since(agent.heard).as_millis() as u64,
+                age_ms: pass.now.since(agent.last_contact).as_millis() as u64,
             }));
         }
-        pass.rooms.taken(&job.request.service, job.request.shape.resources.cpu_milli);
-        if free.cpu_milli >= pass.largest {
-            pass.largest = largest_free(pass.changed.of(&self.agents), pass.now, &self.timing);
+        pass.capacities.consume(&job.request.service, job.request.shape.resources.cpu_milli);
+        if free.cpu_milli >= pass.max_free_cpu {
+            pass.max_free_cpu = max_free_cpu(pass.changed.of(&self.agents), pass.now, &self.timing);
         }
         self.counters.starts += 1;
-        self.outbox.entry((id, entry.job.clone())).or_default().push(start);
+        self.pending_starts.entry((id, entry.job.clone())).or_default().push(start);
         pass.placed.push(entry.clone());
     }
 
     /// Moves the remaining tasks of a job that has started ahead of jobs that have not.
-    fn move_forward(&mut self, id: &JobId) {
+    fn requeue_as_started(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for index in 0..job.request.shape.count {
             let entry = queue_entry(job, index, self.policy);
-            if self.queue.remove(&QueueEntry { fresh: true, ..entry.clone() }) {
+            if self.queue.remove(&QueueEntry { unstarted: true, ..entry.clone() }) {
                 self.queue.insert(entry);
             }
         }
@@ -193,20 +210,20 @@
 
     /// Sends the starts collected during this event, one message for each agent and job.
     pub(crate) fn send_starts(&mut self, now: Time, out: &mut Vec<Action>) {
-        for ((id, job), tasks) in std::mem::take(&mut self.outbox) {
+        for ((id, job), tasks) in std::mem::take(&mut self.pending_starts) {
             let (Some(agent), Some(known)) = (self.agents.get(&id), self.jobs.get(&job)) else {
                 continue;
             };
             let heard = agent.load.at;
             let spec = known.request.spec.clone();
             out.push(Action::Send(id, ToAgent::Start { heard, job, spec, tasks }));
-            self.heartbeat_sent(now, id);
+            self.record_heartbeat_sent(now, id);
         }
     }
 
     /// Median slowdown of the agents that accept work, in percent, with a lower bound so that fast
     /// targets don't make ordinary ones look slow.
-    fn usual_slowdown(&self) -> f64 {
+    fn median_slowdown(&self) -> f64 {
         if !self.policy.slowdown_score {
             return f64::INFINITY;
         }
@@ -219,7 +236,7 @@
     }
 
     /// Removes the tasks of a job from the queue.
-    pub(crate) fn leave_queue(&mut self, id: &JobId) {
+    pub(crate) fn remove_from_queue(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for index in 0..job.request.shape.count {
             self.queue.remove(&queue_entry(job, index, self.policy));
@@ -228,43 +245,43 @@
 }
 
 /// Largest free CPU of any agent that accepts work, in thousandths of a core.
-fn largest_free(agents: btree_map::Range<'_, SessionId, Agent>, now: Time, timing: &Timing) -> u64 {
+fn max_free_cpu(agents: btree_map::Range<'_, SessionId, Agent>, now: Time, timing: &Timing) -> u64 {
     let takes_work = |agent: &&Agent| agent.takes_work(now, timing.max_load_age);
     let agents = agents.map(|(_, agent)| agent).filter(takes_work);
     agents.map(|agent| agent.free(now).cpu_milli).max().unwrap_or(0)
 }
 
 /// A search for the best agent for a task.
-struct Look<'a> {
+struct AgentSearch<'a> {
     agents: btree_map::Range<'a, SessionId, Agent>,
     now: Time,
     timing: &'a Timing,
     /// Median slowdown of all agents, in percent.
-    usual: f64,
+    median_slowdown: f64,
     policy: Policy,
     crashes: &'a Crashes,
 }
 
-impl Look<'_> {
+impl AgentSearch<'_> {
     /// Returns the eligible agent with the highest score. A task may return to the agent that it
     /// avoids if that is the only one of `known_agents`.
-    fn choose(self, job: &Job, index: u32, known: usize) -> Option<SessionId> {
-        let Self { agents, now, timing, usual, policy, crashes } = self;
+    fn best_agent(self, job: &Job, index: u32, known_agents: usize) -> Option<SessionId> {
+        let Self { agents, now, timing, median_slowdown, policy, crashes } = self;
         let request = &job.request;
-        let key = TaskId { job: request.id.clone(), index };
+        let task_id = TaskId { job: request.id.clone(), index };
         let task = &job.tasks[index as usize];
-        let fit = |(id, agent, free): &(&SessionId, &Agent, Resources)| {
+        let is_eligible = |(id, agent, free): &(&SessionId, &Agent, Resources)| {
             agent.serves(&request.service, now, timing.max_load_age)
                 && request.shape.resources.fits(free)
                 && has_requirement(agent, request.shape.requirement.as_ref())
-                && has_place_beside(job, **id)
-                && !(just_tried(task, **id, now) && known > 1)
+                && is_below_target_limit(job, **id)
+                && !(is_avoided(task, **id, now) && known_agents > 1)
                 && !(agent.load.on_trial && task.failures > 0)
-                && !agent.name().is_some_and(|name| crashes.has_crashed(&key, name))
+                && !agent.name().is_some_and(|name| crashes.has_crashed(&task_id, name))
         };
-        let fitting = agents.map(|(id, agent)| (id, agent, agent.free(now))).filter(fit);
-        let scored =
-            fitting.map(|(id, agent, free)| (*id, score(agent, free, request, usual, policy)));
+        let eligible = agents.map(|(id, agent)| (id, agent, agent.free(now))).filter(is_eligible);
+        let scored = eligible
+            .map(|(id, agent, free)| (*id, score(agent, free, request, median_slowdown, policy)));
         scored.max_by(|(_, a), (_, b)| a.total_cmp(b)).map(|(id, _)| id)
     }
 }
@@ -274,40 +291,47 @@
 }
 
 /// Whether the agent has fewer tasks of the job than the job allows at one target.
-fn has_place_beside(job: &Job, id: SessionId) -> bool {
-    let Some(most) = job.request.shape.max_per_target else { return true };
-    let there =
+fn is_below_target_limit(job: &Job, id: SessionId) -> bool {
+    let Some(max) = job.request.shape.max_per_target else { return true };
+    let is_placed_there =
         |task: &&Task| matches!(task.state, TaskState::Placed { session, .. } if session == id);
-    job.tasks.iter().filter(there).count() < most as usize
+    job.tasks.iter().filter(is_placed_there).count() < max as usize
 }
 
-fn just_tried(task: &Task, id: SessionId, now: Time) -> bool {
+fn is_avoided(task: &Task, id: SessionId, now: Time) -> bool {
     task.avoid.is_some_and(|(avoided, until)| avoided == id && now < until)
 }
 
 /// Scores an agent for a task: the fraction of its capacity that stays free, with a bonus if the
 /// task fills it and a penalty if it is slow.
-fn score(agent: &Agent, free: Resources, request: &JobRequest, usual: f64, policy: Policy) -> f64 {
+fn score(
+    agent: &Agent,
+    free: Resources,
+    request: &JobRequest,
+    median_slowdown: f64,
+    policy: Policy,
+) -> f64 {
     let free = free.less(&request.shape.resources);
     let capacity = agent.capacity().cpu_milli.max(1);
     let mut score = free.cpu_milli as f64 / capacity as f64;
-    let fills = (free.cpu_milli as f64) < request.shape.resources.cpu_milli as f64 * FILLED_PART;
+    let fills =
+        (free.cpu_milli as f64) < request.shape.resources.cpu_milli as f64 * FILLED_FRACTION;
     if policy.fill_targets && fills {
-        score += FILLED_WORTH;
+        score += FILLED_BONUS;
     }
-    let slower = f64::from(agent.load.slowdown_percent) / usual;
-    score -= (slower - 1.0).max(0.0) * SLOWDOWN_PRICE;
-    if slower > FAR_SLOWER {
-        score -= LAST_RESORT;
+    let slower = f64::from(agent.load.slowdown_percent) / median_slowdown;
+    score -= (slower - 1.0).max(0.0) * SLOWDOWN_PENALTY;
+    if slower > MAX_RELATIVE_SLOWDOWN {
+        score -= LAST_RESORT_PENALTY;
     }
     if request.shape.affinity.as_ref().is_some_and(|label| agent.has_label(label)) {
-        score += AFFINITY_WORTH;
+        score += AFFINITY_BONUS;
     }
     score
 }
 
 /// Records a new run of a task at an agent and returns the start to send.
-fn start(
+fn record_start(
     job: &mut Job,
     index: u32,
     agent: &mut Agent,
@@ -315,11 +339,11 @@
     now: Time,
     timing: &Timing,
 ) -> StartTask {
-    let sequence = agent.take(job.request.shape.resources);
+    let sequence = agent.record_start(job.request.shape.resources);
     let task = &mut job.tasks[index as usize];
     task.run += 1;
     task.state = TaskState::Placed { session, sequence };
-    job.waited = job.waited.max(now.since(task.waits_since));
+    job.longest_wait = job.longest_wait.max(now.since(task.waiting_since));
     job.starts += 1;
     StartTask {
         sequence,
--- a/components/dispatch/src/planned_stop.rs
+++ b/components/dispatch/src/planned_stop.rs
@@ -32,12 +32,12 @@
 
 /// The balancer checks an entry at regular intervals and removes it after a few failed checks. This
 /// covers two failed checks.
-const NOTICES: u32 = 2;
-const NOTICE: Duration = Duration::from_millis(2_400);
+const REQUIRED_NOTICES: u32 = 2;
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// Must cover the delivery of a connection that the balancer opened before it noticed, and the time
 /// until a throttled entry accepts it. Longer values make the stops of several entries overlap
 /// more.
-const QUIET: Duration = Duration::from_millis(100);
+const QUIET_PERIOD: Duration = Duration::from_millis(100);
 /// Time before the end of the grace period at which the listener closes. Hardly any job admitted
 /// later would end in time.
 const INTAKE_MARGIN: Duration = Duration::from_millis(1_500);
@@ -51,22 +51,22 @@
 const END_MARGIN: Duration = Duration::from_millis(250);
 /// With a short grace period, each margin is at most this fraction of it, so that the steps keep
 /// their order.
-const INTAKE_PART: u32 = 4;
-const ANSWER_PART: u32 = 10;
-const END_PART: u32 = 24;
+const INTAKE_MARGIN_DIVISOR: u32 = 4;
+const ANSWER_MARGIN_DIVISOR: u32 = 10;
+const END_MARGIN_DIVISOR: u32 = 24;
 
 impl StopTiming {
     /// Derives the times from the grace period that the platform allows.
     pub fn within(grace: Duration) -> Self {
-        let before = |margin: Duration, part: u32| grace - margin.min(grace / part);
+        let before = |margin: Duration, divisor: u32| grace - margin.min(grace / divisor);
         Self {
-            required_notices: NOTICES,
-            notice_timeout: NOTICE.min(grace / 2),
-            quiet_period: QUIET,
-            close_listener_after: before(INTAKE_MARGIN, INTAKE_PART),
+            required_notices: REQUIRED_NOTICES,
+            notice_timeout: NOTICE_TIMEOUT.min(grace / 2),
+            quiet_period: QUIET_PERIOD,
+            close_listener_after: before(INTAKE_MARGIN, INTAKE_MARGIN_DIVISOR),
             linger: LINGER,
-            answer_all_after: before(ANSWER_MARGIN, ANSWER_PART),
-            end_after: before(END_MARGIN, END_PART),
+            answer_all_after: before(ANSWER_MARGIN, ANSWER_MARGIN_DIVISOR),
+            end_after: before(END_MARGIN, END_MARGIN_DIVISOR),
         }
     }
 }
@@ -101,14 +101,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     /// The balancer has not noticed yet.
-    Noticing,
+    AwaitingBalancer,
     /// The balancer has noticed. The listener is still open.
-    Taking,
+    Draining,
     /// The listener is closed. Jobs in progress end.
     Finishing,
     /// All jobs are answered. The answers are being sent.
     Answered,
-    Over,
+    Ended,
 }
 
 /// State of an entry's planned stop.
@@ -118,13 +118,13 @@
     started_at: Time,
     phase: Phase,
     /// When the current phase started.
-    since: Time,
+    phase_since: Time,
 }
 
 impl PlannedStop {
     /// Starts a planned stop.
     pub fn new(timing: StopTiming, now: Time) -> Self {
-        Self { timing, started_at: now, phase: Phase::Noticing, since: now }
+        Self { timing, started_at: now, phase: Phase::AwaitingBalancer, phase_since: now }
     }
 
     /// When the stop started.
@@ -136,47 +136,49 @@
     pub fn next_step(&mut self, now: Time, status: &StopStatus) -> Option<StopStep> {
         let age = now.since(self.started_at);
         let (phase, step) = match self.phase {
-            Phase::Noticing if self.is_noticed(age, status) => {
+            Phase::AwaitingBalancer if self.balancer_has_noticed(age, status) => {
                 let by = self.started_at + self.timing.answer_all_after;
-                (Phase::Taking, StopStep::AdmitOnlyJobsEndingBy(by))
+                (Phase::Draining, StopStep::AdmitOnlyJobsEndingBy(by))
             }
-            Phase::Taking
+            Phase::Draining
                 if self.is_quiet(now, status) || age >= self.timing.close_listener_after =>
             {
                 (Phase::Finishing, StopStep::CloseListener)
             }
-            Phase::Finishing if self.is_done(now, status) => (Phase::Over, StopStep::End),
+            Phase::Finishing if self.is_done(now, status) => (Phase::Ended, StopStep::End),
             Phase::Finishing if age >= self.timing.answer_all_after => {
                 (Phase::Answered, StopStep::AnswerAll)
             }
-            Phase::Answered if self.has_answered(now, age, status) => (Phase::Over, StopStep::End),
+            Phase::Answered if self.answers_are_sent(now, age, status) => {
+                (Phase::Ended, StopStep::End)
+            }
             _ => return None,
         };
         self.phase = phase;
-        self.since = now;
+        self.phase_since = now;
         Some(step)
     }
 
-    fn is_noticed(&self, age: Duration, status: &StopStatus) -> bool {
+    fn balancer_has_noticed(&self, age: Duration, status: &StopStatus) -> bool {
         status.notices >= self.timing.required_notices || age >= self.timing.notice_timeout
     }
 
     /// A process that was stalled past the end of its time still gets a moment to send its answers.
-    fn has_answered(&self, now: Time, age: Duration, status: &StopStatus) -> bool {
-        let lingered = now.since(self.since) >= self.timing.linger;
+    fn answers_are_sent(&self, now: Time, age: Duration, status: &StopStatus) -> bool {
+        let lingered = now.since(self.phase_since) >= self.timing.linger;
         status.busy_connections == 0 || (age >= self.timing.end_after && lingered)
     }
 
     fn is_done(&self, now: Time, status: &StopStatus) -> bool {
         status.jobs == 0
             && status.busy_connections == 0
-            && now.since(self.since) >= self.timing.linger
+            && now.since(self.phase_since) >= self.timing.linger
     }
 
     /// Requests that the balancer sent before it noticed may still be in transit, so the quiet
     /// period starts no earlier than the current phase.
     fn is_quiet(&self, now: Time, status: &StopStatus) -> bool {
-        let quiet = status.quiet_for.min(now.since(self.since));
+        let quiet = status.quiet_for.min(now.since(self.phase_since));
         status.jobs == 0 && status.busy_connections == 0 && quiet >= self.timing.quiet_period
     }
 }
--- a/components/dispatch/src/policy.rs
+++ b/components/dispatch/src/policy.rs
@@ -35,7 +35,7 @@
 impl Policy {
     /// Disables a part by its name in the settings. Returns `false` if there is no such part.
     pub fn disable(&mut self, part: &str) -> bool {
-        let switch = match part {
+        let flag = match part {
             "begun-first" => &mut self.started_first,
             "slowdown-score" => &mut self.slowdown_score,
             "fill-targets" => &mut self.fill_targets,
@@ -44,7 +44,7 @@
             "lost-again" => &mut self.rerun_lost,
             _ => return false,
         };
-        *switch = false;
+        *flag = false;
         true
     }
 }
--- a/components/dispatch/src/retry_schedule.rs
+++ b/components/dispatch/src/retry_schedule.rs
@@ -19,19 +19,19 @@
 const SECOND: Duration = Duration::from_secs(1);
 /// Maximum delay in seconds. Clients would rather give up than wait longer, and the current load
 /// says little about a later one.
-const SECONDS: usize = 8;
+const MAX_DELAY_SECONDS: usize = 8;
 /// Maximum retry delay.
-pub(crate) const LATEST_RETURN: Duration = Duration::from_secs(SECONDS as u64);
+pub(crate) const MAX_RETRY_AFTER: Duration = Duration::from_secs(MAX_DELAY_SECONDS as u64);
 /// Fraction of the throughput that may be assigned to each second.
-const RETURN_PART: f64 = 0.8;
+const RETRY_FRACTION: f64 = 0.8;
 /// Fraction of that share that is open to all priorities. The rest is kept for the most urgent.
-const COMMON_PART: f64 = 0.6;
+const COMMON_FRACTION: f64 = 0.6;
 /// Weight of the last second in the moving average of the throughput.
-const RATE_WEIGHT: f64 = 0.3;
+const RATE_SMOOTHING: f64 = 0.3;
 
 /// Work that rejected clients were told to submit again, by second.
 #[derive(Debug, Default)]
-pub(crate) struct Returns {
+pub(crate) struct RetrySchedule {
     /// The current second since the epoch of the clock.
     second: u64,
     /// Work assigned to the following seconds, the next one first, in core-seconds.
@@ -42,12 +42,12 @@
     rate: f64,
 }
 
-impl Returns {
+impl RetrySchedule {
     /// Records the outcome of a job. A job that was refused for lack of capacity or time gets a
     /// retry delay.
-    pub fn with_return(&mut self, now: Time, request: &JobRequest, outcome: Outcome) -> Outcome {
+    pub fn record_outcome(&mut self, now: Time, request: &JobRequest, outcome: Outcome) -> Outcome {
         match outcome {
-            Outcome::Completed => self.done(now, request.estimated_work()),
+            Outcome::Completed => self.record_done(now, request.estimated_work()),
             Outcome::NotRun {
                 reason: reason @ (Reason::NoCapacity | Reason::Deadline), ..
             } => {
@@ -59,17 +59,17 @@
         outcome
     }
 
-    fn done(&mut self, now: Time, work: f64) {
-        self.turn(now);
+    fn record_done(&mut self, now: Time, work: f64) {
+        self.advance(now);
         self.done += work;
     }
 
     /// Assigns a second to rejected work and returns the delay until then.
     fn book(&mut self, now: Time, work: f64, priority: u8) -> Duration {
-        self.turn(now);
-        let whole = self.rate.max(self.done) * RETURN_PART;
-        let most = if priority == 0 { whole } else { whole * COMMON_PART };
-        let first = (0..SECONDS).find(|second| self.booked_in(*second) + work <= most);
+        self.advance(now);
+        let share = self.rate.max(self.done) * RETRY_FRACTION;
+        let limit = if priority == 0 { share } else { share * COMMON_FRACTION };
+        let first = (0..MAX_DELAY_SECONDS).find(|second| self.booked_in(*second) + work <= limit);
         let second = first.unwrap_or_else(|| self.least_booked());
         if self.booked.len() <= second {
             self.booked.resize(second + 1, 0.0);
@@ -84,16 +84,16 @@
 
     fn least_booked(&self) -> usize {
         let by_work = |a: &usize, b: &usize| self.booked_in(*a).total_cmp(&self.booked_in(*b));
-        (0..SECONDS).min_by(by_work).unwrap_or(0)
+        (0..MAX_DELAY_SECONDS).min_by(by_work).unwrap_or(0)
     }
 
     /// Advances to the current second.
-    fn turn(&mut self, now: Time) {
+    fn advance(&mut self, now: Time) {
         let second = now.since(Time::default()).as_secs();
-        let passed = second.saturating_sub(self.second).min(SECONDS as u64);
+        let passed = second.saturating_sub(self.second).min(MAX_DELAY_SECONDS as u64);
         for _ in 0..passed {
             self.booked.pop_front();
-            self.rate += (self.done - self.rate) * RATE_WEIGHT;
+            self.rate += (self.done - self.rate) * RATE_SMOOTHING;
             self.done = 0.0;
         }
         self.second = self.second.max(second);
--- a/components/dispatch/src/task_reports.rs
+++ b/components/dispatch/src/task_reports.rs
@@ -10,86 +10,96 @@
 use crate::job::TaskState;
 
 /// How long a task avoids an agent that refused it for lack of capacity.
-const AVOID_FULL: Duration = Duration::from_millis(20);
+const AVOID_AFTER_REFUSAL: Duration = Duration::from_millis(20);
 /// How long a task avoids an agent where it failed, was lost or was refused for another reason.
-const AVOID_BAD: Duration = Duration::from_secs(5);
+const AVOID_AFTER_LOSS: Duration = Duration::from_secs(5);
 /// Number of runs without a result after which a job is given up.
-const LOSSES: u32 = 5;
+const MAX_LOSSES: u32 = 5;
 
 impl Dispatcher {
     /// Handles an agent's report of the end of a task. A report that does not match the task's
     /// current run is ignored.
-    pub(crate) fn task_ended(
+    pub(crate) fn handle_task_report(
         &mut self,
         now: Time,
         id: SessionId,
         report: TaskReport,
         out: &mut Vec<Action>,
     ) {
-        let TaskReport { task: key, sequence, end, .. } = report;
-        let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        let Some(task) = job.tasks.get_mut(key.index as usize) else { return };
+        let TaskReport { task: task_id, sequence, end, .. } = report;
+        let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
+        let Some(task) = job.tasks.get_mut(task_id.index as usize) else { return };
         if task.state != (TaskState::Placed { session: id, sequence }) {
             return;
         }
         if let Some(agent) = self.agents.get_mut(&id) {
-            agent.tasks = agent.tasks.saturating_sub(1);
+            agent.placed_tasks = agent.placed_tasks.saturating_sub(1);
         }
         job.may_have_run |= !matches!(end, TaskEnd::NotRun(_));
         task.failures += u32::from(end == TaskEnd::Failed);
         task.losses +=
             u32::from(matches!(end, TaskEnd::Lost | TaskEnd::Stopped | TaskEnd::Crashed));
-        let again = match end {
+        let avoid_for = match end {
             TaskEnd::Done => None,
             TaskEnd::Failed | TaskEnd::Lost | TaskEnd::Stopped | TaskEnd::Crashed => {
-                Some(AVOID_BAD)
+                Some(AVOID_AFTER_LOSS)
             }
-            TaskEnd::NotRun(wire::Refusal::Room) => Some(AVOID_FULL),
-            TaskEnd::NotRun(_) => Some(AVOID_BAD),
+            TaskEnd::NotRun(wire::Refusal::Room) => Some(AVOID_AFTER_REFUSAL),
+            TaskEnd::NotRun(_) => Some(AVOID_AFTER_LOSS),
         };
         let (failures, losses) = (task.failures, task.losses);
-        match again {
+        match avoid_for {
             Some(avoid) if job.outcome.is_none() => {
                 task.state = TaskState::Waiting;
                 task.avoid = Some((id, now + avoid));
-                task.waits_since = now;
+                task.waiting_since = now;
             }
             _ => {
-                task.state = TaskState::Over;
-                job.open -= 1;
+                task.state = TaskState::Ended;
+                job.open_tasks -= 1;
             }
         }
-        let entry = queue_entry(job, key.index, self.policy);
-        let (open, answered) = (job.open, job.outcome.is_some());
+        let entry = queue_entry(job, task_id.index, self.policy);
+        let (open, answered) = (job.open_tasks, job.outcome.is_some());
         if end == TaskEnd::NotRun(wire::Refusal::Cancelled) && !answered {
             // This entry missed the cancel. Without it, every agent that knows of the cancel would
             // refuse the task in a loop.
-            self.note_end(id, &key, end, failures, out);
-            return self.cancel_own(now, &key.job, out);
+            self.record_task_end(id, &task_id, end, failures, out);
+            return self.cancel_local(now, &task_id.job, out);
         }
         let attempts = job.request.max_attempts;
-        self.note_crash_by(now, id, &key, end);
-        self.note_end(id, &key, end, failures, out);
+        self.record_crash_from_end(now, id, &task_id, end);
+        self.record_task_end(id, &task_id, end, failures, out);
         if answered {
             return;
         }
         if failures >= attempts.max(1) {
-            return self.finish(now, &key.job, Outcome::Failed(Reason::AttemptsExhausted), out);
+            return self.finish_job(
+                now,
+                &task_id.job,
+                Outcome::Failed(Reason::AttemptsExhausted),
+                out,
+            );
         }
-        if self.give_up_crashing(now, &key.job, out) {
+        if self.fail_if_crashing(now, &task_id.job, out) {
             return;
         }
-        if losses >= LOSSES {
-            return self.finish(now, &key.job, Outcome::MayHaveRun(Reason::TooManyLosses), out);
+        if losses >= MAX_LOSSES {
+            return self.finish_job(
+                now,
+                &task_id.job,
+                Outcome::MayHaveRun(Reason::TooManyLosses),
+                out,
+            );
         }
-        if again.is_some() {
+        if avoid_for.is_some() {
             self.queue.insert(entry);
         } else if open == 0 {
-            self.finish(now, &key.job, Outcome::Completed, out);
+            self.finish_job(now, &task_id.job, Outcome::Completed, out);
         }
     }
 
-    fn note_end(
+    fn record_task_end(
         &mut self,
         id: SessionId,
         task: &TaskId,
@@ -111,7 +121,7 @@
     /// Closes the session of an agent. The agent stops this entry's tasks, or its target's lease
     /// ends. Jobs that can still end in time wait for that and start the lost tasks again; the
     /// others are answered now.
-    pub(crate) fn lose_agent(
+    pub(crate) fn remove_agent(
         &mut self,
         id: SessionId,
         reason: &'static str,
@@ -126,11 +136,11 @@
         out.push(Action::Log(LogEvent::AgentLost {
             agent: agent.name().cloned(),
             reason,
-            tasks: agent.tasks,
+            tasks: agent.placed_tasks,
         }));
         out.push(Action::Close(id));
         let until = now + self.timing.lost_agent_lease;
-        let mut hit = Vec::new();
+        let mut affected = Vec::new();
         for (job_id, job) in &mut self.jobs {
             let mut lost = 0;
             for task in &mut job.tasks {
@@ -145,17 +155,17 @@
             }
             job.may_have_run = true;
             let estimate = Duration::from_millis(u64::from(job.request.shape.estimated_ms));
-            let latest = job.submitted + job.request.objective * LATE_TIMES;
+            let latest = job.submitted + job.request.objective * MAX_USEFUL_OBJECTIVES;
             if until + estimate > latest || !self.policy.rerun_lost {
-                hit.push(job_id.clone());
+                affected.push(job_id.clone());
             }
         }
-        self.counters.task_losses += hit.len() as u64;
-        for job in hit {
-            self.finish(now, &job, Outcome::MayHaveRun(Reason::AgentLost), out);
+        self.counters.task_losses += affected.len() as u64;
+        for job in affected {
+            self.finish_job(now, &job, Outcome::MayHaveRun(Reason::AgentLost), out);
         }
     }
 }
 
 /// Multiple of a job's objective after which its result is of no use to the client.
-const LATE_TIMES: u32 = 3;
+const MAX_USEFUL_OBJECTIVES: u32 = 3;
