--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -202,7 +202,7 @@
     /// An agent has reported the version of its configuration document.
     DocumentOffered(SessionId, u64),
     /// An agent has answered a request for a part of its configuration document. `None` if it does
-    /// not have that part.
+    /// not have the requested version.
     DocumentPart(SessionId, Option<DocumentPart>),
     /// Answer a client.
     Answer(CallId, Outcome),
@@ -223,7 +223,7 @@
     pub waiting: usize,
 }
 
-/// A decision or a change of state, for the log. Each variant is one kind of log line.
+/// A decision or a change of state, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// An invariant would have been violated, which is a bug. The job is answered as possibly run.
--- a/components/dispatch/src/feasibility.rs
+++ b/components/dispatch/src/feasibility.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Whether an agent's target could run the job when idle. An agent without a profile counts as able
-/// to.
+/// Whether an agent's target could run the job when idle. An agent that has not sent its profile
+/// counts as capable.
 pub(crate) fn can_run(agent: &Agent, request: &JobRequest) -> bool {
     let Some(profile) = &agent.profile else { return true };
     let shape = &request.shape;
--- a/components/dispatch/tests/crashes.rs
+++ b/components/dispatch/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! A job whose task crashes its targets must not take down one target after another, also not by
-//! being submitted again at another entry.
+//! A job whose task crashes its targets must not take down one target after another, even if it is
+//! submitted again at another entry.
 
 mod support;
 
