--- a/components/dispatch/src/answers.rs
+++ b/components/dispatch/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers: each job gets one, and nothing of it goes on after it.
+//! Answers jobs: every job gets exactly one answer, and its remaining tasks are stopped.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use wire::ToAgent;
 
 use crate::dispatcher::Dispatcher;
-use crate::event::{Action, News, Outcome, Reason, SessionId, TargetsSeen};
+use crate::event::{Action, LogEvent, Outcome, Reason, SessionId, TargetSummary};
 use crate::job::{Job, TaskState};
 
 impl Dispatcher {
@@ -15,29 +15,30 @@
         self.last_event
     }
 
-    /// Answers a job and stops what is left of it.
-    pub(crate) fn finish(
+    /// Answers a job's callers and stops the tasks that are still placed. A job that is already
+    /// answered is left alone.
+    pub(crate) fn finish_job(
         &mut self,
         now: Time,
         id: &JobId,
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        let seen = self.targets_seen(now);
-        self.leave_queue(id);
+        let targets = self.summarize_targets(now);
+        self.remove_from_queue(id);
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.outcome.is_none()) else { return };
-        let breach = breach_of(job, outcome);
+        let breach = invariant_violation(job, outcome);
         let outcome = match breach {
             Some(_) => Outcome::MayHaveRun(Reason::Breach),
-            None => self.returns.with_return(now, &job.request, outcome),
+            None => self.retries.record_outcome(now, &job.request, outcome),
         };
         if let Some(breach) = breach {
             self.counters.breaches += 1;
-            out.push(Action::News(News::Breach(breach)));
+            out.push(Action::Log(LogEvent::Breach(breach)));
         }
         job.outcome = Some(outcome);
-        let tickets = std::mem::take(&mut job.tickets);
-        out.push(Action::News(News::Answered {
+        let calls = std::mem::take(&mut job.calls);
+        out.push(Action::Log(LogEvent::Answered {
             job: id.clone(),
             queue: job.request.queue.clone(),
             outcome,
@@ -45,41 +46,42 @@
             objective_ms: job.request.objective.as_millis() as u64,
             tasks: job.request.shape.count,
             starts: job.starts,
-            waited_ms: job.waited.as_secs_f64() * 1e3,
-            seen,
+            waited_ms: job.longest_wait.as_secs_f64() * 1e3,
+            targets,
         }));
-        let mut stops: BTreeMap<SessionId, Vec<TaskId>> = BTreeMap::new();
+        let mut to_stop: BTreeMap<SessionId, Vec<TaskId>> = BTreeMap::new();
         for (index, task) in job.tasks.iter().enumerate() {
             if let TaskState::Placed { session, .. } = task.state {
                 let task = TaskId { job: id.clone(), index: index as u32 };
-                stops.entry(session).or_default().push(task);
+                to_stop.entry(session).or_default().push(task);
             }
         }
-        for (session, tasks) in stops {
+        for (session, tasks) in to_stop {
             out.push(Action::Send(session, ToAgent::Stop(tasks)));
         }
-        for ticket in tickets {
-            self.tickets.remove(&ticket);
-            out.push(Action::Answer(ticket, outcome));
+        for call in calls {
+            self.calls.remove(&call);
+            out.push(Action::Answer(call, outcome));
         }
-        self.count(outcome);
+        self.count_outcome(outcome);
     }
 
-    /// What the agents' targets have free, as far as this entry knows.
-    fn targets_seen(&self, now: Time) -> TargetsSeen {
-        let mut seen = TargetsSeen { waiting: self.queue.len(), ..TargetsSeen::default() };
+    /// Summarizes the state of the targets as this entry knows it.
+    fn summarize_targets(&self, now: Time) -> TargetSummary {
+        let mut targets = TargetSummary { waiting: self.queue.len(), ..TargetSummary::default() };
         for agent in self.agents.values().filter(|agent| agent.load.open) {
             let free = agent.free(now);
-            seen.open += 1;
-            if free.cpu_milli >= seen.most_free.cpu_milli {
-                seen.most_free = free;
+            targets.open += 1;
+            if free.cpu_milli >= targets.most_free.cpu_milli {
+                targets.most_free = free;
             }
-            seen.oldest_ms = seen.oldest_ms.max(now.since(agent.heard).as_millis() as u64);
+            targets.oldest_ms =
+                targets.oldest_ms.max(now.since(agent.last_contact).as_millis() as u64);
         }
-        seen
+        targets
     }
 
-    fn count(&mut self, outcome: Outcome) {
+    fn count_outcome(&mut self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Completed => &mut self.counters.completed,
             Outcome::Failed(crate::event::Reason::ClientGone) | Outcome::Cancelled => {
@@ -93,12 +95,12 @@
     }
 }
 
-/// The promise that an answer would break.
-fn breach_of(job: &Job, outcome: Outcome) -> Option<Breach> {
+/// Returns the invariant that an outcome would violate, if any.
+fn invariant_violation(job: &Job, outcome: Outcome) -> Option<Breach> {
     let id = || job.request.id.clone();
     match outcome {
-        Outcome::NotRun { .. } if !job.is_untouched() => Some(Breach::FalseNotRunJob(id())),
-        Outcome::Completed if job.open > 0 => Some(Breach::PartialJob(id())),
+        Outcome::NotRun { .. } if !job.is_provably_not_run() => Some(Breach::FalseNotRunJob(id())),
+        Outcome::Completed if job.open_tasks > 0 => Some(Breach::PartialJob(id())),
         _ => None,
     }
 }
--- a/components/dispatch/src/crashes.rs
+++ b/components/dispatch/src/crashes.rs
@@ -1,8 +1,9 @@
-//! Tasks under which targets have crashed.
+//! Tracks tasks that crash the targets which run them.
 //!
-//! A task may crash each target that starts it, and its job is handed in again where it gets no answer: so what counts is
-//! kept beyond a job's end, and agents tell of a crash to all entries that they serve. A task that only stood beside the cause
-//! is rarely there twice within that time.
+//! A task may crash every target that starts it, and its client submits the job again when it gets
+//! no answer. So crashes are remembered after the job has ended, and agents report each crash to
+//! all of their entries. A task that merely ran beside the cause is unlikely to see a second crash
+//! in that time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,12 +14,13 @@
 use crate::dispatcher::Dispatcher;
 use crate::event::{Action, Outcome, Reason, SessionId};
 
-/// Targets that may crash under a task before it is given up: each further start may cost all that runs at another one.
-const CRASHES_MAX: usize = 2;
-/// How long a crash is remembered: many times as long as it takes a client to send a job again.
-const KEPT: Duration = Duration::from_secs(20);
+/// Number of crashed targets after which a task is not started again, as every further start may
+/// cost all tasks of another target.
+const MAX_CRASHES: usize = 2;
+/// How long a crash is remembered: long enough for clients to submit the job again several times.
+const CRASH_RETENTION: Duration = Duration::from_secs(20);
 
-/// The agents whose targets crashed, by task, and when that is forgotten.
+/// The agents whose targets crashed and the expiry time, by task.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes(BTreeMap<TaskId, (BTreeSet<NodeName>, Time)>);
 
@@ -26,28 +28,29 @@
     fn add(&mut self, now: Time, task: &TaskId, agent: NodeName) {
         let (agents, until) = self.0.entry(task.clone()).or_default();
         agents.insert(agent);
-        *until = now + KEPT;
+        *until = now + CRASH_RETENTION;
     }
 
-    /// Whether targets have crashed under a task as often as they may.
-    fn is_given_up(&self, task: &TaskId) -> bool {
-        self.0.get(task).is_some_and(|(agents, _)| agents.len() >= CRASHES_MAX)
+    /// Whether a task has crashed the maximum number of targets.
+    fn is_at_crash_limit(&self, task: &TaskId) -> bool {
+        self.0.get(task).is_some_and(|(agents, _)| agents.len() >= MAX_CRASHES)
     }
 
-    /// Whether the target of an agent has crashed under a task: the agent does not start it again.
+    /// Whether the target of an agent has crashed under a task. The agent refuses to start that
+    /// task again.
     pub fn has_crashed(&self, task: &TaskId, agent: &NodeName) -> bool {
         self.0.get(task).is_some_and(|(agents, _)| agents.contains(agent))
     }
 
-    /// Forgets what was long ago.
-    pub fn forget(&mut self, now: Time) {
+    /// Removes crashes that are past their retention time.
+    pub fn expire(&mut self, now: Time) {
         self.0.retain(|_, (_, until)| *until > now);
     }
 }
 
 impl Dispatcher {
-    /// An agent tells of tasks that ran when its target crashed.
-    pub(crate) fn target_crashed(
+    /// Handles an agent's report of the tasks that ran when its target crashed.
+    pub(crate) fn handle_target_crash(
         &mut self,
         now: Time,
         id: SessionId,
@@ -55,29 +58,37 @@
         out: &mut Vec<Action>,
     ) {
         for task in tasks {
-            self.note_crash(now, id, task);
+            self.record_crash(now, id, task);
             if self.has_job(&task.job) {
-                self.give_up_crashing(now, &task.job, out);
+                self.fail_if_crashing(now, &task.job, out);
             }
         }
     }
 
-    /// Takes note of an end that tells of a crash, or of a refused start that does.
-    pub(crate) fn note_crash_by(&mut self, now: Time, id: SessionId, task: &TaskId, end: TaskEnd) {
+    /// Records a crash if the end of a task indicates one: a crash itself, or a start refused
+    /// because of an earlier crash.
+    pub(crate) fn record_crash_from_end(
+        &mut self,
+        now: Time,
+        id: SessionId,
+        task: &TaskId,
+        end: TaskEnd,
+    ) {
         if matches!(end, TaskEnd::Crashed | TaskEnd::NotRun(Refusal::CrashedTarget)) {
-            self.note_crash(now, id, task);
+            self.record_crash(now, id, task);
         }
     }
 
-    fn note_crash(&mut self, now: Time, id: SessionId, task: &TaskId) {
+    fn record_crash(&mut self, now: Time, id: SessionId, task: &TaskId) {
         let agent = self.agents.get(&id).and_then(|agent| agent.name());
         if let Some(agent) = agent.cloned() {
             self.crashes.add(now, task, agent);
         }
     }
 
-    /// Answers a job one of whose tasks has crashed as many targets as it may. Returns whether it has.
-    pub(crate) fn give_up_crashing(
+    /// Fails a job if one of its tasks has crashed the maximum number of targets. Returns whether
+    /// the job was failed.
+    pub(crate) fn fail_if_crashing(
         &mut self,
         now: Time,
         id: &JobId,
@@ -85,10 +96,11 @@
     ) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let task = |index| TaskId { job: id.clone(), index };
-        let given_up = (0..job.request.shape.count).any(|at| self.crashes.is_given_up(&task(at)));
-        if given_up {
-            self.finish(now, id, Outcome::Failed(Reason::CrashesTargets), out);
+        let at_limit =
+            (0..job.request.shape.count).any(|index| self.crashes.is_at_crash_limit(&task(index)));
+        if at_limit {
+            self.finish_job(now, id, Outcome::Failed(Reason::CrashesTargets), out);
         }
-        given_up
+        at_limit
     }
 }
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! One life of an entry: its state, and which part takes which event.
+//! The state of an entry and the dispatch of its events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,288 +8,300 @@
 
 use crate::agents::Agent;
 use crate::crashes::Crashes;
-use crate::event::{Action, Event, HallsSource, SessionId, Ticket};
+use crate::event::{Action, CallId, Event, HallsSource, SessionId};
 use crate::job::Job;
-use crate::place::ChangedRoom;
+use crate::placement::ChangedCapacity;
 use crate::policy::Policy;
-use crate::reserve::Reserve;
-use crate::returns::Returns;
+use crate::retry_schedule::RetrySchedule;
+use crate::urgent_reserve::UrgentReserve;
 
-/// The times of an entry.
+/// Intervals and timeouts of an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// From one sign of life to the next, for an agent that has tasks of this entry.
-    pub heartbeat: Duration,
-    /// From one sign of life to the next, for an agent that has none: it has nothing to stop once this
-    /// entry is gone. Three of them fit into the silence after which it ends the session.
-    pub quiet_heartbeat: Duration,
-    /// Silence of an agent after which it is given no new work: two of its reports of the load have not come. A host that
-    /// gets its share of a core in parts may be nearly that late.
-    pub agent_silence: Duration,
-    /// Silence of an agent after which its session is dead.
-    pub session_silence: Duration,
-    /// A gap between two events after which the process is taken to have stood still: agents have
-    /// given up on it.
-    pub longest_pause: Duration,
-    /// After the loss of an agent, nothing of what it ran runs any more.
-    pub lost_lease: Duration,
-    /// How long a task waits at an agent for room. Short, so that a start that crosses others' on its way is soon tried
-    /// elsewhere.
-    pub longest_wait: Duration,
-    /// What part of its objective a job waits at least for its first room before it is refused.
-    pub refuse_part: f64,
-    /// What part of its objective it waits at most, where it can still end in time. Far from all of
-    /// its slack: the tasks after the first wait as well, and estimates are far off.
-    pub refuse_part_most: f64,
-    /// What starting and answering take besides the work.
-    pub overhead: Duration,
-    /// Left of the client's time when a job is given up, for the answer to arrive.
+    /// Interval between heartbeats to an agent that has tasks of this entry.
+    pub heartbeat_interval: Duration,
+    /// Interval between heartbeats to an agent that has no tasks of this entry and so nothing to
+    /// stop if the entry dies. Several must fit into the agent's session timeout.
+    pub idle_heartbeat_interval: Duration,
+    /// Age of an agent's last load after which the agent gets no new work. Must leave time for late
+    /// reports of a throttled host.
+    pub max_load_age: Duration,
+    /// Time without a report from an agent after which its session is closed.
+    pub session_timeout: Duration,
+    /// Gap between two events from which the process is taken to have been paused, so that agents
+    /// have already closed its sessions.
+    pub pause_threshold: Duration,
+    /// Time after the loss of an agent by which all of its tasks have stopped.
+    pub lost_agent_lease: Duration,
+    /// How long a task may wait for capacity at an agent. Short, so that a start which conflicts
+    /// with those of other entries is soon retried elsewhere.
+    pub max_wait_at_agent: Duration,
+    /// Lower bound, as a fraction of the objective, on a job's wait for its first start before it
+    /// is refused.
+    pub min_wait_fraction: f64,
+    /// Upper bound, as a fraction of the objective, on that wait. Well below the slack that the
+    /// estimate leaves, as later tasks wait too and estimates are inaccurate.
+    pub max_wait_fraction: f64,
+    /// Time that starting and answering a job takes besides its work.
+    pub start_overhead: Duration,
+    /// Time before the client's deadline at which a job is answered, so that the answer arrives in
+    /// time.
     pub answer_margin: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            heartbeat: Duration::from_millis(100),
-            quiet_heartbeat: Duration::from_millis(280),
-            agent_silence: Duration::from_millis(200),
-            session_silence: Duration::from_millis(700),
-            longest_pause: Duration::from_millis(450),
-            lost_lease: Duration::from_millis(1_250),
-            longest_wait: Duration::from_millis(10),
-            refuse_part: 0.08,
-            refuse_part_most: 0.20,
-            overhead: Duration::from_millis(15),
+            heartbeat_interval: Duration::from_millis(100),
+            idle_heartbeat_interval: Duration::from_millis(280),
+            max_load_age: Duration::from_millis(200),
+            session_timeout: Duration::from_millis(700),
+            pause_threshold: Duration::from_millis(450),
+            lost_agent_lease: Duration::from_millis(1_250),
+            max_wait_at_agent: Duration::from_millis(10),
+            min_wait_fraction: 0.08,
+            max_wait_fraction: 0.20,
+            start_overhead: Duration::from_millis(15),
             answer_margin: Duration::from_millis(20),
         }
     }
 }
 
-/// What an entry counts since its start.
+/// Event counts of an entry since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatcherCounters {
-    /// Jobs handed in.
+    /// Jobs submitted, including resubmissions.
     pub submitted: u64,
-    /// Jobs completed.
+    /// Jobs answered as completed.
     pub completed: u64,
-    /// Jobs that failed.
+    /// Jobs answered as failed.
     pub failed: u64,
-    /// Jobs that did not run.
+    /// Jobs answered as not run.
     pub not_run: u64,
-    /// Jobs that may have run.
+    /// Jobs answered as possibly run.
     pub may_have_run: u64,
-    /// Jobs cancelled or left by their client.
+    /// Jobs that were cancelled or whose client disconnected.
     pub cancelled: u64,
-    /// Starts sent.
+    /// Starts sent to agents.
     pub starts: u64,
-    /// Starts that were refused without having run.
+    /// Starts that agents refused.
     pub refused_starts: u64,
-    /// Tasks that failed.
-    pub failures: u64,
-    /// Tasks that were lost.
-    pub losses: u64,
-    /// Agents that were lost.
+    /// Task runs that failed.
+    pub task_failures: u64,
+    /// Task runs that ended without a result.
+    pub task_losses: u64,
+    /// Agents that were lost after they had sent their profile.
     pub agents_lost: u64,
-    /// Promises that were about to be broken: bugs.
+    /// Invariant violations. Each is a bug.
     pub breaches: u64,
 }
 
-/// Where a task stands in the queue for room: what is left of jobs that have begun first, then by
-/// priority, then by when its job is to end.
+/// Key of a waiting task in the queue. Tasks of jobs that have started sort first, then by
+/// priority, then by the end of the job's objective.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
-    /// No task of the job has been placed yet.
-    pub fresh: bool,
+    /// Whether no task of the job has been started yet.
+    pub unstarted: bool,
     pub priority: u8,
     pub due: Time,
     pub job: JobId,
     pub index: u32,
-    /// What the task takes, in thousandths of a core.
+    /// CPU that the task needs, in thousandths of a core.
     pub cpu_milli: u64,
 }
 
-/// One life of an entry.
+/// Places the tasks of one entry's jobs at agents and answers the jobs.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) timing: Timing,
     pub(crate) policy: Policy,
     pub(crate) agents: BTreeMap<SessionId, Agent>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
-    pub(crate) tickets: BTreeMap<Ticket, JobId>,
+    pub(crate) calls: BTreeMap<CallId, JobId>,
     pub(crate) queue: BTreeSet<QueueEntry>,
-    /// Starts that go out at the end of the event, by agent and job.
-    pub(crate) outbox: BTreeMap<(SessionId, JobId), Vec<wire::StartTask>>,
+    /// Starts to be sent at the end of the current event, by agent and job.
+    pub(crate) pending_starts: BTreeMap<(SessionId, JobId), Vec<wire::StartTask>>,
     pub(crate) last_event: Time,
-    pub(crate) waits_ended: Time,
-    pub(crate) agents_watched: Time,
-    /// What is read before may have lain unread through a pause of the process.
+    pub(crate) timeouts_checked: Time,
+    pub(crate) agents_checked: Time,
+    /// End of the period after a pause in which incoming requests may be stale.
     pub(crate) stale_until: Time,
-    /// When an agent came or went last.
+    /// When an agent last joined or left.
     pub(crate) agents_changed: Time,
-    pub(crate) cancelled: CancelledJobs,
+    pub(crate) cancelled_jobs: CancelledJobs,
     pub(crate) crashes: Crashes,
-    /// The halls that get no new work.
-    pub(crate) halls: EmptiedHalls,
-    pub(crate) reserve: Reserve,
-    /// When rejected clients come back.
-    pub(crate) returns: Returns,
-    /// Set once the entry stops: what does not surely end by then is not taken.
-    pub(crate) stops_at: Option<Time>,
+    /// Halls that operators have emptied. Their targets get no new work.
+    pub(crate) emptied_halls: EmptiedHalls,
+    pub(crate) reserve: UrgentReserve,
+    /// Work that rejected clients were told to submit again, by time.
+    pub(crate) retries: RetrySchedule,
+    /// Set once the entry is stopping: jobs that may not end by then are refused.
+    pub(crate) stop_deadline: Option<Time>,
     pub(crate) counters: DispatcherCounters,
 }
 
-/// From one tick to the next.
-const TICK: Duration = Duration::from_millis(10);
-const IDLE_TICK: Duration = Duration::from_millis(50);
+/// Interval between ticks while tasks are queued.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
-    /// An entry that knows no agent yet.
+    /// Creates a dispatcher without any agents.
     pub fn new(timing: Timing, now: Time) -> Self {
         Self {
             timing,
             policy: Policy::default(),
             agents: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            calls: BTreeMap::new(),
             queue: BTreeSet::new(),
-            outbox: BTreeMap::new(),
+            pending_starts: BTreeMap::new(),
             last_event: now,
-            waits_ended: now,
-            agents_watched: now,
+            timeouts_checked: now,
+            agents_checked: now,
             stale_until: now,
             agents_changed: now,
-            cancelled: CancelledJobs::default(),
+            cancelled_jobs: CancelledJobs::default(),
             crashes: Crashes::default(),
-            halls: EmptiedHalls::default(),
-            reserve: Reserve::default(),
-            returns: Returns::default(),
-            stops_at: None,
+            emptied_halls: EmptiedHalls::default(),
+            reserve: UrgentReserve::default(),
+            retries: RetrySchedule::default(),
+            stop_deadline: None,
             counters: DispatcherCounters::default(),
         }
     }
 
-    /// With parts of the policy switched off, for experiments.
+    /// Replaces the scheduling policy, for experiments.
     pub fn with_policy(self, policy: Policy) -> Self {
         Self { policy, ..self }
     }
 
-    /// Takes an event and adds the actions that follow.
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let gap = now.since(self.last_event);
         self.last_event = now;
-        if gap > self.timing.longest_pause {
-            self.has_paused(gap, out);
+        if gap > self.timing.pause_threshold {
+            self.handle_pause(gap, out);
         }
-        let changed = changed_room(&event);
+        let changed = changed_capacity(&event);
         match event {
-            Event::AgentOpened(id) => self.open_agent(now, id),
-            Event::AgentClosed(id) => self.lose_agent(id, "closed", out),
-            Event::FromAgent(id, message) => self.hear_agent(now, id, message, out),
-            Event::Submit(ticket, request) => self.submit(now, ticket, request, out),
-            Event::Abandon(ticket) => self.abandon(now, ticket, out),
+            Event::AgentOpened(id) => self.add_agent(now, id),
+            Event::AgentClosed(id) => self.remove_agent(id, "closed", out),
+            Event::FromAgent(id, message) => self.handle_agent_message(now, id, message, out),
+            Event::Submit(call, request) => self.submit(now, call, request, out),
+            Event::Abandon(call) => self.abandon(now, call, out),
             Event::Cancel(job) => self.cancel(now, &job, out),
-            Event::CancelledElsewhere(job) => self.cancel_own(now, &job, out),
-            Event::Halls(halls) => self.take_halls(now, &halls, HallsSource::Keeper, out),
-            Event::TakeOnlyWhatEndsBy(end) => self.stops_at = Some(end),
+            Event::CancelledElsewhere(job) => self.cancel_local(now, &job, out),
+            Event::EmptiedHalls(halls) => {
+                self.update_emptied_halls(now, &halls, HallsSource::Keeper, out)
+            }
+            Event::AdmitOnlyJobsEndingBy(end) => self.stop_deadline = Some(end),
             Event::AnswerAll => self.answer_all(now, out),
             Event::Tick => {}
         }
-        self.watch_agents(now, out);
-        // Room that has just come is used before anyone is refused for want of it, and starts are
-        // sent before the stops of jobs that end.
-        self.place(now, changed, out);
+        self.check_agents(now, out);
+        // Capacity is assigned before jobs are refused for lack of it, and starts are sent before
+        // the stops of jobs that end.
+        self.place_tasks(now, changed, out);
         self.send_starts(now, out);
-        self.end_waits(now, out);
+        self.check_timeouts(now, out);
     }
 
-    /// When the next tick is due.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn next_timer(&self, now: Time) -> Time {
-        now + if self.queue.is_empty() { IDLE_TICK } else { TICK }
+        now + if self.queue.is_empty() { IDLE_TICK_INTERVAL } else { TICK_INTERVAL }
     }
 
-    /// Jobs whose client waits.
-    pub fn active(&self) -> usize {
+    /// Number of jobs that are not answered yet.
+    pub fn active_jobs(&self) -> usize {
         self.jobs.values().filter(|job| job.outcome.is_none()).count()
     }
 
-    /// Whether a job is active here.
+    /// Whether a job is known here and not answered yet.
     pub fn has_job(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|job| job.outcome.is_none())
     }
 
-    /// Jobs of a queue of which no task has left this entry.
-    pub fn waiting(&self, queue: &str) -> usize {
-        let waits = |job: &&Job| {
-            job.outcome.is_none() && *job.request.queue == *queue && job.is_untouched()
+    /// Number of unanswered jobs of a queue of which nothing can have run.
+    pub fn waiting_jobs(&self, queue: &str) -> usize {
+        let is_waiting = |job: &&Job| {
+            job.outcome.is_none() && *job.request.queue == *queue && job.is_provably_not_run()
         };
-        self.jobs.values().filter(waits).count()
+        self.jobs.values().filter(is_waiting).count()
     }
 
-    /// Agents that take new work.
+    /// Number of agents that accept new work.
     pub fn open_agents(&self) -> usize {
         self.agents.values().filter(|agent| agent.load.open).count()
     }
 
-    /// Agents that have a session.
+    /// Number of agents that have sent their profile.
     pub fn known_agents(&self) -> usize {
         self.agents.values().filter(|agent| agent.profile.is_some()).count()
     }
 
-    /// The halls that it knows to be emptied.
-    pub fn halls(&self) -> &EmptiedHalls {
-        &self.halls
+    /// The emptied halls known to this entry.
+    pub fn emptied_halls(&self) -> &EmptiedHalls {
+        &self.emptied_halls
     }
 
-    /// Tasks that wait for room.
-    pub fn queued(&self) -> usize {
+    /// Number of tasks that wait for capacity.
+    pub fn queued_tasks(&self) -> usize {
         self.queue.len()
     }
 
-    /// What it counted.
+    /// Event counts since the start of this entry.
     pub fn counters(&self) -> DispatcherCounters {
         self.counters
     }
 
-    fn hear_agent(&mut self, now: Time, id: SessionId, message: ToEntry, out: &mut Vec<Action>) {
+    fn handle_agent_message(
+        &mut self,
+        now: Time,
+        id: SessionId,
+        message: ToEntry,
+        out: &mut Vec<Action>,
+    ) {
         match message {
             ToEntry::Hello { profile, document, halls } => {
-                self.agent_says_hello(id, profile, out);
-                self.compare_halls(now, id, &halls, out);
+                self.register_agent(id, profile, out);
+                self.sync_emptied_halls(now, id, &halls, out);
                 out.push(Action::DocumentOffered(id, document));
             }
-            ToEntry::Load(load) => self.agent_load(now, id, load, out),
+            ToEntry::Load(load) => self.update_agent_load(now, id, load, out),
             ToEntry::Ended { reports, load } => {
-                self.agent_load(now, id, load, out);
+                self.update_agent_load(now, id, load, out);
                 for report in reports {
-                    self.task_ended(now, id, report, out);
+                    self.handle_task_report(now, id, report, out);
                 }
             }
-            ToEntry::Cancelled(job) => self.cancel_own(now, &job, out),
+            ToEntry::Cancelled(job) => self.cancel_local(now, &job, out),
             ToEntry::DocumentPart(part) => out.push(Action::DocumentPart(id, part)),
-            ToEntry::Halls(halls) => self.take_halls(now, &halls, HallsSource::Agent(id), out),
-            ToEntry::TargetCrashed(tasks) => self.target_crashed(now, id, &tasks, out),
+            ToEntry::Halls(halls) => {
+                self.update_emptied_halls(now, &halls, HallsSource::Agent(id), out)
+            }
+            ToEntry::TargetCrashed(tasks) => self.handle_target_crash(now, id, &tasks, out),
         }
     }
 }
 
-/// Where waiting tasks may find room that they did not find before an event. A load changes what one
-/// agent has; any other event may bring tasks that were not looked at yet.
-fn changed_room(event: &Event) -> ChangedRoom {
+/// Returns the agents at which queued tasks may find capacity after an event. A load changes the
+/// capacity of a single agent; any other event may have queued tasks that were not tried anywhere.
+fn changed_capacity(event: &Event) -> ChangedCapacity {
     match event {
-        Event::FromAgent(id, ToEntry::Load(_)) => ChangedRoom::At(*id),
+        Event::FromAgent(id, ToEntry::Load(_)) => ChangedCapacity::Agent(*id),
         Event::FromAgent(id, ToEntry::Ended { reports, .. })
             if reports.iter().all(|report| report.end == TaskEnd::Done) =>
         {
-            ChangedRoom::At(*id)
+            ChangedCapacity::Agent(*id)
         }
-        _ => ChangedRoom::Anywhere,
+        _ => ChangedCapacity::AnyAgent,
     }
 }
 
-/// Where a task of a job stands in the queue.
+/// Returns the queue key of a task of a job.
 pub(crate) fn queue_entry(job: &Job, index: u32, policy: Policy) -> QueueEntry {
     QueueEntry {
-        fresh: policy.begun_first && job.starts == 0,
+        unstarted: policy.started_first && job.starts == 0,
         priority: job.request.priority,
         due: job.submitted + job.request.objective,
         job: job.request.id.clone(),
--- a/components/dispatch/src/halls.rs
+++ b/components/dispatch/src/halls.rs
@@ -1,51 +1,52 @@
-//! Data halls that operators have emptied: no task goes to an agent there.
+//! Data halls that operators have emptied: no task is placed there.
 //!
-//! Agents refuse starts by themselves once they know. An entry that knows first spares its jobs a refused start, and
-//! tells the agents of it that have not heard, as they may be cut off from every keeper.
+//! Agents in such a hall refuse starts themselves. An entry that knows of the hall avoids those
+//! refusals, and forwards the set to agents that may be cut off from all keepers.
 
 use model::{JobId, Time};
 use wire::{EmptiedHalls, ToAgent};
 
+use crate::admission::not_run_outcome;
 use crate::dispatcher::Dispatcher;
-use crate::event::{Action, HallsSource, JobRequest, News, Outcome, Reason, SessionId};
-use crate::intake::not_run;
+use crate::event::{Action, HallsSource, JobRequest, LogEvent, Outcome, Reason, SessionId};
+use crate::feasibility::can_run;
 use crate::job::Job;
-use crate::servable::could_run;
 
 impl Dispatcher {
-    /// Takes note of the halls that are emptied, and refuses what only their targets could run.
-    pub(crate) fn take_halls(
+    /// Applies a newer set of emptied halls, forwards it to the agents and refuses the waiting jobs
+    /// that only targets in emptied halls could run.
+    pub(crate) fn update_emptied_halls(
         &mut self,
         now: Time,
         halls: &EmptiedHalls,
         source: HallsSource,
         out: &mut Vec<Action>,
     ) {
-        if !self.halls.update(halls) {
+        if !self.emptied_halls.update(halls) {
             return;
         }
-        out.push(Action::News(News::Halls { halls: halls.clone(), source }));
+        out.push(Action::Log(LogEvent::Halls { halls: halls.clone(), source }));
         for (id, agent) in &mut self.agents {
-            agent.hall_is_emptied = agent.stands_in(halls);
+            agent.hall_is_emptied = agent.is_in(halls);
             if agent.profile.is_some() && source != HallsSource::Agent(*id) {
                 out.push(Action::Send(*id, ToAgent::Halls(halls.clone())));
             }
         }
-        let stranded = self.jobs.values().filter(|job| {
-            let waits = job.outcome.is_none() && job.is_untouched();
-            waits && self.only_emptied_could_run(now, &job.request)
+        let blocked = self.jobs.values().filter(|job| {
+            let is_waiting = job.outcome.is_none() && job.is_provably_not_run();
+            is_waiting && self.only_emptied_halls_fit(now, &job.request)
         });
-        let refusal = |job: &Job| not_run(Reason::HallsEmptied, &job.request);
-        let stranded = stranded.map(|job| (job.request.id.clone(), refusal(job)));
-        let stranded: Vec<(JobId, Outcome)> = stranded.collect();
-        for (id, outcome) in stranded {
-            self.finish(now, &id, outcome, out);
+        let refusal = |job: &Job| not_run_outcome(Reason::HallsEmptied, &job.request);
+        let blocked = blocked.map(|job| (job.request.id.clone(), refusal(job)));
+        let blocked: Vec<(JobId, Outcome)> = blocked.collect();
+        for (id, outcome) in blocked {
+            self.finish_job(now, &id, outcome, out);
         }
     }
 
-    /// An agent has told in its greeting which halls it knows to be emptied: whoever knows the newer order tells
-    /// the other.
-    pub(crate) fn compare_halls(
+    /// Compares the agent's set of emptied halls with this entry's. The side with the older
+    /// revision receives the newer set.
+    pub(crate) fn sync_emptied_halls(
         &mut self,
         now: Time,
         id: SessionId,
@@ -53,20 +54,20 @@
         out: &mut Vec<Action>,
     ) {
         if let Some(agent) = self.agents.get_mut(&id) {
-            agent.hall_is_emptied = agent.stands_in(&self.halls);
+            agent.hall_is_emptied = agent.is_in(&self.emptied_halls);
         }
-        if halls.revision < self.halls.revision {
-            out.push(Action::Send(id, ToAgent::Halls(self.halls.clone())));
+        if halls.revision < self.emptied_halls.revision {
+            out.push(Action::Send(id, ToAgent::Halls(self.emptied_halls.clone())));
         }
-        self.take_halls(now, halls, HallsSource::Agent(id), out);
+        self.update_emptied_halls(now, halls, HallsSource::Agent(id), out);
     }
 
-    /// Whether every target that could run a job stands in an emptied hall, and there is one.
-    pub(crate) fn only_emptied_could_run(&self, now: Time, request: &JobRequest) -> bool {
-        if self.halls.halls.is_empty() || !self.is_settled(now) {
+    /// Whether at least one target could run the job and every such target is in an emptied hall.
+    pub(crate) fn only_emptied_halls_fit(&self, now: Time, request: &JobRequest) -> bool {
+        if self.emptied_halls.halls.is_empty() || !self.agents_are_settled(now) {
             return false;
         }
-        let mut able = self.agents.values().filter(|agent| could_run(agent, request)).peekable();
-        able.peek().is_some() && able.all(|agent| agent.hall_is_emptied)
+        let mut capable = self.agents.values().filter(|agent| can_run(agent, request)).peekable();
+        capable.peek().is_some() && capable.all(|agent| agent.hall_is_emptied)
     }
 }
--- a/daemon/src/room/entry.rs
+++ b/daemon/src/room/entry.rs
@@ -9,7 +9,7 @@
 
 use async_channel::Sender;
 use async_io::{Async, Timer};
-use dispatch::{Action, Dispatcher, Event, Outcome, SessionId, Ticket, Timing};
+use dispatch::{Action, CallId, Dispatcher, Event, Outcome, SessionId, Timing};
 use keeper::DocumentSource;
 use net::Tasks;
 use routing::RouteTable;
@@ -46,7 +46,7 @@
     /// The routes in force; none before the first configuration.
     table: RefCell<Option<Rc<RouteTable>>>,
     agents: RefCell<HashMap<SessionId, Outgoing<ToAgent>>>,
-    waiting: RefCell<HashMap<Ticket, Sender<Outcome>>>,
+    waiting: RefCell<HashMap<CallId, Sender<Outcome>>>,
     pub(super) figures: RefCell<Figures>,
     next: Cell<u64>,
     /// Callers find it.
@@ -206,7 +206,7 @@
             WatchCallbacks {
                 document: take,
                 nodes: Box::new(move |entries, _| peers.listed(entries)),
-                halls: Box::new(move |halls| for_halls.feed(Event::Halls(halls))),
+                halls: Box::new(move |halls| for_halls.feed(Event::EmptiedHalls(halls))),
                 ask_agent,
             },
         );
@@ -246,7 +246,7 @@
             Action::Close(id) => {
                 self.agents.borrow_mut().remove(&id);
             }
-            Action::TellEntries(job) => self.peers.cancel(&job),
+            Action::NotifyEntries(job) => self.peers.cancel(&job),
             Action::DocumentOffered(id, version) => {
                 self.tell_watch(id, AgentEvent::Offered(version));
             }
@@ -258,7 +258,7 @@
                     let _ = waiting.try_send(outcome);
                 }
             }
-            Action::News(news) => {
+            Action::Log(news) => {
                 self.figures.borrow_mut().note(&news);
                 entry_news::write(&self.log, &news);
             }
@@ -320,7 +320,7 @@
 
     /// Jobs whose client waits.
     pub fn active(&self) -> usize {
-        self.dispatcher.borrow().active()
+        self.dispatcher.borrow().active_jobs()
     }
 
     pub fn now(&self) -> model::Time {
@@ -338,7 +338,7 @@
         self: &Rc<Self>,
         request: dispatch::JobRequest,
     ) -> (async_channel::Receiver<Outcome>, Guard) {
-        let ticket = Ticket(self.number());
+        let ticket = CallId(self.number());
         let (sender, answer) = async_channel::bounded(1);
         self.waiting.borrow_mut().insert(ticket, sender);
         let guard = Guard { entry: self.clone(), ticket };
@@ -351,14 +351,14 @@
     }
 
     pub fn waiting(&self, queue: &str) -> usize {
-        self.dispatcher.borrow().waiting(queue)
+        self.dispatcher.borrow().waiting_jobs(queue)
     }
 }
 
 /// A client that waits; dropped before the answer when the client goes away.
 pub(super) struct Guard {
     entry: Rc<Entry>,
-    ticket: Ticket,
+    ticket: CallId,
 }
 
 impl Drop for Guard {
--- a/soak/src/room/halls.rs
+++ b/soak/src/room/halls.rs
@@ -155,7 +155,7 @@
             return self.at(TELL_AGAIN, Happening::HallsTold { is_entry, number, emptied });
         }
         match is_entry {
-            true => self.feed_entry(number, dispatch::Event::Halls(emptied)),
+            true => self.feed_entry(number, dispatch::Event::EmptiedHalls(emptied)),
             false => self.feed_agent(number, runner::Event::Halls(emptied)),
         }
     }
@@ -174,7 +174,7 @@
         let Some(halls) = &self.halls else { return };
         let last = halls.emptied.revision;
         let entries = self.entries.iter().map(|entry| {
-            entry.dispatcher.as_ref().map_or(last, |dispatcher| dispatcher.halls().revision)
+            entry.dispatcher.as_ref().map_or(last, |dispatcher| dispatcher.emptied_halls().revision)
         });
         let agents = self
             .agents
--- a/soak/src/room/processes.rs
+++ b/soak/src/room/processes.rs
@@ -33,7 +33,7 @@
                         self.fetch(entry, |fetch, now| fetch.gone(now, source));
                     }
                 }
-                dispatch::Action::TellEntries(job) => self.tell_entries(entry, &job),
+                dispatch::Action::NotifyEntries(job) => self.tell_entries(entry, &job),
                 dispatch::Action::DocumentOffered(id, version) => {
                     let source = DocumentSource::Agent(id.0);
                     self.fetch(entry, |fetch, now| fetch.offered(now, source, version));
@@ -43,10 +43,10 @@
                     self.fetch(entry, |fetch, now| fetch.answered(now, source, part));
                 }
                 dispatch::Action::Answer(ticket, outcome) => self.answer(entry, ticket, outcome),
-                dispatch::Action::News(dispatch::News::Breach(breach)) => {
+                dispatch::Action::Log(dispatch::LogEvent::Breach(breach)) => {
                     self.checks.violation(self.now, breach.to_string());
                 }
-                dispatch::Action::News(_) => {}
+                dispatch::Action::Log(_) => {}
             }
         }
     }
