--- a/components/runner/src/event.rs
+++ b/components/runner/src/event.rs
@@ -14,7 +14,7 @@
 /// One life of a target. One that starts again may keep its id; the moment of its start then tells
 /// its lives apart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TargetLife {
+pub struct TargetInstance {
     /// The id that it gives itself.
     pub id: Arc<str>,
     /// When it started, in ms of the Unix epoch by its own clock; `None` where it does not tell. Clocks
@@ -22,9 +22,9 @@
     pub started_ms: Option<u64>,
 }
 
-impl TargetLife {
+impl TargetInstance {
     /// A life that does not tell when it started.
-    pub fn named(id: impl Into<Arc<str>>) -> Self {
+    pub fn from_id(id: impl Into<Arc<str>>) -> Self {
         Self { id: id.into(), started_ms: None }
     }
 
@@ -39,7 +39,7 @@
     }
 }
 
-impl fmt::Display for TargetLife {
+impl fmt::Display for TargetInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.started_ms {
             Some(started) => write!(f, "{} started at {started}", self.id),
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetReport {
     /// Which of its lives.
-    pub id: TargetLife,
+    pub instance: TargetInstance,
     /// The service that it takes work of.
     pub service: Arc<str>,
     /// Its data hall.
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunKey {
     /// The target's life.
-    pub target: TargetLife,
+    pub target: TargetInstance,
     /// The task.
     pub task: TaskId,
     /// Counts the task's starts.
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HoldOrder {
     /// The target's life.
-    pub target: TargetLife,
+    pub target: TargetInstance,
     /// The lease's end on the target's clock, in ms; `None` where it is not to be renewed.
     pub deadline_ms: Option<u64>,
     /// Higher than that of any earlier life of the agent.
@@ -156,7 +156,7 @@
     /// It is not well, and has done nothing.
     Unhealthy,
     /// Another life has its address.
-    OtherLife,
+    OtherInstance,
     /// No answer: it may have been done, or may be later.
     Silent,
 }
@@ -167,7 +167,7 @@
     /// The run is stopping, has ended, or will never start.
     Done,
     /// Another life has its address.
-    OtherLife,
+    OtherInstance,
     /// It was not done, or not answered.
     Silent,
 }
@@ -227,7 +227,7 @@
         clock_ms: u64,
     },
     /// Another life has its address.
-    OtherLife,
+    OtherInstance,
     /// No answer.
     Silent,
 }
@@ -255,15 +255,15 @@
     /// The target reports of itself.
     Target(TargetReport),
     /// The target says that it ends now.
-    TargetLeft(TargetLife),
+    TargetLeft(TargetInstance),
     /// An order for a life could not be sent, as nothing listens at the target's address.
-    NoListener(TargetLife),
+    NoListener(TargetInstance),
     /// The answer to a start.
     Started(RunKey, StartReply),
     /// The answer to a stop.
     Stopped(RunKey, StopReply),
     /// The answer to a hold.
-    Held(TargetLife, HoldReply),
+    Held(TargetInstance, HoldReply),
     /// A newer document.
     Document(Document),
     /// A keeper tells which halls are emptied.
@@ -297,35 +297,35 @@
     /// A target's new life is taken on.
     TargetFound {
         /// Its life.
-        id: TargetLife,
+        instance: TargetInstance,
         /// The fencing token that it is given.
         fencing_token: u64,
     },
     /// A target's life is over.
     TargetGone {
         /// Its life.
-        id: TargetLife,
+        instance: TargetInstance,
         /// Runs that went with it.
         lost: usize,
     },
     /// A life that nothing is known of reported while another is there: it is asked.
-    TargetAsked(TargetLife),
+    TargetAsked(TargetInstance),
     /// A report was overtaken by newer ones of its life, or its life is over: nothing in it counts
     /// but that the present life is about to leave.
     TargetReportLate {
         /// The life that it is of.
-        id: TargetLife,
+        instance: TargetInstance,
         /// Its number within that life.
         sequence: u64,
         /// The life that is there now.
-        present: Option<TargetLife>,
+        present: Option<TargetInstance>,
         /// The highest number that was heard of that one; 0 for none.
         present_sequence: u64,
     },
     /// The target does not answer.
-    TargetSilent(TargetLife),
+    TargetSilent(TargetInstance),
     /// The target answers again.
-    TargetHeard(TargetLife),
+    TargetHeard(TargetInstance),
     /// Other halls are emptied than before.
     Halls {
         /// Those that are, and the revision of the order.
@@ -336,7 +336,7 @@
         source: HallsSource,
     },
     /// The target is about to leave: no new work.
-    TargetDrains(TargetLife),
+    TargetDrains(TargetInstance),
     /// The target fails what it runs: left out for a while.
     TargetLeftOut {
         /// Failures in a row.
--- a/components/runner/src/hold.rs
+++ b/components/runner/src/hold.rs
@@ -7,7 +7,7 @@
 use wire::TaskEnd;
 
 use crate::event::{
-    Action, EndReason, HoldOrder, HoldReply, News, RunKey, StopOrder, TargetEnd, TargetLife,
+    Action, EndReason, HoldOrder, HoldReply, News, RunKey, StopOrder, TargetEnd, TargetInstance,
     TargetRun,
 };
 use crate::run::{Run, RunState};
@@ -105,7 +105,7 @@
     pub(crate) fn held(
         &mut self,
         now: Time,
-        id: &TargetLife,
+        id: &TargetInstance,
         reply: HoldReply,
         out: &mut Vec<Action>,
     ) {
@@ -141,7 +141,7 @@
                 target.hold_from = now + RETRY;
                 target.raise_fence(now);
             }
-            HoldReply::OtherLife => self.target_gone(now, out),
+            HoldReply::OtherInstance => self.target_gone(now, out),
             HoldReply::Silent => {
                 target.left_unanswered(now, &self.timing);
                 target.hold_from = sent + RETRY;
--- a/components/runner/src/lib.rs
+++ b/components/runner/src/lib.rs
@@ -24,7 +24,7 @@
 
 pub use event::{
     Action, EndReason, Event, HallsSource, HoldOrder, HoldReply, News, RunKey, SessionId,
-    StartOrder, StartRefusal, StartReply, StopOrder, StopReply, TargetEnd, TargetLife,
+    StartOrder, StartRefusal, StartReply, StopOrder, StopReply, TargetEnd, TargetInstance,
     TargetReport, TargetRun,
 };
 pub use runner::{Runner, RunnerCounters, Timing};
--- a/components/runner/src/lives.rs
+++ b/components/runner/src/lives.rs
@@ -13,7 +13,7 @@
 use model::{TaskId, Time};
 use wire::Refusal;
 
-use crate::event::{Action, HoldReply, News, TargetLife, TargetReport, TargetRun};
+use crate::event::{Action, HoldReply, News, TargetInstance, TargetReport, TargetRun};
 use crate::hold::START_SLACK;
 use crate::run::{Run, RunState};
 use crate::runner::Runner;
@@ -57,21 +57,23 @@
         report: TargetReport,
         out: &mut Vec<Action>,
     ) {
-        if self.gone.contains(&report.id) {
-            return self.report_is_late(&report.id, report.sequence, out);
+        if self.gone.contains(&report.instance) {
+            return self.report_is_late(&report.instance, report.sequence, out);
         }
         match &self.target {
             None => self.adopt(Target::new(report, now), out),
-            Some(target) if target.may_report(&report.id) => self.hear_target(now, report, out),
+            Some(target) if target.may_report(&report.instance) => {
+                self.hear_target(now, report, out)
+            }
             Some(_) => self.hear_newcomer(now, report, out),
         }
     }
 
     /// A life reports while another is there: the next one, or an earlier one, late.
     fn hear_newcomer(&mut self, now: Time, report: TargetReport, out: &mut Vec<Action>) {
-        let known = self.newcomers.iter_mut().find(|newcomer| *newcomer.id() == report.id);
+        let known = self.newcomers.iter_mut().find(|newcomer| *newcomer.id() == report.instance);
         if let Some(newcomer) = known {
-            let (id, sequence) = (report.id.clone(), report.sequence);
+            let (id, sequence) = (report.instance.clone(), report.sequence);
             if newcomer.hear(report).late {
                 self.report_is_late(&id, sequence, out);
             }
@@ -80,7 +82,7 @@
         if self.newcomers.len() == NEWCOMERS {
             self.newcomers.remove(0);
         }
-        out.push(Action::News(News::TargetAsked(report.id.clone())));
+        out.push(Action::News(News::TargetAsked(report.instance.clone())));
         let mut newcomer = Target::new(report, now);
         if let Some(target) = &self.target {
             newcomer.follow(target);
@@ -91,7 +93,7 @@
     /// The present life of the target reports of itself.
     fn hear_target(&mut self, now: Time, report: TargetReport, out: &mut Vec<Action>) {
         let Some(target) = &mut self.target else { return };
-        let (id, sequence) = (report.id.clone(), report.sequence);
+        let (id, sequence) = (report.instance.clone(), report.sequence);
         let Heard { late, drains, moved } = target.hear(report);
         if late {
             self.report_is_late(&id, sequence, out);
@@ -107,7 +109,7 @@
     }
 
     /// The target says that it ends now: whatever else comes from this life is late.
-    pub(crate) fn target_left(&mut self, now: Time, id: &TargetLife, out: &mut Vec<Action>) {
+    pub(crate) fn target_left(&mut self, now: Time, id: &TargetInstance, out: &mut Vec<Action>) {
         if let Some(target) = self.target.as_mut().filter(|target| target.id() == id) {
             target.report.draining = true;
             return self.target_gone(now, out);
@@ -126,7 +128,7 @@
     }
 
     /// No process of the target is there to take an order.
-    pub(crate) fn nothing_listens(&mut self, now: Time, id: &TargetLife) {
+    pub(crate) fn nothing_listens(&mut self, now: Time, id: &TargetInstance) {
         if let Some(target) = self.target.as_mut().filter(|target| target.id().may_be(id)) {
             target.no_listener.get_or_insert(now);
             target.stopped_answering(now, &self.timing);
@@ -160,7 +162,7 @@
             }
             Some(_) => {}
         }
-        let present = TargetLife { id: target.id().id.clone(), started_ms: Some(*started) };
+        let present = TargetInstance { id: target.id().id.clone(), started_ms: Some(*started) };
         let known = self.newcomers.iter().position(|newcomer| *newcomer.id() == present);
         let next = match known {
             Some(at) => self.newcomers.remove(at),
@@ -175,7 +177,7 @@
     pub(crate) fn newcomer_answered(
         &mut self,
         now: Time,
-        id: &TargetLife,
+        id: &TargetInstance,
         reply: &HoldReply,
         out: &mut Vec<Action>,
     ) -> bool {
@@ -187,7 +189,7 @@
             _ => None,
         };
         match reply {
-            HoldReply::OtherLife => {
+            HoldReply::OtherInstance => {
                 self.newcomer_is_over(at, out);
                 true
             }
@@ -232,7 +234,7 @@
         match id.started_ms {
             Some(own) => own != started,
             None => {
-                let answering = TargetLife { id: id.id.clone(), started_ms: Some(started) };
+                let answering = TargetInstance { id: id.id.clone(), started_ms: Some(started) };
                 self.target.as_ref().is_some_and(|target| *target.id() == answering)
             }
         }
@@ -284,7 +286,7 @@
     /// Takes on a life of the target. Nothing starts there before it has answered a hold.
     fn adopt(&mut self, target: Target, out: &mut Vec<Action>) {
         out.push(Action::News(News::TargetFound {
-            id: target.id().clone(),
+            instance: target.id().clone(),
             fencing_token: target.fencing_token,
         }));
         self.newcomers.iter_mut().for_each(Target::overtake);
@@ -294,7 +296,7 @@
     }
 
     /// Remembers a life as over.
-    pub(crate) fn remember_gone(&mut self, id: TargetLife) {
+    pub(crate) fn remember_gone(&mut self, id: TargetInstance) {
         if self.gone.contains(&id) {
             return;
         }
@@ -304,13 +306,13 @@
         }
     }
 
-    fn report_is_late(&mut self, id: &TargetLife, sequence: u64, out: &mut Vec<Action>) {
+    fn report_is_late(&mut self, id: &TargetInstance, sequence: u64, out: &mut Vec<Action>) {
         self.counters.late_reports += 1;
         let present = self.target.as_ref().map(|target| &target.report);
         out.push(Action::News(News::TargetReportLate {
-            id: id.clone(),
+            instance: id.clone(),
             sequence,
-            present: present.map(|report| report.id.clone()),
+            present: present.map(|report| report.instance.clone()),
             present_sequence: present.map_or(0, |report| report.sequence),
         }));
     }
--- a/components/runner/src/orders.rs
+++ b/components/runner/src/orders.rs
@@ -129,7 +129,7 @@
                 }
                 self.end(now, &key.task, TaskEnd::NotRun(Refusal::Target), out);
             }
-            StartReply::OtherLife => self.target_gone(now, out),
+            StartReply::OtherInstance => self.target_gone(now, out),
             StartReply::Silent => self.start_silent(now, &key.task, stopping, out),
         }
     }
@@ -219,7 +219,7 @@
             (StopReply::Done, RunState::Stopping(stopping)) => {
                 stopping.acknowledged.get_or_insert(now);
             }
-            (StopReply::OtherLife, _) => self.target_gone(now, out),
+            (StopReply::OtherInstance, _) => self.target_gone(now, out),
             _ => {}
         }
     }
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -7,7 +7,7 @@
 use model::{CancelledJobs, JobId, NodeName, Resources, TaskId, Time};
 use wire::{Document, EmptiedHalls, Refusal, TaskEnd, TaskReport, ToEntry};
 
-use crate::event::{Action, Event, HallsSource, News, SessionId, TargetLife};
+use crate::event::{Action, Event, HallsSource, News, SessionId, TargetInstance};
 use crate::health::Change;
 use crate::lives::NextLife;
 use crate::run::{Run, RunState, Stopping};
@@ -133,7 +133,7 @@
     pub(crate) timing: Timing,
     pub(crate) target: Option<Target>,
     /// Lives of the target that are over.
-    pub(crate) gone: Vec<TargetLife>,
+    pub(crate) gone: Vec<TargetInstance>,
     /// Lives that reported while another was there, in the order in which they were heard of: the
     /// next ones, or late reports of earlier ones.
     pub(crate) newcomers: Vec<Target>,
@@ -326,7 +326,10 @@
         let over = self.runs.iter().filter(|(task, run)| !is_kept(task, run));
         let ends: Vec<(TaskId, TaskEnd)> =
             over.map(|(task, run)| (task.clone(), end_of(run))).collect();
-        out.push(Action::News(News::TargetGone { id: target.id().clone(), lost: ends.len() }));
+        out.push(Action::News(News::TargetGone {
+            instance: target.id().clone(),
+            lost: ends.len(),
+        }));
         self.end_with_target(now, ends, out);
         self.mark_dirty();
     }
--- a/components/runner/src/target.rs
+++ b/components/runner/src/target.rs
@@ -4,7 +4,7 @@
 
 use model::{Resources, Time};
 
-use crate::event::{HoldOrder, TargetLife, TargetReport};
+use crate::event::{HoldOrder, TargetInstance, TargetReport};
 use crate::health::Health;
 use crate::hold::RETRY;
 use crate::hold_times::HoldTimes;
@@ -60,7 +60,7 @@
 
 /// A token above all that earlier lives of the agent took, without anything on a disk: a target's clock only goes
 /// forward, and where it keeps its id, the moment of its start does.
-fn fencing_token(id: &TargetLife, clock_ms: u64) -> u64 {
+fn fencing_token(id: &TargetInstance, clock_ms: u64) -> u64 {
     id.started_ms.unwrap_or(0) + clock_ms
 }
 
@@ -103,7 +103,7 @@
 impl Target {
     pub fn new(report: TargetReport, now: Time) -> Self {
         Self {
-            fencing_token: fencing_token(&report.id, report.clock_ms),
+            fencing_token: fencing_token(&report.instance, report.clock_ms),
             clock: (report.clock_ms, now),
             report,
             last_seen: 0,
@@ -129,9 +129,9 @@
     }
 
     /// The next life of this target, which has answered an order and not reported of itself yet.
-    pub fn before_its_report(&self, now: Time, id: TargetLife, clock_ms: u64) -> Self {
+    pub fn before_its_report(&self, now: Time, id: TargetInstance, clock_ms: u64) -> Self {
         let report = TargetReport {
-            id,
+            instance: id,
             draining: false,
             remaining: None,
             clock_ms,
@@ -151,19 +151,19 @@
         }
     }
 
-    pub fn id(&self) -> &TargetLife {
-        &self.report.id
+    pub fn id(&self) -> &TargetInstance {
+        &self.report.instance
     }
 
     /// Whether a report with this name is one of this life, or of a writer that leaves the start out.
-    pub fn may_report(&self, id: &TargetLife) -> bool {
+    pub fn may_report(&self, id: &TargetInstance) -> bool {
         let leaves_out = id.started_ms.is_none() && id.id == self.id().id;
         *self.id() == *id || leaves_out
     }
 
     /// Its answer tells when it started, which its report did not: whatever report does counts as newer.
     pub fn learn_start(&mut self, now: Time, started_ms: u64) {
-        self.report.id.started_ms = Some(started_ms);
+        self.report.instance.started_ms = Some(started_ms);
         self.report.sequence = 0;
         self.fencing_token = self.fencing_token.max(self.present_token(now));
     }
@@ -185,7 +185,7 @@
     /// the target is about to leave: it was told that this is known, so it may end soon after, and
     /// no life takes it back.
     pub fn hear(&mut self, report: TargetReport) -> Heard {
-        let tells_less = report.id.started_ms.is_none() && self.id().started_ms.is_some();
+        let tells_less = report.instance.started_ms.is_none() && self.id().started_ms.is_some();
         let late = tells_less || report.sequence < self.report.sequence;
         let drains = report.draining && !self.report.draining;
         let draining = report.draining || self.report.draining;
--- a/components/runner/tests/kept_ids.rs
+++ b/components/runner/tests/kept_ids.rs
@@ -10,7 +10,7 @@
 
 use model::Resources;
 use runner::{
-    EndReason, Event, HoldReply, RunKey, StartRefusal, StartReply, TargetEnd, TargetLife,
+    EndReason, Event, HoldReply, RunKey, StartRefusal, StartReply, TargetEnd, TargetInstance,
     TargetReport, TargetRun,
 };
 use wire::TaskEnd;
@@ -25,12 +25,12 @@
 /// A run that began so long ago is listed by whoever runs it.
 const LISTED_AFTER_MS: u64 = 120;
 
-fn life(started_ms: u64) -> TargetLife {
-    TargetLife { started_ms: Some(started_ms), ..TargetLife::named("t1") }
+fn life(started_ms: u64) -> TargetInstance {
+    TargetInstance { started_ms: Some(started_ms), ..TargetInstance::from_id("t1") }
 }
 
 fn report_of(started_ms: u64, sequence: u64) -> TargetReport {
-    TargetReport { id: life(started_ms), ..numbered("t1", sequence) }
+    TargetReport { instance: life(started_ms), ..numbered("t1", sequence) }
 }
 
 /// What a life lists that has started then.
@@ -185,7 +185,7 @@
     agent.ask("a", 1, 0);
     let start = agent.take_starts().pop().expect("it is started");
     agent.run_for(20);
-    agent.handle(Event::TargetLeft(TargetLife::named("t1")));
+    agent.handle(Event::TargetLeft(TargetInstance::from_id("t1")));
     agent.run_for(20);
     assert!(agent.reports.is_empty() && !agent.open, "no new work, and nothing is lost yet");
     // The hold that was under way may have been answered before the target left.
@@ -195,7 +195,7 @@
     answer(&mut agent, FIRST, lists(FIRST, &[&start.key], &[]));
     agent.run_for(20);
     assert!(agent.open && agent.reports.is_empty(), "it was of an earlier life");
-    agent.handle(Event::TargetLeft(TargetLife::named("t1")));
+    agent.handle(Event::TargetLeft(TargetInstance::from_id("t1")));
     agent.run_for(1_500);
     assert_eq!(agent.ends(), [TaskEnd::Lost], "it has left: its lease has run out");
 }
@@ -310,7 +310,7 @@
 #[test]
 fn a_leave_without_runs_ends_with_the_next_life_at_once() {
     let mut agent = agent();
-    agent.handle(Event::TargetLeft(TargetLife::named("t1")));
+    agent.handle(Event::TargetLeft(TargetInstance::from_id("t1")));
     agent.now = agent.now + Duration::from_millis(10);
     agent.handle(Event::Target(report_of(SECOND, 1)));
     answer(&mut agent, SECOND, lists(SECOND, &[], &[]));
--- a/components/runner/tests/lives.rs
+++ b/components/runner/tests/lives.rs
@@ -22,7 +22,7 @@
     agent.handle(Event::Target(numbered("t0", 900)));
     agent.run_for(20);
     assert!(agent.reports.is_empty(), "nothing is known to be lost");
-    assert!(answer(&mut agent, "t0", HoldReply::OtherLife), "the one at the address is asked");
+    assert!(answer(&mut agent, "t0", HoldReply::OtherInstance), "the one at the address is asked");
     agent.run_for(20);
     let ended = starts.iter().zip(1..).map(|(start, number)| (number, &start.key, EndReason::Done));
     let ended: Vec<_> = ended.collect();
@@ -38,7 +38,7 @@
     for sequence in 1..6 {
         agent.handle(Event::Target(numbered("t0", 900 + sequence)));
         agent.handle(Event::Target(numbered("t1", sequence)));
-        assert!(!answer(&mut agent, "t0", HoldReply::OtherLife) || sequence == 1, "asked once");
+        assert!(!answer(&mut agent, "t0", HoldReply::OtherInstance) || sequence == 1, "asked once");
         assert_eq!(started_at(&mut agent, &format!("b{sequence}")), [target("t1")]);
     }
     assert!(agent.reports.is_empty());
@@ -60,7 +60,7 @@
         let mut agent = Agent::at_target("t0", 5_000);
         agent.handle(Event::SessionOpened(SESSION));
         if refused_first {
-            assert!(answer(&mut agent, "t0", HoldReply::OtherLife));
+            assert!(answer(&mut agent, "t0", HoldReply::OtherInstance));
         }
         agent.handle(Event::Target(numbered("t1", 1)));
         assert!(answer(&mut agent, "t1", empty()));
@@ -79,7 +79,7 @@
     assert!(answer(&mut agent, "t2", empty()));
     agent.run_for(20);
     assert_eq!(agent.ends(), [TaskEnd::Crashed, TaskEnd::Crashed]);
-    answer(&mut agent, "t1", HoldReply::OtherLife);
+    answer(&mut agent, "t1", HoldReply::OtherInstance);
     agent.handle(Event::Target(numbered("t1", 900)));
     assert_eq!(started_at(&mut agent, "b"), [target("t2")]);
     assert_eq!(agent.holds.len(), 1, "one hold is under way");
@@ -91,7 +91,7 @@
     agent.ask("a", 1, 0);
     let start = agent.starts.pop().expect("it is started");
     agent.handle(Event::Target(numbered("t2", 1)));
-    agent.handle(Event::Started(start.key, StartReply::OtherLife));
+    agent.handle(Event::Started(start.key, StartReply::OtherInstance));
     agent.run_for(10);
     assert_eq!(agent.ends(), [TaskEnd::Lost]);
     assert!(answer(&mut agent, "t2", empty()));
@@ -122,7 +122,7 @@
     assert!(answer(&mut agent, "t2", empty()));
     assert_eq!(started_at(&mut agent, "a"), [target("t3")]);
     agent.run_for(30);
-    assert!(answer(&mut agent, "t2", HoldReply::OtherLife), "it is asked once more");
+    assert!(answer(&mut agent, "t2", HoldReply::OtherInstance), "it is asked once more");
     agent.handle(Event::Target(numbered("t3", 2)));
     assert_eq!(started_at(&mut agent, "b"), [target("t3")]);
 }
@@ -187,10 +187,10 @@
     let run = TargetRun { task: start.key.task.clone(), run: start.key.run };
     let running = vec![run];
     let lists = HoldReply::Lists { started_ms: None, clock_ms: 90_000, running, ended: Vec::new() };
-    for late in [lists, HoldReply::OtherLife, HoldReply::Fence { clock_ms: 90_000 }] {
+    for late in [lists, HoldReply::OtherInstance, HoldReply::Fence { clock_ms: 90_000 }] {
         agent.handle(Event::Held(target("t1"), late));
     }
-    for late in [StartReply::OtherLife, StartReply::Invalid, StartReply::Silent] {
+    for late in [StartReply::OtherInstance, StartReply::Invalid, StartReply::Silent] {
         agent.handle(Event::Started(start.key.clone(), late));
     }
     agent.run_for(20);
--- a/components/runner/tests/support/mod.rs
+++ b/components/runner/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use model::{JobId, NodeName, Resources, TaskId, Time};
 use runner::{
     Action, EndReason, Event, HoldOrder, HoldReply, RunKey, Runner, SessionId, StartOrder,
-    StartReply, StopOrder, TargetEnd, TargetLife, TargetReport, TargetRun, Timing,
+    StartReply, StopOrder, TargetEnd, TargetInstance, TargetReport, TargetRun, Timing,
 };
 use wire::{EmptiedHalls, StartTask, TaskEnd, TaskReport, ToAgent, ToEntry};
 
@@ -161,7 +161,7 @@
 
 pub fn report(id: &str, clock_ms: u64) -> TargetReport {
     TargetReport {
-        id: TargetLife::named(id),
+        instance: TargetInstance::from_id(id),
         service: Arc::from("work"),
         hall: Arc::from("hall"),
         labels: Vec::new(),
@@ -175,12 +175,12 @@
 
 pub fn key(job: &str, run: u64) -> RunKey {
     let task = TaskId { job: JobId::new(job), index: 0 };
-    RunKey { target: TargetLife::named("t1"), task, run }
+    RunKey { target: TargetInstance::from_id("t1"), task, run }
 }
 
 /// A life of the target.
-pub fn target(id: &str) -> TargetLife {
-    TargetLife::named(id)
+pub fn target(id: &str) -> TargetInstance {
+    TargetInstance::from_id(id)
 }
 
 /// Its report of this number.
@@ -207,7 +207,7 @@
 }
 
 /// The lives that a new task is started at.
-pub fn started_at(agent: &mut Agent, job: &str) -> Vec<TargetLife> {
+pub fn started_at(agent: &mut Agent, job: &str) -> Vec<TargetInstance> {
     agent.ask(job, 1, 0);
     agent.take_starts().into_iter().map(|start| start.key.target).collect()
 }
--- a/components/runner/tests/walks.rs
+++ b/components/runner/tests/walks.rs
@@ -6,7 +6,7 @@
 
 mod support;
 
-use runner::{Event, HoldReply, TargetLife, TargetReport};
+use runner::{Event, HoldReply, TargetInstance, TargetReport};
 
 use support::{Agent, CLOCK, SESSION, empty, numbered, started_at, target};
 
@@ -16,7 +16,7 @@
     sequence: u64,
     held_up: Vec<TargetReport>,
     /// Answers to holds that are on their way.
-    answers: Vec<(TargetLife, HoldReply)>,
+    answers: Vec<(TargetInstance, HoldReply)>,
     dice: u64,
 }
 
@@ -41,7 +41,7 @@
             return;
         }
         let target = agent.holds.remove(0).target;
-        let reply = if *target.id == *self.id() { empty() } else { HoldReply::OtherLife };
+        let reply = if *target.id == *self.id() { empty() } else { HoldReply::OtherInstance };
         self.answers.push((target, reply));
     }
 
@@ -58,7 +58,7 @@
     fn restart(&mut self, agent: &mut Agent) {
         let report = self.report();
         let first = if self.held_up.is_empty() { report } else { self.held_up.swap_remove(0) };
-        *agent = Agent::at_target(&first.id.id, CLOCK);
+        *agent = Agent::at_target(&first.instance.id, CLOCK);
         self.answers.clear();
     }
 
--- a/daemon/src/room/agent.rs
+++ b/daemon/src/room/agent.rs
@@ -13,7 +13,7 @@
 use platform::{BadBeat, HttpOrder};
 use runner::{
     Action, Event, HoldOrder, HoldReply, Runner, SessionId, StartOrder, StartReply, StopOrder,
-    StopReply, TargetLife, TargetReport, Timing,
+    StopReply, TargetInstance, TargetReport, Timing,
 };
 use serde_json::json;
 use subset::Subset;
@@ -225,7 +225,7 @@
     async fn send(
         self: &Rc<Self>,
         client: &Client,
-        target: &TargetLife,
+        target: &TargetInstance,
         order: HttpOrder,
         time: Duration,
     ) -> Option<net::Reply> {
--- a/daemon/src/room/agent_news.rs
+++ b/daemon/src/room/agent_news.rs
@@ -16,38 +16,38 @@
 /// Writes a decision or a change of state.
 pub(super) fn write(log: &EventLog, news: &News) {
     match news {
-        News::TargetFound { id, fencing_token } => log.line(
+        News::TargetFound { instance, fencing_token } => log.line(
             "target-found",
             Budget::Full,
-            || json!({"target": id.to_string(), "fencing_token": fencing_token}),
+            || json!({"target": instance.to_string(), "fencing_token": fencing_token}),
         ),
-        News::TargetGone { id, lost } => log.line(
+        News::TargetGone { instance, lost } => log.line(
             "target-gone",
             Budget::Full,
-            || json!({"target": id.to_string(), "lost": lost}),
+            || json!({"target": instance.to_string(), "lost": lost}),
         ),
-        News::TargetAsked(id) => {
-            log.line("target-asked", Budget::Full, || json!({"target": id.to_string()}));
+        News::TargetAsked(instance) => {
+            log.line("target-asked", Budget::Full, || json!({"target": instance.to_string()}));
         }
-        News::TargetReportLate { id, sequence, present, present_sequence } => {
+        News::TargetReportLate { instance, sequence, present, present_sequence } => {
             let present = present.as_ref().map(ToString::to_string);
             log.line("target-report-late", Budget::Sampled, || {
-                json!({"target": id.to_string(), "sequence": sequence, "present": present,
+                json!({"target": instance.to_string(), "sequence": sequence, "present": present,
                     "present_sequence": present_sequence})
             });
         }
-        News::TargetSilent(id) => {
-            log.line("target-silent", Budget::Full, || json!({"target": id.to_string()}));
+        News::TargetSilent(instance) => {
+            log.line("target-silent", Budget::Full, || json!({"target": instance.to_string()}));
         }
-        News::TargetHeard(id) => {
-            log.line("target-heard", Budget::Full, || json!({"target": id.to_string()}));
+        News::TargetHeard(instance) => {
+            log.line("target-heard", Budget::Full, || json!({"target": instance.to_string()}));
         }
         News::Halls { halls, emptied, source } => log.line("halls", Budget::Full, || {
             json!({"revision": halls.revision, "emptied": halls.to_string(), "own": emptied,
                 "from": halls_source(*source)})
         }),
-        News::TargetDrains(id) => {
-            log.line("target-drains", Budget::Full, || json!({"target": id.to_string()}));
+        News::TargetDrains(instance) => {
+            log.line("target-drains", Budget::Full, || json!({"target": instance.to_string()}));
         }
         News::TargetLeftOut { failures, for_ms } => {
             log.line(
--- a/soak/src/room/orders.rs
+++ b/soak/src/room/orders.rs
@@ -141,7 +141,7 @@
         if process.runner.is_none() || process.frozen > now {
             return;
         }
-        let is_there = process.target.as_ref().is_some_and(|target| target.id == report.id);
+        let is_there = process.target.as_ref().is_some_and(|target| target.id == report.instance);
         if is_there && report.draining {
             process.drains.get_or_insert(now);
         }
--- a/soak/src/room/restless.rs
+++ b/soak/src/room/restless.rs
@@ -9,7 +9,7 @@
 use model::{TaskId, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use runner::{Event, TargetLife};
+use runner::{Event, TargetInstance};
 
 use super::faults::Fault;
 use super::world::{BEAT, Call, Happening, TROUBLED, World};
@@ -36,12 +36,12 @@
     /// When each had less room than before last.
     shrunk: Vec<Time>,
     /// The life of the target that has taken an order and lets it lie, by the number of the call.
-    unanswered: BTreeMap<u64, TargetLife>,
+    unanswered: BTreeMap<u64, TargetInstance>,
 }
 
 impl RestlessTargets {
     /// Whether an order that lay unanswered is gone with the process that had taken it.
-    fn is_gone(&mut self, call: Call, present: &TargetLife) -> bool {
+    fn is_gone(&mut self, call: Call, present: &TargetInstance) -> bool {
         self.unanswered.remove(&call.number).is_some_and(|taken_by| taken_by != *present)
     }
 
@@ -135,7 +135,7 @@
         self.at(CRASHES_AFTER, Happening::CrashUnder(agent, life));
     }
 
-    pub(super) fn crash_under(&mut self, agent: usize, life: &TargetLife) {
+    pub(super) fn crash_under(&mut self, agent: usize, life: &TargetInstance) {
         let is_there = self.agents[agent].target.as_ref().is_some_and(|target| target.id == *life);
         let Some(restless) = self.restless.as_mut().filter(|_| is_there) else { return };
         let down = Duration::from_millis(restless.rng.random_range(BACK_AFTER_MS));
@@ -144,7 +144,7 @@
     }
 
     /// An order goes to a target of which no process is there.
-    pub(super) fn tell_no_listener(&mut self, agent: usize, life: &TargetLife) {
+    pub(super) fn tell_no_listener(&mut self, agent: usize, life: &TargetInstance) {
         if self.restless.is_some() && self.agents[agent].target.is_none() {
             self.at(
                 Duration::ZERO,
@@ -153,7 +153,7 @@
         }
     }
 
-    pub(super) fn no_listener(&mut self, agent: usize, agent_life: u64, life: TargetLife) {
+    pub(super) fn no_listener(&mut self, agent: usize, agent_life: u64, life: TargetInstance) {
         let process = &self.agents[agent];
         if process.life == agent_life && process.frozen <= self.now {
             self.feed_agent(agent, Event::NoListener(life));
--- a/soak/src/room/target.rs
+++ b/soak/src/room/target.rs
@@ -8,7 +8,7 @@
 use model::{Resources, TaskId, Time};
 use runner::{
     EndReason, HoldOrder, HoldReply, StartOrder, StartRefusal, StartReply, StopOrder, StopReply,
-    TargetEnd, TargetLife, TargetReport, TargetRun,
+    TargetEnd, TargetInstance, TargetReport, TargetRun,
 };
 
 use super::world::ONE_HALL;
@@ -45,7 +45,7 @@
 /// One life of a target.
 #[derive(Debug)]
 pub(crate) struct Target {
-    pub id: TargetLife,
+    pub id: TargetInstance,
     /// The hall that it stands in.
     pub hall: &'static str,
     pub capacity: Resources,
@@ -73,7 +73,7 @@
 }
 
 impl Target {
-    pub fn new(id: TargetLife, capacity: Resources, slow_clock: bool, now: Time) -> Self {
+    pub fn new(id: TargetInstance, capacity: Resources, slow_clock: bool, now: Time) -> Self {
         Self {
             id,
             capacity,
@@ -101,7 +101,7 @@
 
     pub fn report(&self, now: Time) -> TargetReport {
         TargetReport {
-            id: self.id.clone(),
+            instance: self.id.clone(),
             service: Arc::from("work"),
             hall: Arc::from(self.hall),
             labels: Vec::new(),
@@ -165,7 +165,7 @@
         let task = &order.key.task;
         let refused = |reason| (StartReply::Refused { clock_ms, reason }, false);
         if order.key.target.id != self.id.id {
-            return (StartReply::OtherLife, false);
+            return (StartReply::OtherInstance, false);
         }
         if order.fencing_token < self.fence {
             return refused(StartRefusal::Fence);
@@ -200,7 +200,7 @@
 
     pub fn stop(&mut self, now: Time, order: &StopOrder) -> StopReply {
         if order.key.target.id != self.id.id {
-            return StopReply::OtherLife;
+            return StopReply::OtherInstance;
         }
         if order.fencing_token < self.fence {
             return StopReply::Silent;
@@ -222,7 +222,7 @@
     pub fn hold(&mut self, now: Time, order: &HoldOrder, last: bool) -> Option<HoldReply> {
         let clock_ms = self.clock_ms(now);
         if order.target.id != self.id.id {
-            return Some(HoldReply::OtherLife);
+            return Some(HoldReply::OtherInstance);
         }
         if order.fencing_token < self.fence {
             return Some(HoldReply::Fence { clock_ms });
--- a/soak/src/room/world.rs
+++ b/soak/src/room/world.rs
@@ -9,8 +9,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use runner::{
-    HoldOrder, HoldReply, RunKey, Runner, StartOrder, StartReply, StopOrder, StopReply, TargetLife,
-    TargetReport,
+    HoldOrder, HoldReply, RunKey, Runner, StartOrder, StartReply, StopOrder, StopReply,
+    TargetInstance, TargetReport,
 };
 use wire::{Document, EmptiedHalls};
 
@@ -92,9 +92,9 @@
     /// A target has another room, in percent of what it had at first.
     Resize(usize, u64),
     /// One life of an agent finds that nothing listens at the address of its target.
-    NoListener(usize, u64, TargetLife),
+    NoListener(usize, u64, TargetInstance),
     /// A task crashes the life of its target in which it began.
-    CrashUnder(usize, TargetLife),
+    CrashUnder(usize, TargetInstance),
 }
 
 /// An order of one life of an agent; it is answered once, or not in time.
@@ -464,11 +464,11 @@
                 let (life, capacity) = (process.target_lives, process.capacity);
                 let hall = self.halls.as_ref().map_or(ONE_HALL, |_| Halls::of_agent(agent));
                 let id = match &self.restless {
-                    Some(_) => TargetLife {
+                    Some(_) => TargetInstance {
                         id: name.into(),
                         started_ms: Some(self.now.as_micros() / 1_000),
                     },
-                    None => TargetLife::named(format!("{name}#{life}")),
+                    None => TargetInstance::from_id(format!("{name}#{life}")),
                 };
                 let mut target = Target::new(id, capacity, process.slow_clock, self.now);
                 target.hall = hall;
