--- a/components/runner/src/event.rs
+++ b/components/runner/src/event.rs
@@ -84,7 +84,7 @@
 
 /// An order to start a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StartOrder {
+pub struct StartCommand {
     /// The run.
     pub key: RunKey,
     /// What the task is told to do.
@@ -97,7 +97,7 @@
 
 /// An order to stop a run, or to refuse it if it comes later.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StopOrder {
+pub struct StopCommand {
     /// The run.
     pub key: RunKey,
     /// Higher than that of any earlier life of the agent.
@@ -106,7 +106,7 @@
 
 /// An order to renew the lease, and to answer once a run ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HoldOrder {
+pub struct HoldCommand {
     /// The target's life.
     pub target: TargetInstance,
     /// The lease's end on the target's clock, in ms; `None` where it is not to be renewed.
@@ -125,13 +125,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRefusal {
     /// It has seen a higher fencing token.
-    Fence,
+    StaleToken,
     /// A run as high was stopped or has ended there.
-    Old,
+    StaleRun,
     /// The deadline has passed.
-    Late,
+    DeadlinePassed,
     /// It has no room.
-    Room,
+    NoCapacity,
     /// Another reason.
     Other,
 }
@@ -140,7 +140,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartReply {
     /// The run is there.
-    Taken {
+    Accepted {
         /// Its clock, in ms.
         clock_ms: u64,
     },
@@ -158,18 +158,18 @@
     /// Another life has its address.
     OtherInstance,
     /// No answer: it may have been done, or may be later.
-    Silent,
+    NoAnswer,
 }
 
 /// A target's answer to a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReply {
     /// The run is stopping, has ended, or will never start.
-    Done,
+    Acknowledged,
     /// Another life has its address.
     OtherInstance,
     /// It was not done, or not answered.
-    Silent,
+    NoAnswer,
 }
 
 /// A run that a target lists.
@@ -191,7 +191,7 @@
     /// It was stopped.
     Stopped,
     /// The lease ran out.
-    Lapsed,
+    LeaseExpired,
     /// Another reason.
     Other,
 }
@@ -211,7 +211,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HoldReply {
     /// The lease is renewed.
-    Lists {
+    Runs {
         /// When the life that answers started, as in [`TargetLife`].
         started_ms: Option<u64>,
         /// Its clock, in ms.
@@ -222,14 +222,14 @@
         ended: Vec<TargetEnd>,
     },
     /// It has seen a higher fencing token.
-    Fence {
+    StaleToken {
         /// Its clock, in ms.
         clock_ms: u64,
     },
     /// Another life has its address.
     OtherInstance,
     /// No answer.
-    Silent,
+    NoAnswer,
 }
 
 /// Who told an agent which halls are emptied.
@@ -253,17 +253,17 @@
     /// An entry's message.
     FromEntry(SessionId, ToAgent),
     /// The target reports of itself.
-    Target(TargetReport),
+    TargetReported(TargetReport),
     /// The target says that it ends now.
     TargetLeft(TargetInstance),
     /// An order for a life could not be sent, as nothing listens at the target's address.
     NoListener(TargetInstance),
     /// The answer to a start.
-    Started(RunKey, StartReply),
+    StartAnswered(RunKey, StartReply),
     /// The answer to a stop.
-    Stopped(RunKey, StopReply),
+    StopAnswered(RunKey, StopReply),
     /// The answer to a hold.
-    Held(TargetInstance, HoldReply),
+    HoldAnswered(TargetInstance, HoldReply),
     /// A newer document.
     Document(Document),
     /// A keeper tells which halls are emptied.
@@ -282,11 +282,11 @@
     /// Closes the connection of an entry.
     Close(SessionId),
     /// Orders the target to start a run.
-    Start(StartOrder),
+    Start(StartCommand),
     /// Orders the target to stop a run.
-    Stop(StopOrder),
+    Stop(StopCommand),
     /// Renews the lease.
-    Hold(HoldOrder),
+    Hold(HoldCommand),
     /// Reports a decision or a change of state.
     News(News),
 }
--- a/components/runner/src/hold.rs
+++ b/components/runner/src/hold.rs
@@ -7,8 +7,8 @@
 use wire::TaskEnd;
 
 use crate::event::{
-    Action, EndReason, HoldOrder, HoldReply, News, RunKey, StopOrder, TargetEnd, TargetInstance,
-    TargetRun,
+    Action, EndReason, HoldCommand, HoldReply, News, RunKey, StopCommand, TargetEnd,
+    TargetInstance, TargetRun,
 };
 use crate::run::{Run, RunState};
 use crate::runner::Runner;
@@ -56,7 +56,7 @@
         if renews {
             target.renew(now, timing.lease);
         }
-        out.push(Action::Hold(HoldOrder {
+        out.push(Action::Hold(HoldCommand {
             target: target.id().clone(),
             deadline_ms: renews.then(|| target.deadline_ms(now, timing.lease)),
             fencing_token: target.fencing_token,
@@ -121,7 +121,7 @@
         let Some(target) = &mut self.target else { return };
         let sent = target.holding.take().unwrap_or(now);
         match reply {
-            HoldReply::Lists { clock_ms, running, ended, .. } => {
+            HoldReply::Runs { clock_ms, running, ended, .. } => {
                 target.clock_is(now, clock_ms);
                 target.heard_now(now);
                 // A leave that was told before the hold was sent was that of an earlier life.
@@ -136,13 +136,13 @@
                 self.take_ends(now, ended, out);
                 self.compare(now, sent, &running, out);
             }
-            HoldReply::Fence { clock_ms } => {
+            HoldReply::StaleToken { clock_ms } => {
                 target.clock_is(now, clock_ms);
                 target.hold_from = now + RETRY;
                 target.raise_fence(now);
             }
             HoldReply::OtherInstance => self.target_gone(now, out),
-            HoldReply::Silent => {
+            HoldReply::NoAnswer => {
                 target.left_unanswered(now, &self.timing);
                 target.hold_from = sent + RETRY;
             }
@@ -170,7 +170,7 @@
                 EndReason::Stopped if stopping.is_some_and(|stop| !stop.doubtful) => {
                     TaskEnd::Stopped
                 }
-                EndReason::Stopped | EndReason::Lapsed | EndReason::Other => TaskEnd::Lost,
+                EndReason::Stopped | EndReason::LeaseExpired | EndReason::Other => TaskEnd::Lost,
             };
             self.end(now, &task, outcome, out);
         }
@@ -202,7 +202,7 @@
             target.has_orphans = true;
             out.push(Action::News(News::Orphan(run.task.clone())));
             let key = RunKey { target: target.id().clone(), task: run.task.clone(), run: run.run };
-            out.push(Action::Stop(StopOrder { key, fencing_token: target.fencing_token }));
+            out.push(Action::Stop(StopCommand { key, fencing_token: target.fencing_token }));
         }
         if had_orphans != target.has_orphans {
             self.mark_dirty();
--- a/components/runner/src/lib.rs
+++ b/components/runner/src/lib.rs
@@ -23,8 +23,8 @@
 mod turns;
 
 pub use event::{
-    Action, EndReason, Event, HallsSource, HoldOrder, HoldReply, News, RunKey, SessionId,
-    StartOrder, StartRefusal, StartReply, StopOrder, StopReply, TargetEnd, TargetInstance,
+    Action, EndReason, Event, HallsSource, HoldCommand, HoldReply, News, RunKey, SessionId,
+    StartCommand, StartRefusal, StartReply, StopCommand, StopReply, TargetEnd, TargetInstance,
     TargetReport, TargetRun,
 };
 pub use runner::{Runner, RunnerCounters, Timing};
--- a/components/runner/src/lives.rs
+++ b/components/runner/src/lives.rs
@@ -150,7 +150,7 @@
         reply: &HoldReply,
         out: &mut Vec<Action>,
     ) -> bool {
-        let HoldReply::Lists { started_ms: Some(started), clock_ms, running, .. } = reply else {
+        let HoldReply::Runs { started_ms: Some(started), clock_ms, running, .. } = reply else {
             return false;
         };
         let Some(target) = &mut self.target else { return false };
@@ -185,7 +185,7 @@
             return false;
         };
         let answered_by = match reply {
-            HoldReply::Lists { started_ms, .. } => *started_ms,
+            HoldReply::Runs { started_ms, .. } => *started_ms,
             _ => None,
         };
         match reply {
@@ -194,17 +194,17 @@
                 true
             }
             // The present life answered: it has the same id.
-            HoldReply::Lists { .. } if self.is_other_start(at, answered_by) => {
+            HoldReply::Runs { .. } if self.is_other_start(at, answered_by) => {
                 self.newcomer_is_over(at, out);
                 true
             }
             // It does not tell whose answer it is: it may be that of the present life, which has the same id.
-            HoldReply::Fence { .. } if self.shares_id(at) => {
+            HoldReply::StaleToken { .. } if self.shares_id(at) => {
                 self.newcomers[at].unanswered(now);
                 self.newcomers[at].raise_fence(now);
                 true
             }
-            HoldReply::Silent => {
+            HoldReply::NoAnswer => {
                 self.newcomers[at].unanswered(now);
                 true
             }
@@ -213,12 +213,12 @@
                 self.newcomers[at].unanswered(now);
                 true
             }
-            HoldReply::Lists { running, .. } => {
+            HoldReply::Runs { running, .. } => {
                 let newcomer = self.newcomers.remove(at);
                 self.replace_life(now, newcomer, running, out);
                 false
             }
-            HoldReply::Fence { .. } => {
+            HoldReply::StaleToken { .. } => {
                 let newcomer = self.newcomers.remove(at);
                 self.replace_life(now, newcomer, &[], out);
                 false
--- a/components/runner/src/orders.rs
+++ b/components/runner/src/orders.rs
@@ -6,7 +6,7 @@
 use wire::{Refusal, TaskEnd};
 
 use crate::event::{
-    Action, News, RunKey, StartOrder, StartRefusal, StartReply, StopOrder, StopReply,
+    Action, News, RunKey, StartCommand, StartRefusal, StartReply, StopCommand, StopReply,
 };
 use crate::run::{Run, RunState, Stopping};
 use crate::runner::{Runner, report_health};
@@ -68,7 +68,7 @@
     fn send_start(&mut self, now: Time, task: &TaskId, out: &mut Vec<Action>) {
         let (Some(target), Some(run)) = (&mut self.target, self.runs.get(task)) else { return };
         target.renew(now, self.timing.start_life);
-        out.push(Action::Start(StartOrder {
+        out.push(Action::Start(StartCommand {
             key: RunKey { target: target.id().clone(), task: task.clone(), run: run.run },
             spec: run.spec.clone(),
             deadline_ms: target.deadline_ms(now, self.timing.start_life),
@@ -78,7 +78,7 @@
 
     pub(crate) fn send_stop(&self, task: &TaskId, out: &mut Vec<Action>) {
         let (Some(target), Some(run)) = (&self.target, self.runs.get(task)) else { return };
-        out.push(Action::Stop(StopOrder {
+        out.push(Action::Stop(StopCommand {
             key: RunKey { target: target.id().clone(), task: task.clone(), run: run.run },
             fencing_token: target.fencing_token,
         }));
@@ -102,7 +102,7 @@
         let stopping = matches!(run.state, RunState::Stopping(_));
         let doubtful = run.unanswered > 0;
         match reply {
-            StartReply::Taken { clock_ms } => {
+            StartReply::Accepted { clock_ms } => {
                 if let RunState::Stopping(stopping) = &mut run.state {
                     // It runs after all: the stop that is under way ends it.
                     stopping.doubtful = false;
@@ -130,7 +130,7 @@
                 self.end(now, &key.task, TaskEnd::NotRun(Refusal::Target), out);
             }
             StartReply::OtherInstance => self.target_gone(now, out),
-            StartReply::Silent => self.start_silent(now, &key.task, stopping, out),
+            StartReply::NoAnswer => self.start_silent(now, &key.task, stopping, out),
         }
     }
 
@@ -150,10 +150,10 @@
         if stopping {
             return self.end(now, task, TaskEnd::NotRun(Refusal::Target), out);
         }
-        if reason == StartRefusal::Room {
+        if reason == StartRefusal::NoCapacity {
             self.counters.no_room += 1;
         }
-        if doubtful && !matches!(reason, StartRefusal::Fence | StartRefusal::Late) {
+        if doubtful && !matches!(reason, StartRefusal::StaleToken | StartRefusal::DeadlinePassed) {
             // An earlier start of this number may have run to its end, or may be carried out yet.
             return self.stop_doubtful(now, task, out);
         }
@@ -161,18 +161,18 @@
         run.renumbered += 1;
         match reason {
             // A run as high was there for another entry: counts on from far above it.
-            StartRefusal::Old if again => {
+            StartRefusal::StaleRun if again => {
                 run.run += 1 << run.renumbered;
                 self.send_start(now, task, out);
             }
-            StartRefusal::Late if again => self.send_start(now, task, out),
-            StartRefusal::Fence if again => {
+            StartRefusal::DeadlinePassed if again => self.send_start(now, task, out),
+            StartRefusal::StaleToken if again => {
                 if let Some(target) = &mut self.target {
                     target.raise_fence(now);
                 }
                 self.send_start(now, task, out);
             }
-            StartRefusal::Room => self.end(now, task, TaskEnd::NotRun(Refusal::Room), out),
+            StartRefusal::NoCapacity => self.end(now, task, TaskEnd::NotRun(Refusal::Room), out),
             _ if doubtful => self.stop_doubtful(now, task, out),
             _ => self.end(now, task, TaskEnd::NotRun(Refusal::Target), out),
         }
@@ -216,7 +216,7 @@
     ) {
         let Some(run) = self.find(key) else { return };
         match (reply, &mut run.state) {
-            (StopReply::Done, RunState::Stopping(stopping)) => {
+            (StopReply::Acknowledged, RunState::Stopping(stopping)) => {
                 stopping.acknowledged.get_or_insert(now);
             }
             (StopReply::OtherInstance, _) => self.target_gone(now, out),
--- a/components/runner/src/target.rs
+++ b/components/runner/src/target.rs
@@ -4,7 +4,7 @@
 
 use model::{Resources, Time};
 
-use crate::event::{HoldOrder, TargetInstance, TargetReport};
+use crate::event::{HoldCommand, TargetInstance, TargetReport};
 use crate::health::Health;
 use crate::hold::RETRY;
 use crate::hold_times::HoldTimes;
@@ -201,13 +201,13 @@
 
     /// While it is a newcomer: an order that nobody but this life carries out, and that changes
     /// nothing there, unless one is under way or a pause has to pass.
-    pub fn ask(&mut self, now: Time, timing: &Timing) -> Option<HoldOrder> {
+    pub fn ask(&mut self, now: Time, timing: &Timing) -> Option<HoldCommand> {
         if self.holding.is_some() || now < self.hold_from {
             return None;
         }
         self.holding = Some(now);
         let times = HoldTimes::waiting(SIGN_WAIT, timing);
-        Some(HoldOrder {
+        Some(HoldCommand {
             target: self.id().clone(),
             deadline_ms: None,
             fencing_token: self.fencing_token,
--- a/components/runner/tests/cancelled.rs
+++ b/components/runner/tests/cancelled.rs
@@ -15,7 +15,7 @@
     let mut agent = Agent::new();
     agent.ask("a", 1, 0);
     let start = agent.starts.pop().expect("it is started");
-    agent.handle(Event::Started(start.key.clone(), StartReply::Silent));
+    agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
     agent.starts.clear();
     (agent, start.key)
 }
@@ -35,7 +35,7 @@
     agent.hold(&[key], &[]);
     assert_eq!(agent.stops.iter().map(|stop| &stop.key).collect::<Vec<_>>(), [key]);
     assert_eq!(agent.holds.last().expect("the next hold").deadline_ms, None, "it is let lapse");
-    agent.handle(Event::Stopped(key.clone(), StopReply::Silent));
+    agent.handle(Event::StopAnswered(key.clone(), StopReply::NoAnswer));
     agent.stops.clear();
     agent.hold(&[key], &[]);
     assert_eq!(agent.stops.len(), 1, "it is stopped until it has ended");
@@ -49,7 +49,7 @@
     for late in [2_000, 5_000, LATEST] {
         let (mut agent, key) = with_unanswered_start();
         agent.handle(Event::FromEntry(SESSION, ToAgent::Cancel(JobId::new("a"))));
-        agent.handle(Event::Stopped(key.clone(), StopReply::Silent));
+        agent.handle(Event::StopAnswered(key.clone(), StopReply::NoAnswer));
         nothing_for(&mut agent, late);
         is_stopped_once_listed(&mut agent, &key);
     }
@@ -61,7 +61,7 @@
     for late in [2_000, 5_000, LATEST] {
         let (mut agent, key) = with_unanswered_start();
         agent.handle(Event::SessionClosed(SESSION));
-        agent.handle(Event::Stopped(key.clone(), StopReply::Silent));
+        agent.handle(Event::StopAnswered(key.clone(), StopReply::NoAnswer));
         nothing_for(&mut agent, late);
         is_stopped_once_listed(&mut agent, &key);
     }
--- a/components/runner/tests/crashes.rs
+++ b/components/runner/tests/crashes.rs
@@ -22,7 +22,7 @@
 #[test]
 fn what_ran_when_the_next_life_is_there_crashed_with_the_one_before() {
     let mut agent = busy();
-    agent.handle(Event::Target(numbered("t2", 1)));
+    agent.handle(Event::TargetReported(numbered("t2", 1)));
     assert!(answer(&mut agent, "t2", empty()));
     agent.run_for(20);
     assert_eq!(agent.ends(), [TaskEnd::Crashed, TaskEnd::Lost], "the start was not answered");
@@ -45,7 +45,7 @@
     agent.handle(Event::NoListener(target("t1")));
     // It listens again and takes the start: nothing had crashed.
     let start = agent.starts.pop().expect("it is on its way");
-    agent.handle(Event::Started(start.key, StartReply::Taken { clock_ms: 0 }));
+    agent.handle(Event::StartAnswered(start.key, StartReply::Accepted { clock_ms: 0 }));
     agent.run_for(1_200);
     assert_eq!(agent.ends(), [TaskEnd::Lost, TaskEnd::Lost]);
 }
@@ -53,7 +53,7 @@
 #[test]
 fn a_target_that_leaves_has_not_crashed() {
     let mut agent = busy();
-    agent.handle(Event::Target(leaving("t1", 5)));
+    agent.handle(Event::TargetReported(leaving("t1", 5)));
     agent.handle(Event::NoListener(target("t1")));
     agent.run_for(1_000);
     assert!(agent.ends().iter().all(|end| *end == TaskEnd::Lost));
@@ -66,7 +66,7 @@
 #[test]
 fn a_task_under_which_the_target_crashed_does_not_start_there_again_for_a_while() {
     let mut agent = busy();
-    agent.handle(Event::Target(numbered("t2", 1)));
+    agent.handle(Event::TargetReported(numbered("t2", 1)));
     assert!(answer(&mut agent, "t2", empty()));
     agent.run_for(20);
     agent.starts.clear();
@@ -74,7 +74,7 @@
     agent.run_for(20);
     assert_eq!(agent.ends().last(), Some(&TaskEnd::NotRun(Refusal::CrashedTarget)));
     assert_eq!(started_at(&mut agent, "b"), [target("t2")], "that one had not begun");
-    assert!(answer(&mut agent, "t2", HoldReply::Silent));
+    assert!(answer(&mut agent, "t2", HoldReply::NoAnswer));
     for _ in 0..210 {
         agent.run_for(100);
         answer(&mut agent, "t2", empty());
--- a/components/runner/tests/halls.rs
+++ b/components/runner/tests/halls.rs
@@ -67,7 +67,7 @@
     let mut agent = Agent::new();
     agent.handle(Event::Halls(emptied(1, &[OWN])));
     agent.handle(Event::TargetLeft(support::target("t1")));
-    agent.handle(Event::Target(report("t2", 5_000)));
+    agent.handle(Event::TargetReported(report("t2", 5_000)));
     agent.hold(&[], &[]);
     agent.run_for(40);
     agent.ask("job", 1, 0);
--- a/components/runner/tests/hold_times.rs
+++ b/components/runner/tests/hold_times.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use runner::{Event, HoldOrder, HoldReply, RunKey, StartReply};
+use runner::{Event, HoldCommand, HoldReply, RunKey, StartReply};
 use support::Agent;
 
 const USUAL_WAIT: Duration = Duration::from_millis(120);
@@ -14,16 +14,16 @@
 
 impl Agent {
     /// The hold that is under way is left unanswered; returns the next.
-    fn leave_hold_unanswered(&mut self) -> HoldOrder {
+    fn leave_hold_unanswered(&mut self) -> HoldCommand {
         let order = self.holds.pop().expect("a hold is under way");
         self.now = self.now + order.answer_within;
         self.beat();
-        self.handle(Event::Held(order.target, HoldReply::Silent));
+        self.handle(Event::HoldAnswered(order.target, HoldReply::NoAnswer));
         self.present_hold()
     }
 
     /// The hold that is under way is answered after its wait: so much runs, and nothing has ended. Returns the next.
-    fn answer_hold(&mut self, running: &[RunKey]) -> HoldOrder {
+    fn answer_hold(&mut self, running: &[RunKey]) -> HoldCommand {
         let wait = self.holds.last().expect("a hold is under way").wait;
         self.now = self.now + wait;
         self.beat();
@@ -37,7 +37,7 @@
         self.take_starts().into_iter().map(|start| start.key).collect()
     }
 
-    fn present_hold(&self) -> HoldOrder {
+    fn present_hold(&self) -> HoldCommand {
         self.holds.last().expect("the next follows at once").clone()
     }
 }
@@ -70,7 +70,7 @@
     let mut agent = Agent::new();
     agent.ask("j1", 1, 0);
     let start = agent.starts.pop().expect("it is started");
-    agent.handle(Event::Started(start.key, StartReply::Silent));
+    agent.handle(Event::StartAnswered(start.key, StartReply::NoAnswer));
     assert_eq!(agent.answer_hold(&[]).wait, MOST);
 }
 
--- a/components/runner/tests/kept_ids.rs
+++ b/components/runner/tests/kept_ids.rs
@@ -41,7 +41,7 @@
         run: Some(run(key)),
         reason: EndReason::Done,
     };
-    HoldReply::Lists {
+    HoldReply::Runs {
         started_ms: Some(started_ms),
         clock_ms: CLOCK,
         running: running.iter().map(|key| run(key)).collect(),
@@ -52,7 +52,7 @@
 /// An agent whose target has told the moment of its start.
 fn agent() -> Agent {
     let mut agent = Agent::waiting_for_target();
-    agent.handle(Event::Target(report_of(FIRST, 900)));
+    agent.handle(Event::TargetReported(report_of(FIRST, 900)));
     answer(&mut agent, FIRST, lists(FIRST, &[], &[]));
     agent.handle(Event::SessionOpened(SESSION));
     agent
@@ -63,7 +63,7 @@
     let sent_for = life(sent_for);
     let at = agent.holds.iter().position(|hold| hold.target == sent_for).expect("a hold is sent");
     agent.holds.remove(at);
-    agent.handle(Event::Held(sent_for, reply));
+    agent.handle(Event::HoldAnswered(sent_for, reply));
 }
 
 fn is_asked(agent: &Agent, started_ms: u64) -> bool {
@@ -74,7 +74,7 @@
 fn the_next_life_of_a_target_that_has_left_gets_work() {
     let mut agent = agent();
     agent.handle(Event::TargetLeft(life(FIRST)));
-    agent.handle(Event::Target(report_of(SECOND, 1)));
+    agent.handle(Event::TargetReported(report_of(SECOND, 1)));
     answer(&mut agent, SECOND, lists(SECOND, &[], &[]));
     assert_eq!(started_at(&mut agent, "a"), [life(SECOND)]);
 }
@@ -91,7 +91,7 @@
     agent.run_for(20);
     let token = agent.holds.last().expect("a hold is under way").fencing_token;
 
-    agent.handle(Event::Target(report_of(SECOND, 1)));
+    agent.handle(Event::TargetReported(report_of(SECOND, 1)));
     let asked = agent.holds.iter().find(|hold| hold.target == life(SECOND)).expect("it is asked");
     assert_eq!((asked.last_seen, asked.deadline_ms), (0, None));
     assert!(asked.fencing_token > token, "what was ordered of the first life is refused there");
@@ -113,15 +113,15 @@
     for drains in [false, true] {
         let mut agent = agent();
         agent.handle(Event::TargetLeft(life(FIRST)));
-        agent.handle(Event::Target(report_of(SECOND, 1)));
+        agent.handle(Event::TargetReported(report_of(SECOND, 1)));
         answer(&mut agent, SECOND, lists(SECOND, &[], &[]));
         agent.ask("a", 1, 0);
         let start = agent.take_starts().pop().expect("it is started");
         let earlier = FIRST - 5_000;
         let late = TargetReport { draining: drains, ..report_of(earlier, 9_000) };
-        agent.handle(Event::Target(late.clone()));
+        agent.handle(Event::TargetReported(late.clone()));
         answer(&mut agent, earlier, lists(SECOND, &[&start.key], &[]));
-        agent.handle(Event::Target(late));
+        agent.handle(Event::TargetReported(late));
         assert!(!is_asked(&agent, earlier), "it is known to be over");
         agent.run_for(20);
         assert!(agent.reports.is_empty());
@@ -135,7 +135,7 @@
     agent.ask("a", 1, 0);
     agent.take_starts();
     agent.run_for(LISTED_AFTER_MS);
-    agent.handle(Event::Target(report_of(SECOND, 1)));
+    agent.handle(Event::TargetReported(report_of(SECOND, 1)));
     answer(&mut agent, FIRST, lists(SECOND, &[], &[]));
     agent.run_for(20);
     assert_eq!(agent.ends(), [TaskEnd::Crashed]);
@@ -155,7 +155,7 @@
     answer(&mut agent, SECOND, lists(SECOND, &[], &[]));
     assert!(started_at(&mut agent, "b").is_empty());
     let small = Resources { cpu_milli: 2_000, memory_mb: 1_024, gpu: 0 };
-    agent.handle(Event::Target(TargetReport { capacity: small, ..report_of(SECOND, 1) }));
+    agent.handle(Event::TargetReported(TargetReport { capacity: small, ..report_of(SECOND, 1) }));
     agent.ask("c", 2, 0);
     assert_eq!(agent.take_starts().len(), 1, "it has room for one");
 }
@@ -168,13 +168,13 @@
     agent.ask("a", 2, 0);
     let starts = agent.take_starts();
     agent.run_for(LISTED_AFTER_MS);
-    agent.handle(Event::Target(report_of(SECOND, 1)));
+    agent.handle(Event::TargetReported(report_of(SECOND, 1)));
     answer(&mut agent, SECOND, lists(SECOND, &[&starts[0].key], &[]));
     agent.run_for(20);
     assert_eq!(agent.ends(), [TaskEnd::Crashed], "of the one that is not there");
     let stop = agent.stops.pop().expect("the other one is stopped");
     assert_eq!((&stop.key.task, &stop.key.target), (&starts[0].key.task, &life(SECOND)));
-    agent.handle(Event::Stopped(stop.key, runner::StopReply::Done));
+    agent.handle(Event::StopAnswered(stop.key, runner::StopReply::Acknowledged));
     agent.run_for(100);
     assert_eq!(agent.ends(), [TaskEnd::Crashed, TaskEnd::Lost]);
 }
@@ -214,24 +214,24 @@
 fn a_report_that_leaves_the_start_out_names_no_target_to_use() {
     let mut agent = agent();
     let of_another = TargetReport { capacity: Default::default(), ..numbered("t1", 9_000) };
-    agent.handle(Event::Target(of_another.clone()));
-    agent.handle(Event::Target(report_of(FIRST, 901)));
+    agent.handle(Event::TargetReported(of_another.clone()));
+    agent.handle(Event::TargetReported(report_of(FIRST, 901)));
     assert_eq!(started_at(&mut agent, "a"), [life(FIRST)], "it has its room");
     // That a target is about to leave counts all the same.
-    agent.handle(Event::Target(TargetReport { draining: true, ..of_another }));
+    agent.handle(Event::TargetReported(TargetReport { draining: true, ..of_another }));
     assert!(started_at(&mut agent, "b").is_empty());
 }
 
 #[test]
 fn a_target_whose_answers_alone_tell_its_start_is_one_life() {
     let mut agent = Agent::waiting_for_target();
-    agent.handle(Event::Target(numbered("t1", 5)));
+    agent.handle(Event::TargetReported(numbered("t1", 5)));
     let hold = agent.holds.pop().expect("a hold is under way");
-    agent.handle(Event::Held(hold.target, lists(FIRST, &[], &[])));
+    agent.handle(Event::HoldAnswered(hold.target, lists(FIRST, &[], &[])));
     agent.handle(Event::SessionOpened(SESSION));
     agent.ask("a", 1, 0);
     let start = agent.take_starts().pop().expect("it is started");
-    agent.handle(Event::Target(report_of(FIRST, 1)));
+    agent.handle(Event::TargetReported(report_of(FIRST, 1)));
     agent.run_for(20);
     assert!(!is_asked(&agent, SECOND) && agent.reports.is_empty());
     answer(&mut agent, FIRST, lists(FIRST, &[], &[(1, &start.key)]));
@@ -245,7 +245,7 @@
     let mut agent = agent();
     let token = agent.holds.last().map_or(0, |hold| hold.fencing_token);
     let back = FIRST - 3_600_000;
-    agent.handle(Event::Target(report_of(back, 1)));
+    agent.handle(Event::TargetReported(report_of(back, 1)));
     answer(&mut agent, back, lists(back, &[], &[]));
     let start = started_at(&mut agent, "a");
     assert_eq!(start, [life(back)]);
@@ -259,8 +259,8 @@
     agent.ask("a", 1, 0);
     let start = agent.take_starts().pop().expect("it is started");
     let earlier = FIRST - 5_000;
-    agent.handle(Event::Target(report_of(earlier, 9_000)));
-    answer(&mut agent, earlier, HoldReply::Fence { clock_ms: CLOCK });
+    agent.handle(Event::TargetReported(report_of(earlier, 9_000)));
+    answer(&mut agent, earlier, HoldReply::StaleToken { clock_ms: CLOCK });
     agent.run_for(30);
     assert!(agent.reports.is_empty());
     answer(&mut agent, earlier, lists(FIRST, &[&start.key], &[]));
@@ -283,14 +283,14 @@
             break;
         }
         refusals += 1;
-        answer(&mut agent, FIRST, HoldReply::Fence { clock_ms: CLOCK });
+        answer(&mut agent, FIRST, HoldReply::StaleToken { clock_ms: CLOCK });
         agent.run_for(20);
     }
     assert!(refusals <= 30, "{refusals} refusals");
     agent.ask("a", 1, 0);
     let start = agent.starts.pop().expect("it is started");
-    let (clock_ms, reason) = (CLOCK, StartRefusal::Fence);
-    agent.handle(Event::Started(start.key, StartReply::Refused { clock_ms, reason }));
+    let (clock_ms, reason) = (CLOCK, StartRefusal::StaleToken);
+    agent.handle(Event::StartAnswered(start.key, StartReply::Refused { clock_ms, reason }));
     assert!(agent.starts.pop().is_some_and(|again| again.fencing_token > start.fencing_token));
 }
 
@@ -300,7 +300,7 @@
     let mut agent = agent();
     agent.run_for(20);
     for _ in 0..9_000 {
-        answer(&mut agent, FIRST, HoldReply::Fence { clock_ms: CLOCK });
+        answer(&mut agent, FIRST, HoldReply::StaleToken { clock_ms: CLOCK });
         agent.run_for(20);
     }
     let token = agent.holds.last().expect("a hold is under way").fencing_token;
@@ -312,7 +312,7 @@
     let mut agent = agent();
     agent.handle(Event::TargetLeft(TargetInstance::from_id("t1")));
     agent.now = agent.now + Duration::from_millis(10);
-    agent.handle(Event::Target(report_of(SECOND, 1)));
+    agent.handle(Event::TargetReported(report_of(SECOND, 1)));
     answer(&mut agent, SECOND, lists(SECOND, &[], &[]));
     assert_eq!(started_at(&mut agent, "a"), [life(SECOND)]);
 }
--- a/components/runner/tests/orders.rs
+++ b/components/runner/tests/orders.rs
@@ -17,13 +17,13 @@
     let starts = agent.take_starts();
     let task = starts[0].key.task.clone();
     agent.handle(Event::FromEntry(SESSION, ToAgent::Stop(vec![task])));
-    agent.handle(Event::Stopped(starts[0].key.clone(), StopReply::Silent));
+    agent.handle(Event::StopAnswered(starts[0].key.clone(), StopReply::NoAnswer));
     agent.run_for(110);
     assert!(agent.stops.len() >= 2);
     agent.holds.truncate(1);
     agent.hold(&[&starts[0].key, &starts[1].key], &[]);
     assert_eq!(agent.holds[0].deadline_ms, None, "only the end of the lease surely stops it");
-    agent.handle(Event::Stopped(starts[0].key.clone(), StopReply::Done));
+    agent.handle(Event::StopAnswered(starts[0].key.clone(), StopReply::Acknowledged));
     agent.hold(&[&starts[1].key], &[(1, &starts[0].key, EndReason::Stopped)]);
     assert!(agent.holds[0].deadline_ms.is_some());
     assert_eq!(agent.ends(), [TaskEnd::Stopped]);
@@ -34,11 +34,11 @@
     let mut agent = Agent::new();
     agent.ask("a", 1, 0);
     let first = agent.starts.pop().expect("it is started");
-    agent.handle(Event::Started(first.key.clone(), StartReply::Silent));
+    agent.handle(Event::StartAnswered(first.key.clone(), StartReply::NoAnswer));
     let again = agent.starts.pop().expect("it is started again");
     assert_eq!(again.key, first.key);
     assert!(agent.stops.is_empty());
-    agent.handle(Event::Started(again.key.clone(), StartReply::Taken { clock_ms: 0 }));
+    agent.handle(Event::StartAnswered(again.key.clone(), StartReply::Accepted { clock_ms: 0 }));
     agent.hold(&[], &[(1, &first.key, EndReason::Done)]);
     assert_eq!(agent.ends(), [TaskEnd::Done]);
 }
@@ -47,8 +47,8 @@
 fn a_refusal_proves_nothing_while_an_earlier_start_is_unanswered() {
     let refused = |reason| StartReply::Refused { clock_ms: 0, reason };
     let refusals = [
-        refused(StartRefusal::Room),
-        refused(StartRefusal::Old),
+        refused(StartRefusal::NoCapacity),
+        refused(StartRefusal::StaleRun),
         StartReply::Unhealthy,
         StartReply::Invalid,
     ];
@@ -56,11 +56,11 @@
         let mut agent = Agent::new();
         agent.ask("a", 1, 0);
         let start = agent.starts.pop().expect("it is started");
-        agent.handle(Event::Started(start.key.clone(), StartReply::Silent));
-        agent.handle(Event::Started(start.key.clone(), refusal));
+        agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
+        agent.handle(Event::StartAnswered(start.key.clone(), refusal));
         assert!(agent.reports.is_empty(), "the first start may be carried out yet");
         assert_eq!(agent.stops[0].key, start.key);
-        agent.handle(Event::Stopped(start.key.clone(), StopReply::Done));
+        agent.handle(Event::StopAnswered(start.key.clone(), StopReply::Acknowledged));
         agent.hold(&[], &[(1, &start.key, EndReason::Done)]);
         assert_eq!(agent.ends(), [TaskEnd::Done], "it had been");
     }
@@ -72,11 +72,11 @@
     agent.ask("a", 1, 0);
     let start = agent.starts.pop().expect("it is started");
     for _ in 0..3 {
-        agent.handle(Event::Started(start.key.clone(), StartReply::Silent));
+        agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
     }
     assert_eq!(agent.stops[0].key, start.key, "a stop of the same run");
     assert!(agent.reports.is_empty(), "nothing is known yet");
-    agent.handle(Event::Stopped(start.key.clone(), StopReply::Done));
+    agent.handle(Event::StopAnswered(start.key.clone(), StopReply::Acknowledged));
     agent.run_for(200);
     assert_eq!(agent.ends(), [TaskEnd::Lost]);
 }
@@ -87,9 +87,9 @@
     agent.ask("a", 1, 0);
     let start = agent.starts.pop().expect("it is started");
     for _ in 0..3 {
-        agent.handle(Event::Started(start.key.clone(), StartReply::Silent));
+        agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
     }
-    agent.handle(Event::Stopped(start.key.clone(), StopReply::Done));
+    agent.handle(Event::StopAnswered(start.key.clone(), StopReply::Acknowledged));
     agent.hold(&[], &[(1, &start.key, EndReason::Done)]);
     assert_eq!(agent.ends(), [TaskEnd::Done]);
 }
@@ -100,10 +100,10 @@
     agent.ask("a", 1, 0);
     let first = agent.starts.pop().expect("it is started");
     let refused = |reason| StartReply::Refused { clock_ms: 0, reason };
-    agent.handle(Event::Started(first.key.clone(), refused(StartRefusal::Old)));
+    agent.handle(Event::StartAnswered(first.key.clone(), refused(StartRefusal::StaleRun)));
     let second = agent.starts.pop().expect("it is started again");
     assert!(second.key.run > first.key.run);
-    agent.handle(Event::Started(second.key, refused(StartRefusal::Room)));
+    agent.handle(Event::StartAnswered(second.key, refused(StartRefusal::NoCapacity)));
     assert_eq!(agent.ends(), [TaskEnd::NotRun(Refusal::Room)]);
 }
 
@@ -170,9 +170,9 @@
     let start = agent.starts.pop().expect("it is started");
     for _ in 0..3 {
         agent.run_for(agent.runner.timing().order_time.as_millis() as u64);
-        agent.handle(Event::Started(start.key.clone(), StartReply::Silent));
+        agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
     }
-    agent.handle(Event::Stopped(start.key.clone(), StopReply::Done));
+    agent.handle(Event::StopAnswered(start.key.clone(), StopReply::Acknowledged));
     agent.run_for(100);
     assert_eq!(agent.ends(), [TaskEnd::Lost]);
 }
--- a/components/runner/tests/overtaken.rs
+++ b/components/runner/tests/overtaken.rs
@@ -15,8 +15,8 @@
 #[test]
 fn a_ready_report_that_was_overtaken_does_not_open_a_leaving_target() {
     let mut agent = Agent::new();
-    agent.handle(Event::Target(leaving("t1", 5)));
-    agent.handle(Event::Target(numbered("t1", 4)));
+    agent.handle(Event::TargetReported(leaving("t1", 5)));
+    agent.handle(Event::TargetReported(numbered("t1", 4)));
     agent.run_for(10);
     assert!(!agent.open);
     assert!(started_at(&mut agent, "a").is_empty());
@@ -26,16 +26,16 @@
 #[test]
 fn a_target_that_said_it_is_leaving_stays_closed() {
     let mut agent = Agent::new();
-    agent.handle(Event::Target(leaving("t1", 5)));
-    agent.handle(Event::Target(numbered("t1", 6)));
+    agent.handle(Event::TargetReported(leaving("t1", 5)));
+    agent.handle(Event::TargetReported(numbered("t1", 6)));
     assert!(started_at(&mut agent, "a").is_empty(), "the answer was an acknowledgement");
 }
 
 #[test]
 fn that_a_target_is_leaving_counts_also_if_a_newer_report_was_there_first() {
     let mut agent = Agent::new();
-    agent.handle(Event::Target(numbered("t1", 6)));
-    agent.handle(Event::Target(leaving("t1", 5)));
+    agent.handle(Event::TargetReported(numbered("t1", 6)));
+    agent.handle(Event::TargetReported(leaving("t1", 5)));
     assert!(started_at(&mut agent, "a").is_empty(), "the answer was an acknowledgement");
 }
 
@@ -43,8 +43,8 @@
 fn an_overtaken_report_does_not_bring_back_an_earlier_capacity() {
     let mut agent = Agent::new();
     let small = cpu(1_600);
-    agent.handle(Event::Target(TargetReport { capacity: small, ..numbered("t1", 5) }));
-    agent.handle(Event::Target(numbered("t1", 4)));
+    agent.handle(Event::TargetReported(TargetReport { capacity: small, ..numbered("t1", 5) }));
+    agent.handle(Event::TargetReported(numbered("t1", 4)));
     agent.ask("a", 5, 0);
     assert_eq!(agent.take_starts().len(), 1, "there is room for one");
 }
@@ -66,7 +66,7 @@
     assert!(started_at(&mut agent, "a").is_empty() && !agent.open);
     agent.run_for(100);
     assert!(answer(&mut agent, "t1", lists(7_410)));
-    agent.handle(Event::Target(TargetReport { sequence: 2, ..report("t1", 7_420) }));
+    agent.handle(Event::TargetReported(TargetReport { sequence: 2, ..report("t1", 7_420) }));
     assert_eq!(started_at(&mut agent, "b"), [target("t1")]);
     // Of what comes next it has acknowledged everything itself.
     for second in 1..40 {
@@ -86,5 +86,5 @@
 }
 
 fn lists(clock_ms: u64) -> HoldReply {
-    HoldReply::Lists { started_ms: None, clock_ms, running: Vec::new(), ended: Vec::new() }
+    HoldReply::Runs { started_ms: None, clock_ms, running: Vec::new(), ended: Vec::new() }
 }
--- a/components/runner/tests/runner.rs
+++ b/components/runner/tests/runner.rs
@@ -43,7 +43,7 @@
     // A target that has seen a higher one all the same tells its clock.
     let mut agent = second;
     let order = agent.holds.pop().expect("a hold is under way");
-    agent.handle(Event::Held(order.target, HoldReply::Fence { clock_ms: 9_000 }));
+    agent.handle(Event::HoldAnswered(order.target, HoldReply::StaleToken { clock_ms: 9_000 }));
     agent.run_for(50);
     assert!(agent.holds[0].fencing_token >= 9_000);
 }
@@ -73,7 +73,7 @@
     agent.handle(Event::SessionClosed(SESSION));
     assert_eq!(agent.stops.len(), 2);
     for start in &starts {
-        agent.handle(Event::Stopped(start.key.clone(), StopReply::Done));
+        agent.handle(Event::StopAnswered(start.key.clone(), StopReply::Acknowledged));
     }
     agent.hold(&[], &[(1, &starts[0].key, EndReason::Stopped)]);
     agent.hold(&[], &[(2, &starts[1].key, EndReason::Stopped)]);
@@ -98,7 +98,7 @@
     let mut agent = Agent::new();
     agent.ask("a", 6, 0);
     assert_eq!(agent.take_starts().len(), 5);
-    agent.handle(Event::Target(TargetReport { draining: true, ..report("t1", 5_100) }));
+    agent.handle(Event::TargetReported(TargetReport { draining: true, ..report("t1", 5_100) }));
     assert_eq!(agent.ends(), [TaskEnd::NotRun(Refusal::Closed)], "what waited");
     agent.ask("b", 1, 0);
     agent.run_for(20);
@@ -111,7 +111,7 @@
     let mut agent = Agent::new();
     agent.ask("a", 2, 0);
     agent.take_starts();
-    agent.handle(Event::Target(report("t2", 40)));
+    agent.handle(Event::TargetReported(report("t2", 40)));
     agent.run_for(20);
     assert!(agent.reports.is_empty(), "it may be a late report of an earlier life");
     assert!(answer(&mut agent, "t2", empty()), "it is asked, and is there");
@@ -119,7 +119,7 @@
     assert_eq!(agent.ends(), [TaskEnd::Crashed, TaskEnd::Crashed]);
     // A report of the first life that was held up changes nothing.
     agent.holds.remove(0);
-    agent.handle(Event::Target(report("t1", 5_200)));
+    agent.handle(Event::TargetReported(report("t1", 5_200)));
     agent.hold(&[], &[]);
     assert_eq!(&*agent.holds[0].target.id, "t2");
 }
--- a/components/runner/tests/support/mod.rs
+++ b/components/runner/tests/support/mod.rs
@@ -8,8 +8,8 @@
 
 use model::{JobId, NodeName, Resources, TaskId, Time};
 use runner::{
-    Action, EndReason, Event, HoldOrder, HoldReply, RunKey, Runner, SessionId, StartOrder,
-    StartReply, StopOrder, TargetEnd, TargetInstance, TargetReport, TargetRun, Timing,
+    Action, EndReason, Event, HoldCommand, HoldReply, RunKey, Runner, SessionId, StartCommand,
+    StartReply, StopCommand, TargetEnd, TargetInstance, TargetReport, TargetRun, Timing,
 };
 use wire::{EmptiedHalls, StartTask, TaskEnd, TaskReport, ToAgent, ToEntry};
 
@@ -22,9 +22,9 @@
 pub struct Agent {
     pub runner: Runner,
     pub now: Time,
-    pub starts: Vec<StartOrder>,
-    pub stops: Vec<StopOrder>,
-    pub holds: Vec<HoldOrder>,
+    pub starts: Vec<StartCommand>,
+    pub stops: Vec<StopCommand>,
+    pub holds: Vec<HoldCommand>,
     pub reports: Vec<TaskReport>,
     pub closed: Vec<SessionId>,
     pub open: bool,
@@ -46,7 +46,7 @@
 
     pub fn at_target(id: &str, clock_ms: u64) -> Self {
         let mut agent = Self::waiting_for_target();
-        agent.handle(Event::Target(report(id, clock_ms)));
+        agent.handle(Event::TargetReported(report(id, clock_ms)));
         agent
     }
 
@@ -126,10 +126,13 @@
     }
 
     /// The target takes every start that was ordered.
-    pub fn take_starts(&mut self) -> Vec<StartOrder> {
+    pub fn take_starts(&mut self) -> Vec<StartCommand> {
         let starts = std::mem::take(&mut self.starts);
         for start in &starts {
-            self.handle(Event::Started(start.key.clone(), StartReply::Taken { clock_ms: 0 }));
+            self.handle(Event::StartAnswered(
+                start.key.clone(),
+                StartReply::Accepted { clock_ms: 0 },
+            ));
         }
         starts
     }
@@ -138,7 +141,7 @@
     pub fn hold(&mut self, running: &[&RunKey], ended: &[(u64, &RunKey, EndReason)]) {
         let order = self.holds.pop().expect("a hold is under way");
         let run = |key: &RunKey| TargetRun { task: key.task.clone(), run: key.run };
-        let reply = HoldReply::Lists {
+        let reply = HoldReply::Runs {
             started_ms: None,
             clock_ms: 0,
             running: running.iter().map(|key| run(key)).collect(),
@@ -151,7 +154,7 @@
                 })
                 .collect(),
         };
-        self.handle(Event::Held(order.target, reply));
+        self.handle(Event::HoldAnswered(order.target, reply));
     }
 
     pub fn ends(&self) -> Vec<TaskEnd> {
@@ -195,14 +198,14 @@
 
 /// The answer of a life where nothing runs or has ended.
 pub fn empty() -> HoldReply {
-    HoldReply::Lists { started_ms: None, clock_ms: CLOCK, running: Vec::new(), ended: Vec::new() }
+    HoldReply::Runs { started_ms: None, clock_ms: CLOCK, running: Vec::new(), ended: Vec::new() }
 }
 
 /// Answers the hold that is under way at a life; whether there was one.
 pub fn answer(agent: &mut Agent, id: &str, reply: HoldReply) -> bool {
     let Some(at) = agent.holds.iter().position(|hold| *hold.target.id == *id) else { return false };
     agent.holds.remove(at);
-    agent.handle(Event::Held(target(id), reply));
+    agent.handle(Event::HoldAnswered(target(id), reply));
     true
 }
 
--- a/components/runner/tests/walks.rs
+++ b/components/runner/tests/walks.rs
@@ -51,7 +51,7 @@
         if count > 0 {
             let which = self.roll(count) as usize;
             let (target, reply) = self.answers.swap_remove(which);
-            agent.handle(Event::Held(target, reply));
+            agent.handle(Event::HoldAnswered(target, reply));
         }
     }
 
@@ -68,7 +68,7 @@
         match self.roll(14) {
             0..=3 => {
                 let report = self.report();
-                agent.handle(Event::Target(report));
+                agent.handle(Event::TargetReported(report));
             }
             4 | 5 => {
                 let report = self.report();
@@ -78,7 +78,7 @@
                 let count = self.held_up.len() as u64;
                 if count > 0 {
                     let which = self.roll(count) as usize;
-                    agent.handle(Event::Target(self.held_up.swap_remove(which)));
+                    agent.handle(Event::TargetReported(self.held_up.swap_remove(which)));
                 }
             }
             8 | 9 => self.answer(agent),
@@ -102,10 +102,10 @@
         (0..200).for_each(|_| address.step(&mut agent));
         // What was held up arrives, the present life reports, and orders are answered.
         for late in std::mem::take(&mut address.held_up) {
-            agent.handle(Event::Target(late));
+            agent.handle(Event::TargetReported(late));
         }
         for _ in 0..30 {
-            agent.handle(Event::Target(address.report()));
+            agent.handle(Event::TargetReported(address.report()));
             (0..agent.holds.len()).for_each(|_| address.answer(&mut agent));
             (0..address.answers.len()).for_each(|_| address.deliver(&mut agent));
             agent.run_for(20);
--- a/daemon/src/room/agent.rs
+++ b/daemon/src/room/agent.rs
@@ -12,8 +12,8 @@
 use net::{Client, ClientError, Tasks};
 use platform::{BadBeat, HttpOrder};
 use runner::{
-    Action, Event, HoldOrder, HoldReply, Runner, SessionId, StartOrder, StartReply, StopOrder,
-    StopReply, TargetInstance, TargetReport, Timing,
+    Action, Event, HoldCommand, HoldReply, Runner, SessionId, StartCommand, StartReply,
+    StopCommand, StopReply, TargetInstance, TargetReport, Timing,
 };
 use serde_json::json;
 use subset::Subset;
@@ -195,29 +195,29 @@
         *self.runner.borrow().timing()
     }
 
-    async fn start(self: Rc<Self>, order: StartOrder) {
+    async fn start(self: Rc<Self>, order: StartCommand) {
         let target = &order.key.target;
         let time = self.timing().order_time;
         let reply = self.send(&self.orders, target, platform::start_order(&order), time).await;
         let reply = reply
-            .map_or(StartReply::Silent, |reply| platform::read_start(reply.status, &reply.body));
-        self.feed(Event::Started(order.key, reply));
+            .map_or(StartReply::NoAnswer, |reply| platform::read_start(reply.status, &reply.body));
+        self.feed(Event::StartAnswered(order.key, reply));
     }
 
-    async fn stop(self: Rc<Self>, order: StopOrder) {
+    async fn stop(self: Rc<Self>, order: StopCommand) {
         let target = &order.key.target;
         let time = self.timing().order_time;
         let reply = self.send(&self.orders, target, platform::stop_order(&order), time).await;
-        let reply = reply.map_or(StopReply::Silent, |reply| platform::read_stop(reply.status));
-        self.feed(Event::Stopped(order.key, reply));
+        let reply = reply.map_or(StopReply::NoAnswer, |reply| platform::read_stop(reply.status));
+        self.feed(Event::StopAnswered(order.key, reply));
     }
 
-    async fn hold(self: Rc<Self>, order: HoldOrder) {
+    async fn hold(self: Rc<Self>, order: HoldCommand) {
         let (target, time) = (&order.target, order.answer_within);
         let reply = self.send(&self.holds, target, platform::hold_order(&order), time).await;
-        let reply =
-            reply.map_or(HoldReply::Silent, |reply| platform::read_hold(reply.status, &reply.body));
-        self.feed(Event::Held(order.target, reply));
+        let reply = reply
+            .map_or(HoldReply::NoAnswer, |reply| platform::read_hold(reply.status, &reply.body));
+        self.feed(Event::HoldAnswered(order.target, reply));
     }
 
     /// Sends an order for a life of the target; `None` where there is no whole answer in time. The runner's counters
--- a/daemon/src/room/target_http.rs
+++ b/daemon/src/room/target_http.rs
@@ -40,7 +40,7 @@
                 // A late one is answered as well: a life that is over hears nothing, and one that
                 // is there would take a refusal for a failed report and for want of an
                 // acknowledgement that it is leaving. What is acknowledged has been taken in.
-                agent.feed(Event::Target(report));
+                agent.feed(Event::TargetReported(report));
                 reply(200, "{}".to_owned())
             }
             Err(error) => {
--- a/soak/src/room/checks.rs
+++ b/soak/src/room/checks.rs
@@ -157,7 +157,7 @@
     }
 
     pub fn ended(&mut self, task: &TaskId, reason: EndReason) {
-        if matches!(reason, EndReason::Stopped | EndReason::Lapsed) {
+        if matches!(reason, EndReason::Stopped | EndReason::LeaseExpired) {
             self.summary.thrown_away += 1;
         }
         let Some(known) = self.jobs.get_mut(&task.job) else { return };
--- a/soak/src/room/orders.rs
+++ b/soak/src/room/orders.rs
@@ -4,7 +4,7 @@
 
 use model::{Resources, TaskId};
 use rand::Rng;
-use runner::{HoldOrder, StartOrder, StartReply, StopOrder, TargetReport};
+use runner::{HoldCommand, StartCommand, StartReply, StopCommand, TargetReport};
 
 use super::world::{BEAT, Call, Happening, TARGET_TICK, World};
 
@@ -14,7 +14,7 @@
 const LONGEST_HELD_UP_MS: u64 = 4_000;
 
 impl World {
-    pub(super) fn target_start(&mut self, call: Call, order: StartOrder, late: bool) {
+    pub(super) fn target_start(&mut self, call: Call, order: StartCommand, late: bool) {
         let agent = call.agent;
         if self.is_order_gone(call) {
             return;
@@ -23,7 +23,7 @@
         let now = self.now;
         let Some(target) = &mut self.agents[agent].target else { return };
         let (reply, began) = target.start(now, &order, resources, work, fails);
-        if matches!(reply, StartReply::Refused { reason: runner::StartRefusal::Room, .. }) {
+        if matches!(reply, StartReply::Refused { reason: runner::StartRefusal::NoCapacity, .. }) {
             self.checks.summary.no_room += 1;
         }
         if began {
@@ -54,7 +54,7 @@
         Some((work, fails, client.request.shape.resources))
     }
 
-    pub(super) fn target_stop(&mut self, call: Call, order: &StopOrder, late: bool) {
+    pub(super) fn target_stop(&mut self, call: Call, order: &StopCommand, late: bool) {
         let agent = call.agent;
         if self.is_order_gone(call) {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(super) fn target_hold(&mut self, call: Call, order: HoldOrder) {
+    pub(super) fn target_hold(&mut self, call: Call, order: HoldCommand) {
         let agent = call.agent;
         let now = self.now;
         let Some(target) = &mut self.agents[agent].target else { return };
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn hold_over(&mut self, call: Call) {
-        let waits = |(waiting, _): &(Call, HoldOrder)| *waiting == call;
+        let waits = |(waiting, _): &(Call, HoldCommand)| *waiting == call;
         if self.agents[call.agent].waiting.as_ref().is_some_and(waits) {
             self.answer_hold(call.agent);
         }
@@ -145,6 +145,6 @@
         if is_there && report.draining {
             process.drains.get_or_insert(now);
         }
-        self.feed_agent(agent, runner::Event::Target(report));
+        self.feed_agent(agent, runner::Event::TargetReported(report));
     }
 }
--- a/soak/src/room/processes.rs
+++ b/soak/src/room/processes.rs
@@ -4,7 +4,7 @@
 
 use keeper::DocumentSource;
 use rand::Rng;
-use runner::{HoldOrder, HoldReply, StartReply, StopReply};
+use runner::{HoldCommand, HoldReply, StartReply, StopReply};
 
 use super::link::Parcel;
 use super::world::{Call, Happening, World};
@@ -77,7 +77,7 @@
                     let call = self.call(agent, life);
                     self.lies_unanswered(call, late);
                     self.at(hop, Happening::Start(call, order.clone(), late));
-                    let silent = Happening::Started(call, order.key, StartReply::Silent);
+                    let silent = Happening::Started(call, order.key, StartReply::NoAnswer);
                     self.at(timing.order_time, silent);
                 }
                 runner::Action::Stop(order) => {
@@ -85,7 +85,7 @@
                     let call = self.call(agent, life);
                     self.lies_unanswered(call, late);
                     self.at(hop, Happening::Stop(call, order.clone(), late));
-                    let silent = Happening::Stopped(call, order.key, StopReply::Silent);
+                    let silent = Happening::Stopped(call, order.key, StopReply::NoAnswer);
                     self.at(timing.order_time, silent);
                 }
                 runner::Action::Hold(order) => {
@@ -96,7 +96,7 @@
                         self.at(hop, Happening::Hold(call, order.clone()));
                     }
                     let time = order.answer_within;
-                    self.at(time, Happening::Held(call, order, HoldReply::Silent));
+                    self.at(time, Happening::Held(call, order, HoldReply::NoAnswer));
                 }
                 runner::Action::News(_) => {}
             }
@@ -129,10 +129,10 @@
         if process.life == call.life && process.frozen > self.now {
             let until = process.frozen;
             let again = match event {
-                runner::Event::Started(key, reply) => Happening::Started(call, key, reply),
-                runner::Event::Stopped(key, reply) => Happening::Stopped(call, key, reply),
-                runner::Event::Held(target, reply) => {
-                    let order = HoldOrder {
+                runner::Event::StartAnswered(key, reply) => Happening::Started(call, key, reply),
+                runner::Event::StopAnswered(key, reply) => Happening::Stopped(call, key, reply),
+                runner::Event::HoldAnswered(target, reply) => {
+                    let order = HoldCommand {
                         target,
                         deadline_ms: None,
                         fencing_token: 0,
--- a/soak/src/room/target.rs
+++ b/soak/src/room/target.rs
@@ -7,8 +7,8 @@
 
 use model::{Resources, TaskId, Time};
 use runner::{
-    EndReason, HoldOrder, HoldReply, StartOrder, StartRefusal, StartReply, StopOrder, StopReply,
-    TargetEnd, TargetInstance, TargetReport, TargetRun,
+    EndReason, HoldCommand, HoldReply, StartCommand, StartRefusal, StartReply, StopCommand,
+    StopReply, TargetEnd, TargetInstance, TargetReport, TargetRun,
 };
 
 use super::world::ONE_HALL;
@@ -119,7 +119,7 @@
             let runs: Vec<TaskId> = self.runs.keys().cloned().collect();
             return runs
                 .into_iter()
-                .filter_map(|task| self.end(&task, EndReason::Lapsed))
+                .filter_map(|task| self.end(&task, EndReason::LeaseExpired))
                 .collect();
         }
         let due: Vec<(TaskId, EndReason)> = self
@@ -156,7 +156,7 @@
     pub fn start(
         &mut self,
         now: Time,
-        order: &StartOrder,
+        order: &StartCommand,
         resources: Resources,
         work: Duration,
         fails: bool,
@@ -168,24 +168,24 @@
             return (StartReply::OtherInstance, false);
         }
         if order.fencing_token < self.fence {
-            return refused(StartRefusal::Fence);
+            return refused(StartRefusal::StaleToken);
         }
         self.fence = order.fencing_token;
         if order.deadline_ms <= clock_ms {
-            return refused(StartRefusal::Late);
+            return refused(StartRefusal::DeadlinePassed);
         }
         self.renew(clock_ms, order.deadline_ms);
         if self.runs.get(task).is_some_and(|run| run.run == order.key.run) {
-            return (StartReply::Taken { clock_ms }, false);
+            return (StartReply::Accepted { clock_ms }, false);
         }
         let barred = self.barred.get(task).is_some_and(|barred| order.key.run <= *barred);
         if barred || self.runs.contains_key(task) {
-            return refused(StartRefusal::Old);
+            return refused(StartRefusal::StaleRun);
         }
         let mut free = self.capacity;
         self.runs.values().for_each(|run| free -= run.resources);
         if self.guards_room && !resources.fits(&free) {
-            return refused(StartRefusal::Room);
+            return refused(StartRefusal::NoCapacity);
         }
         let (ends, reason) = match self.manner {
             Manner::Sound if fails => (Some(now + work), EndReason::Failed),
@@ -195,15 +195,15 @@
             Manner::Slow(times) => (Some(now + work * times), EndReason::Done),
         };
         self.runs.insert(task.clone(), Run { run: order.key.run, resources, ends, reason });
-        (StartReply::Taken { clock_ms }, true)
+        (StartReply::Accepted { clock_ms }, true)
     }
 
-    pub fn stop(&mut self, now: Time, order: &StopOrder) -> StopReply {
+    pub fn stop(&mut self, now: Time, order: &StopCommand) -> StopReply {
         if order.key.target.id != self.id.id {
             return StopReply::OtherInstance;
         }
         if order.fencing_token < self.fence {
-            return StopReply::Silent;
+            return StopReply::NoAnswer;
         }
         self.fence = order.fencing_token;
         match self.runs.get_mut(&order.key.task) {
@@ -215,17 +215,17 @@
             }
             _ => self.bar(&order.key.task, order.key.run),
         }
-        StopReply::Done
+        StopReply::Acknowledged
     }
 
     /// Takes a hold; `None` where the answer waits for an end.
-    pub fn hold(&mut self, now: Time, order: &HoldOrder, last: bool) -> Option<HoldReply> {
+    pub fn hold(&mut self, now: Time, order: &HoldCommand, last: bool) -> Option<HoldReply> {
         let clock_ms = self.clock_ms(now);
         if order.target.id != self.id.id {
             return Some(HoldReply::OtherInstance);
         }
         if order.fencing_token < self.fence {
-            return Some(HoldReply::Fence { clock_ms });
+            return Some(HoldReply::StaleToken { clock_ms });
         }
         self.fence = order.fencing_token;
         if let Some(deadline_ms) = order.deadline_ms
@@ -239,7 +239,7 @@
         }
         let run = |(task, run): (&TaskId, &Run)| TargetRun { task: task.clone(), run: run.run };
         let running = self.runs.iter().map(run).collect();
-        Some(HoldReply::Lists {
+        Some(HoldReply::Runs {
             started_ms: self.id.started_ms,
             clock_ms,
             running,
--- a/soak/src/room/world.rs
+++ b/soak/src/room/world.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use runner::{
-    HoldOrder, HoldReply, RunKey, Runner, StartOrder, StartReply, StopOrder, StopReply,
+    HoldCommand, HoldReply, RunKey, Runner, StartCommand, StartReply, StopCommand, StopReply,
     TargetInstance, TargetReport,
 };
 use wire::{Document, EmptiedHalls};
@@ -52,13 +52,13 @@
     LinkSent(usize),
     /// A part of the configuration may be late at one life of an entry.
     PartLate(usize, u64),
-    Start(Call, StartOrder, bool),
-    Stop(Call, StopOrder, bool),
-    Hold(Call, HoldOrder),
+    Start(Call, StartCommand, bool),
+    Stop(Call, StopCommand, bool),
+    Hold(Call, HoldCommand),
     HoldOver(Call),
     Started(Call, RunKey, StartReply),
     Stopped(Call, RunKey, StopReply),
-    Held(Call, HoldOrder, HoldReply),
+    Held(Call, HoldCommand, HoldReply),
     Targets,
     Beat(usize),
     /// A report of a target that was held up on its way.
@@ -130,7 +130,7 @@
     /// When the agent heard that its target leaves.
     pub drains: Option<Time>,
     /// The hold that waits at the target.
-    pub waiting: Option<(Call, HoldOrder)>,
+    pub waiting: Option<(Call, HoldCommand)>,
 }
 
 pub(super) struct World {
@@ -387,13 +387,13 @@
             Happening::Hold(call, order) => self.target_hold(call, order),
             Happening::HoldOver(call) => self.hold_over(call),
             Happening::Started(call, key, reply) => {
-                self.answer_agent(call, runner::Event::Started(key, reply));
+                self.answer_agent(call, runner::Event::StartAnswered(key, reply));
             }
             Happening::Stopped(call, key, reply) => {
-                self.answer_agent(call, runner::Event::Stopped(key, reply));
+                self.answer_agent(call, runner::Event::StopAnswered(key, reply));
             }
             Happening::Held(call, order, reply) => {
-                self.answer_agent(call, runner::Event::Held(order.target, reply));
+                self.answer_agent(call, runner::Event::HoldAnswered(order.target, reply));
             }
             Happening::Targets => self.pass_targets(),
             Happening::Beat(agent) => self.beat(agent),
