--- a/components/runner/src/event.rs
+++ b/components/runner/src/event.rs
@@ -288,12 +288,12 @@
     /// Renews the lease.
     Hold(HoldCommand),
     /// Reports a decision or a change of state.
-    News(News),
+    Log(LogEvent),
 }
 
 /// What an agent decided or came to believe, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum LogEvent {
     /// A target's new life is taken on.
     TargetFound {
         /// Its life.
@@ -353,7 +353,7 @@
         /// The session.
         session: SessionId,
         /// Why.
-        why: &'static str,
+        reason: &'static str,
         /// Runs that are stopped.
         runs: usize,
     },
--- a/components/runner/src/halls.rs
+++ b/components/runner/src/halls.rs
@@ -7,7 +7,7 @@
 use model::Time;
 use wire::{EmptiedHalls, Refusal, ToEntry};
 
-use crate::event::{Action, HallsSource, News, SessionId};
+use crate::event::{Action, HallsSource, LogEvent, SessionId};
 use crate::runner::Runner;
 
 impl Runner {
@@ -24,7 +24,7 @@
             return;
         }
         let emptied = self.is_hall_emptied();
-        out.push(Action::News(News::Halls { halls: halls.clone(), emptied, source }));
+        out.push(Action::Log(LogEvent::Halls { halls: halls.clone(), emptied, source }));
         let others = self.sessions.keys().filter(|id| source != HallsSource::Entry(**id));
         let told: Vec<SessionId> = others.copied().collect();
         out.extend(told.into_iter().map(|id| Action::Send(id, ToEntry::Halls(halls.clone()))));
--- a/components/runner/src/hold.rs
+++ b/components/runner/src/hold.rs
@@ -7,7 +7,7 @@
 use wire::TaskEnd;
 
 use crate::event::{
-    Action, EndReason, HoldCommand, HoldReply, News, RunKey, StopCommand, TargetEnd,
+    Action, EndReason, HoldCommand, HoldReply, LogEvent, RunKey, StopCommand, TargetEnd,
     TargetInstance, TargetRun,
 };
 use crate::run::{Run, RunState};
@@ -37,7 +37,7 @@
         let silent = now.since(target.heard) > timing.hold_wait + timing.hold_silence;
         if silent && !target.silent {
             target.silent = true;
-            out.push(Action::News(News::TargetSilent(target.id().clone())));
+            out.push(Action::Log(LogEvent::TargetSilent(target.id().clone())));
             self.mark_dirty();
         }
         self.end_lapsed(now, out);
@@ -128,7 +128,7 @@
                 let was_doubted = target.leave_doubted.take_if(|left| *left < sent).is_some();
                 let was_silent = std::mem::take(&mut target.silent);
                 if was_silent {
-                    out.push(Action::News(News::TargetHeard(id.clone())));
+                    out.push(Action::Log(LogEvent::TargetHeard(id.clone())));
                 }
                 if was_silent || was_doubted {
                     self.mark_dirty();
@@ -200,7 +200,7 @@
                 continue;
             }
             target.has_orphans = true;
-            out.push(Action::News(News::Orphan(run.task.clone())));
+            out.push(Action::Log(LogEvent::Orphan(run.task.clone())));
             let key = RunKey { target: target.id().clone(), task: run.task.clone(), run: run.run };
             out.push(Action::Stop(StopCommand { key, fencing_token: target.fencing_token }));
         }
--- a/components/runner/src/lib.rs
+++ b/components/runner/src/lib.rs
@@ -23,7 +23,7 @@
 mod turns;
 
 pub use event::{
-    Action, EndReason, Event, HallsSource, HoldCommand, HoldReply, News, RunKey, SessionId,
+    Action, EndReason, Event, HallsSource, HoldCommand, HoldReply, LogEvent, RunKey, SessionId,
     StartCommand, StartRefusal, StartReply, StopCommand, StopReply, TargetEnd, TargetInstance,
     TargetReport, TargetRun,
 };
--- a/components/runner/src/lives.rs
+++ b/components/runner/src/lives.rs
@@ -13,7 +13,7 @@
 use model::{TaskId, Time};
 use wire::Refusal;
 
-use crate::event::{Action, HoldReply, News, TargetInstance, TargetReport, TargetRun};
+use crate::event::{Action, HoldReply, LogEvent, TargetInstance, TargetReport, TargetRun};
 use crate::hold::START_SLACK;
 use crate::run::{Run, RunState};
 use crate::runner::Runner;
@@ -82,7 +82,7 @@
         if self.newcomers.len() == NEWCOMERS {
             self.newcomers.remove(0);
         }
-        out.push(Action::News(News::TargetAsked(report.instance.clone())));
+        out.push(Action::Log(LogEvent::TargetAsked(report.instance.clone())));
         let mut newcomer = Target::new(report, now);
         if let Some(target) = &self.target {
             newcomer.follow(target);
@@ -102,7 +102,7 @@
             self.say_hello(out);
         }
         if drains {
-            out.push(Action::News(News::TargetDrains(id)));
+            out.push(Action::Log(LogEvent::TargetDrains(id)));
             self.refuse_waiting(now, Refusal::Closed, out);
         }
         self.mark_dirty();
@@ -285,7 +285,7 @@
 
     /// Takes on a life of the target. Nothing starts there before it has answered a hold.
     fn adopt(&mut self, target: Target, out: &mut Vec<Action>) {
-        out.push(Action::News(News::TargetFound {
+        out.push(Action::Log(LogEvent::TargetFound {
             instance: target.id().clone(),
             fencing_token: target.fencing_token,
         }));
@@ -309,7 +309,7 @@
     fn report_is_late(&mut self, id: &TargetInstance, sequence: u64, out: &mut Vec<Action>) {
         self.counters.late_reports += 1;
         let present = self.target.as_ref().map(|target| &target.report);
-        out.push(Action::News(News::TargetReportLate {
+        out.push(Action::Log(LogEvent::TargetReportLate {
             instance: id.clone(),
             sequence,
             present: present.map(|report| report.instance.clone()),
--- a/components/runner/src/orders.rs
+++ b/components/runner/src/orders.rs
@@ -6,7 +6,7 @@
 use wire::{Refusal, TaskEnd};
 
 use crate::event::{
-    Action, News, RunKey, StartCommand, StartRefusal, StartReply, StopCommand, StopReply,
+    Action, LogEvent, RunKey, StartCommand, StartRefusal, StartReply, StopCommand, StopReply,
 };
 use crate::run::{Run, RunState, Stopping};
 use crate::runner::{Runner, report_health};
@@ -189,7 +189,7 @@
         if stopping {
             return;
         }
-        out.push(Action::News(News::StartSilent(task.clone())));
+        out.push(Action::Log(LogEvent::StartSilent(task.clone())));
         let Some(run) = self.runs.get_mut(task) else { return };
         run.unanswered += 1;
         if run.unanswered < UNANSWERED {
@@ -279,7 +279,7 @@
             if !stuck && !overdue(run, FAR_OVERDUE_TIMES) {
                 continue;
             }
-            out.push(Action::News(News::Stuck {
+            out.push(Action::Log(LogEvent::Stuck {
                 task: task.clone(),
                 ran_ms: now.since(run.since).as_millis() as u64,
                 estimated_ms: run.estimated_ms,
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -7,7 +7,7 @@
 use model::{CancelledJobs, JobId, NodeName, Resources, TaskId, Time};
 use wire::{Document, EmptiedHalls, Refusal, TaskEnd, TaskReport, ToEntry};
 
-use crate::event::{Action, Event, HallsSource, News, SessionId, TargetInstance};
+use crate::event::{Action, Event, HallsSource, LogEvent, SessionId, TargetInstance};
 use crate::health::Change;
 use crate::lives::NextLife;
 use crate::run::{Run, RunState, Stopping};
@@ -326,7 +326,7 @@
         let over = self.runs.iter().filter(|(task, run)| !is_kept(task, run));
         let ends: Vec<(TaskId, TaskEnd)> =
             over.map(|(task, run)| (task.clone(), end_of(run))).collect();
-        out.push(Action::News(News::TargetGone {
+        out.push(Action::Log(LogEvent::TargetGone {
             instance: target.id().clone(),
             lost: ends.len(),
         }));
@@ -362,7 +362,7 @@
         }
         self.count(end);
         self.learn(now, &run, end, ran, out);
-        out.push(Action::News(News::Run {
+        out.push(Action::Log(LogEvent::Run {
             task: task.clone(),
             run: run.run,
             end,
@@ -442,8 +442,8 @@
         Change::None => {}
         Change::LeftOut { failures, pause } => {
             let for_ms = pause.as_millis() as u64;
-            out.push(Action::News(News::TargetLeftOut { failures, for_ms }));
+            out.push(Action::Log(LogEvent::TargetLeftOut { failures, for_ms }));
         }
-        Change::TakenBack => out.push(Action::News(News::TargetTakenBack)),
+        Change::TakenBack => out.push(Action::Log(LogEvent::TargetTakenBack)),
     }
 }
--- a/components/runner/src/sessions.rs
+++ b/components/runner/src/sessions.rs
@@ -5,7 +5,7 @@
 use model::{JobId, TaskId, Time};
 use wire::{AgentProfile, Load, Refusal, StartTask, TaskEnd, TaskReport, ToAgent, ToEntry};
 
-use crate::event::{Action, HallsSource, News, SessionId};
+use crate::event::{Action, HallsSource, LogEvent, SessionId};
 use crate::rate::StartRate;
 use crate::run::{Run, RunState};
 use crate::runner::Runner;
@@ -52,7 +52,7 @@
             retired: None,
         };
         self.sessions.insert(id, session);
-        out.push(Action::News(News::SessionOpened(id)));
+        out.push(Action::Log(LogEvent::SessionOpened(id)));
         if self.target.is_some() {
             out.push(Action::Send(id, self.hello()));
         }
@@ -183,7 +183,12 @@
         }
     }
 
-    pub(crate) fn lose_session(&mut self, id: SessionId, why: &'static str, out: &mut Vec<Action>) {
+    pub(crate) fn lose_session(
+        &mut self,
+        id: SessionId,
+        reason: &'static str,
+        out: &mut Vec<Action>,
+    ) {
         if self.sessions.remove(&id).is_none() {
             return;
         }
@@ -191,7 +196,7 @@
         let of_session = |(_, run): &(&TaskId, &Run)| run.session == Some(id);
         let tasks: Vec<TaskId> =
             self.runs.iter().filter(of_session).map(|(task, _)| task.clone()).collect();
-        out.push(Action::News(News::SessionLost { session: id, why, runs: tasks.len() }));
+        out.push(Action::Log(LogEvent::SessionLost { session: id, reason, runs: tasks.len() }));
         out.push(Action::Close(id));
         for task in tasks {
             if let Some(run) = self.runs.get_mut(&task) {
@@ -201,9 +206,9 @@
         }
     }
 
-    pub(crate) fn lose_all_sessions(&mut self, why: &'static str, out: &mut Vec<Action>) {
+    pub(crate) fn lose_all_sessions(&mut self, reason: &'static str, out: &mut Vec<Action>) {
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.lose_session(id, why, out));
+        ids.into_iter().for_each(|id| self.lose_session(id, reason, out));
     }
 
     pub(crate) fn end_silent_sessions(&mut self, now: Time, out: &mut Vec<Action>) {
@@ -243,7 +248,7 @@
         let ids: Vec<SessionId> = self.sessions.iter().filter(is_over).map(|(id, _)| *id).collect();
         for id in ids {
             self.sessions.remove(&id);
-            out.push(Action::News(News::SessionRetired(id)));
+            out.push(Action::Log(LogEvent::SessionRetired(id)));
             out.push(Action::Close(id));
         }
     }
--- a/components/runner/tests/support/mod.rs
+++ b/components/runner/tests/support/mod.rs
@@ -85,7 +85,7 @@
                     self.loads += 1;
                 }
                 Action::Send(id, ToEntry::Halls(halls)) => self.halls_told.push((id, halls)),
-                Action::Send(..) | Action::News(_) => {}
+                Action::Send(..) | Action::Log(_) => {}
             }
         }
     }
--- a/daemon/src/room/agent.rs
+++ b/daemon/src/room/agent.rs
@@ -187,7 +187,7 @@
                 let agent = self.clone();
                 self.tasks.spawn(async move { agent.hold(order).await });
             }
-            Action::News(news) => agent_news::write(&self.log, &news),
+            Action::Log(news) => agent_news::write(&self.log, &news),
         }
     }
 
--- a/daemon/src/room/agent_news.rs
+++ b/daemon/src/room/agent_news.rs
@@ -1,6 +1,6 @@
 //! The agent's decisions as lines of the log.
 
-use runner::{HallsSource, News};
+use runner::{HallsSource, LogEvent};
 use serde_json::{Value, json};
 use wire::TaskEnd;
 
@@ -14,61 +14,61 @@
 }
 
 /// Writes a decision or a change of state.
-pub(super) fn write(log: &EventLog, news: &News) {
+pub(super) fn write(log: &EventLog, news: &LogEvent) {
     match news {
-        News::TargetFound { instance, fencing_token } => log.line(
+        LogEvent::TargetFound { instance, fencing_token } => log.line(
             "target-found",
             Budget::Full,
             || json!({"target": instance.to_string(), "fencing_token": fencing_token}),
         ),
-        News::TargetGone { instance, lost } => log.line(
+        LogEvent::TargetGone { instance, lost } => log.line(
             "target-gone",
             Budget::Full,
             || json!({"target": instance.to_string(), "lost": lost}),
         ),
-        News::TargetAsked(instance) => {
+        LogEvent::TargetAsked(instance) => {
             log.line("target-asked", Budget::Full, || json!({"target": instance.to_string()}));
         }
-        News::TargetReportLate { instance, sequence, present, present_sequence } => {
+        LogEvent::TargetReportLate { instance, sequence, present, present_sequence } => {
             let present = present.as_ref().map(ToString::to_string);
             log.line("target-report-late", Budget::Sampled, || {
                 json!({"target": instance.to_string(), "sequence": sequence, "present": present,
                     "present_sequence": present_sequence})
             });
         }
-        News::TargetSilent(instance) => {
+        LogEvent::TargetSilent(instance) => {
             log.line("target-silent", Budget::Full, || json!({"target": instance.to_string()}));
         }
-        News::TargetHeard(instance) => {
+        LogEvent::TargetHeard(instance) => {
             log.line("target-heard", Budget::Full, || json!({"target": instance.to_string()}));
         }
-        News::Halls { halls, emptied, source } => log.line("halls", Budget::Full, || {
+        LogEvent::Halls { halls, emptied, source } => log.line("halls", Budget::Full, || {
             json!({"revision": halls.revision, "emptied": halls.to_string(), "own": emptied,
                 "from": halls_source(*source)})
         }),
-        News::TargetDrains(instance) => {
+        LogEvent::TargetDrains(instance) => {
             log.line("target-drains", Budget::Full, || json!({"target": instance.to_string()}));
         }
-        News::TargetLeftOut { failures, for_ms } => {
+        LogEvent::TargetLeftOut { failures, for_ms } => {
             log.line(
                 "target-left-out",
                 Budget::Full,
                 || json!({"failures": failures, "for_ms": for_ms}),
             );
         }
-        News::TargetTakenBack => log.line("target-taken-back", Budget::Full, || json!({})),
-        News::SessionOpened(session) => {
+        LogEvent::TargetTakenBack => log.line("target-taken-back", Budget::Full, || json!({})),
+        LogEvent::SessionOpened(session) => {
             log.line("session-opened", Budget::Full, || json!({"session": session.0}));
         }
-        News::SessionLost { session, why, runs } => log.line(
+        LogEvent::SessionLost { session, reason, runs } => log.line(
             "session-lost",
             Budget::Full,
-            || json!({"session": session.0, "why": why, "runs": runs}),
+            || json!({"session": session.0, "why": reason, "runs": runs}),
         ),
-        News::SessionRetired(session) => {
+        LogEvent::SessionRetired(session) => {
             log.line("session-retired", Budget::Full, || json!({"session": session.0}));
         }
-        News::Run { task, run, end, waited_ms, ran_ms, free } => {
+        LogEvent::Run { task, run, end, waited_ms, ran_ms, free } => {
             let (kind, budget) = match end {
                 TaskEnd::Done => ("done", Budget::Sampled),
                 _ => ("run-ended", Budget::Full),
@@ -79,16 +79,16 @@
                     "free": free.to_string()})
             });
         }
-        News::Stuck { task, ran_ms, estimated_ms } => log.line("stuck", Budget::Full, || {
+        LogEvent::Stuck { task, ran_ms, estimated_ms } => log.line("stuck", Budget::Full, || {
             json!({"job": task.job.as_str(), "task": task.index, "ran_ms": ran_ms,
                 "estimated_ms": estimated_ms})
         }),
-        News::StartSilent(task) => log.line(
+        LogEvent::StartSilent(task) => log.line(
             "start-silent",
             Budget::Full,
             || json!({"job": task.job.as_str(), "task": task.index}),
         ),
-        News::Orphan(task) => log.line(
+        LogEvent::Orphan(task) => log.line(
             "orphan",
             Budget::Full,
             || json!({"job": task.job.as_str(), "task": task.index}),
--- a/soak/src/room/processes.rs
+++ b/soak/src/room/processes.rs
@@ -98,7 +98,7 @@
                     let time = order.answer_within;
                     self.at(time, Happening::Held(call, order, HoldReply::NoAnswer));
                 }
-                runner::Action::News(_) => {}
+                runner::Action::Log(_) => {}
             }
         }
     }
