--- a/components/runner/src/hold_times.rs
+++ b/components/runner/src/hold_times.rs
@@ -38,7 +38,7 @@
         if self.target.as_ref().is_some_and(|target| target.has_orphans) {
             return HoldTimes::waiting(ORPHAN_WAIT, timing);
         }
-        let kept = timing.unanswered_kept;
+        let kept = timing.unanswered_retention;
         if !self.target.as_ref().is_some_and(|target| target.leaves_unanswered(now, kept)) {
             return HoldTimes::waiting(timing.hold_wait, timing);
         }
--- a/components/runner/src/lives.rs
+++ b/components/runner/src/lives.rs
@@ -264,7 +264,7 @@
         let shares_id = self.target.as_ref().is_some_and(|target| target.id().id == next.id().id);
         if shares_id {
             // It may have taken an order for the life before, with a lease that ends by that one's clock.
-            next.renew(now, self.timing.longest_lease);
+            next.renew(now, self.timing.max_lease);
         }
         let takes = if shares_id { NextLife::TakesOrders(running) } else { NextLife::TakesNone };
         self.end_life(now, takes, out);
--- a/components/runner/src/orders.rs
+++ b/components/runner/src/orders.rs
@@ -67,11 +67,11 @@
 
     fn send_start(&mut self, now: Time, task: &TaskId, out: &mut Vec<Action>) {
         let (Some(target), Some(run)) = (&mut self.target, self.runs.get(task)) else { return };
-        target.renew(now, self.timing.start_life);
+        target.renew(now, self.timing.start_validity);
         out.push(Action::Start(StartCommand {
             key: RunKey { target: target.id().clone(), task: task.clone(), run: run.run },
             spec: run.spec.clone(),
-            deadline_ms: target.deadline_ms(now, self.timing.start_life),
+            deadline_ms: target.deadline_ms(now, self.timing.start_validity),
             fencing_token: target.fencing_token,
         }));
     }
@@ -151,7 +151,7 @@
             return self.end(now, task, TaskEnd::NotRun(Refusal::Target), out);
         }
         if reason == StartRefusal::NoCapacity {
-            self.counters.no_room += 1;
+            self.counters.no_capacity += 1;
         }
         if doubtful && !matches!(reason, StartRefusal::StaleToken | StartRefusal::DeadlinePassed) {
             // An earlier start of this number may have run to its end, or may be carried out yet.
@@ -182,7 +182,7 @@
     /// no harm, since the target takes each number once. Where that is not answered either, a stop
     /// of the same run is the proof that it does not run.
     fn start_silent(&mut self, now: Time, task: &TaskId, stopping: bool, out: &mut Vec<Action>) {
-        self.counters.silent_starts += 1;
+        self.counters.unanswered_starts += 1;
         if let Some(target) = &mut self.target {
             target.left_unanswered(now, &self.timing);
         }
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -23,15 +23,15 @@
     /// where an entry and an agent die one after the other.
     pub lease: Duration,
     /// The longest lease that a target grants, whatever an order asks for.
-    pub longest_lease: Duration,
+    pub max_lease: Duration,
     /// How long the target may take to answer a start or a stop: it stands beside the agent.
-    pub order_time: Duration,
+    pub command_timeout: Duration,
     /// How long a hold waits for an end. While a hold is lost nothing is known of the target.
     pub hold_wait: Duration,
     /// How much longer than it was asked to wait the target may take to answer a hold.
     pub hold_slack: Duration,
     /// How long a target that has left an order unanswered is thought to do so again.
-    pub unanswered_kept: Duration,
+    pub unanswered_retention: Duration,
     /// How long a hold waits for an end at such a target, at least: each hold costs the agent's processor time,
     pub short_hold_wait_least: Duration,
     /// and at most. What begins meanwhile may end sooner than the hold was thought to wait.
@@ -42,11 +42,11 @@
     /// A target that has not answered a hold for so long gets no new work.
     pub hold_silence: Duration,
     /// How long a start may be on its way to the target.
-    pub start_life: Duration,
+    pub start_validity: Duration,
     /// How long the target takes to stop a run.
     pub stop_time: Duration,
     /// Silence of an entry for which something runs here after which its session is dead.
-    pub session_silence: Duration,
+    pub session_timeout: Duration,
     /// Silence of an entry for which nothing runs here after which its session is dead: nothing has to
     /// be stopped then, so that its heartbeats may be rare. A connection that has gone silent for good is
     /// still replaced within 1.3 s, as soaks of real processes hold.
@@ -55,7 +55,7 @@
     /// starts that cross the word on their way are still carried out.
     pub retire_notice: Duration,
     /// Age of what an entry heard after which its starts are refused.
-    pub start_age: Duration,
+    pub max_start_age: Duration,
     /// A gap between two events after which the process is taken to have stood still.
     pub longest_pause: Duration,
     /// From one report of the load to the next, at least: every entry reads each report,
@@ -73,21 +73,21 @@
     fn default() -> Self {
         Self {
             lease: Duration::from_millis(750),
-            longest_lease: Duration::from_secs(15),
-            order_time: Duration::from_millis(40),
+            max_lease: Duration::from_secs(15),
+            command_timeout: Duration::from_millis(40),
             hold_wait: Duration::from_millis(120),
             hold_slack: Duration::from_millis(50),
-            unanswered_kept: Duration::from_secs(5),
+            unanswered_retention: Duration::from_secs(5),
             short_hold_wait_least: Duration::from_millis(20),
             short_hold_wait_most: Duration::from_millis(60),
             short_hold_slack: Duration::from_millis(20),
             hold_silence: Duration::from_millis(500),
-            start_life: Duration::from_millis(300),
+            start_validity: Duration::from_millis(300),
             stop_time: Duration::from_millis(50),
-            session_silence: Duration::from_millis(450),
+            session_timeout: Duration::from_millis(450),
             quiet_silence: Duration::from_millis(900),
             retire_notice: Duration::from_millis(500),
-            start_age: Duration::from_millis(400),
+            max_start_age: Duration::from_millis(400),
             longest_pause: Duration::from_millis(400),
             load_gap: Duration::from_millis(8),
             load_gap_plenty: Duration::from_millis(90),
@@ -101,7 +101,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunnerCounters {
     /// Tasks asked for.
-    pub asked: u64,
+    pub requested: u64,
     /// Starts that the target took.
     pub started: u64,
     /// Tasks done.
@@ -117,9 +117,9 @@
     /// Tasks that ran when the target crashed.
     pub crashed: u64,
     /// Starts that the target refused for want of room.
-    pub no_room: u64,
+    pub no_capacity: u64,
     /// Starts that the target did not answer.
-    pub silent_starts: u64,
+    pub unanswered_starts: u64,
     /// Sessions that died.
     pub sessions_lost: u64,
     /// Reports that came late: after newer ones of the same life, or after that life was over.
@@ -242,7 +242,7 @@
     }
 
     /// Tasks that wait, and tasks at the target.
-    pub fn sizes(&self) -> (usize, usize) {
+    pub fn run_counts(&self) -> (usize, usize) {
         let waiting = self.runs.values().filter(|run| !run.takes_room()).count();
         (waiting, self.runs.len() - waiting)
     }
--- a/components/runner/src/sessions.rs
+++ b/components/runner/src/sessions.rs
@@ -89,7 +89,7 @@
         match message {
             ToAgent::Heartbeat { .. } => {}
             ToAgent::Start { heard, job, spec, tasks } => {
-                let late = now.since(heard) > self.timing.start_age;
+                let late = now.since(heard) > self.timing.max_start_age;
                 for task in tasks {
                     self.ask(now, id, &job, &spec, task, late);
                 }
@@ -122,7 +122,7 @@
         start: StartTask,
         late: bool,
     ) {
-        self.counters.asked += 1;
+        self.counters.requested += 1;
         let task = TaskId { job: job.clone(), index: start.index };
         let refusal = if late {
             Some(Refusal::Late)
@@ -213,11 +213,11 @@
 
     pub(crate) fn end_silent_sessions(&mut self, now: Time, out: &mut Vec<Action>) {
         let silence = |id: &SessionId| match self.has_runs(*id) {
-            true => self.timing.session_silence,
+            true => self.timing.session_timeout,
             false => self.timing.quiet_silence,
         };
         let silent = |(id, session): &(&SessionId, &Session)| {
-            now.since(session.heard) > self.timing.session_silence
+            now.since(session.heard) > self.timing.session_timeout
                 && now.since(session.heard) > silence(id)
         };
         let ids: Vec<SessionId> = self.sessions.iter().filter(silent).map(|(id, _)| *id).collect();
--- a/components/runner/src/target.rs
+++ b/components/runner/src/target.rs
@@ -282,7 +282,7 @@
     pub fn stopped_answering(&mut self, now: Time, timing: &Timing) {
         if self.failing_since.is_none() {
             self.failing_since = Some(now);
-            self.failed_before = self.has_left_unanswered(now, timing.unanswered_kept);
+            self.failed_before = self.has_left_unanswered(now, timing.unanswered_retention);
         }
     }
 
--- a/components/runner/tests/orders.rs
+++ b/components/runner/tests/orders.rs
@@ -169,7 +169,7 @@
     agent.ask("a", 1, 0);
     let start = agent.starts.pop().expect("it is started");
     for _ in 0..3 {
-        agent.run_for(agent.runner.timing().order_time.as_millis() as u64);
+        agent.run_for(agent.runner.timing().command_timeout.as_millis() as u64);
         agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
     }
     agent.handle(Event::StopAnswered(start.key.clone(), StopReply::Acknowledged));
--- a/daemon/src/room/agent.rs
+++ b/daemon/src/room/agent.rs
@@ -69,7 +69,7 @@
 async fn serve(started: Started, config: AgentConfig, tasks: Tasks) -> Result<(), RoomError> {
     let clock = started.clock;
     let node = &started.config.node;
-    let timing = Timing { longest_lease: config.longest_lease, ..Timing::default() };
+    let timing = Timing { max_lease: config.longest_lease, ..Timing::default() };
     let agent = Rc::new(Agent {
         log: started.log.clone(),
         clock,
@@ -197,7 +197,7 @@
 
     async fn start(self: Rc<Self>, order: StartCommand) {
         let target = &order.key.target;
-        let time = self.timing().order_time;
+        let time = self.timing().command_timeout;
         let reply = self.send(&self.orders, target, platform::start_order(&order), time).await;
         let reply = reply
             .map_or(StartReply::NoAnswer, |reply| platform::read_start(reply.status, &reply.body));
@@ -206,7 +206,7 @@
 
     async fn stop(self: Rc<Self>, order: StopCommand) {
         let target = &order.key.target;
-        let time = self.timing().order_time;
+        let time = self.timing().command_timeout;
         let reply = self.send(&self.orders, target, platform::stop_order(&order), time).await;
         let reply = reply.map_or(StopReply::NoAnswer, |reply| platform::read_stop(reply.status));
         self.feed(Event::StopAnswered(order.key, reply));
@@ -240,7 +240,7 @@
     /// A planned stop: takes no new work, waits for what runs, ends.
     async fn drain(self: &Rc<Self>) {
         let began = self.clock.now();
-        let (waiting, running) = self.runner.borrow().sizes();
+        let (waiting, running) = self.runner.borrow().run_counts();
         self.log.line("draining", Budget::Full, || json!({"waiting": waiting, "running": running}));
         self.feed(Event::Drain);
         let longest = self.stop_grace.get().saturating_sub(STOP_MARGIN);
@@ -261,13 +261,13 @@
             ("lost", counters.lost),
             ("crashed", counters.crashed),
         ];
-        page.value("tasks_asked_total", "", counters.asked);
+        page.value("tasks_asked_total", "", counters.requested);
         page.value("tasks_started_total", "", counters.started);
         for (end, count) in ends {
             page.value("tasks_ended_total", &format!("{{end=\"{end}\"}}"), count);
         }
-        page.value("starts_without_room_total", "", counters.no_room);
-        page.value("starts_unanswered_total", "", counters.silent_starts);
+        page.value("starts_without_room_total", "", counters.no_capacity);
+        page.value("starts_unanswered_total", "", counters.unanswered_starts);
         page.value("sessions_lost_total", "", counters.sessions_lost);
         page.value("target_reports_late_total", "", counters.late_reports);
         for (kind, count) in &*self.refused_reports.borrow() {
@@ -276,7 +276,7 @@
         }
         self.messages.fill(page);
         page.value("sessions", "", self.sessions.borrow().len() as u64);
-        let (waiting, running) = runner.sizes();
+        let (waiting, running) = runner.run_counts();
         page.value("tasks", "{state=\"waiting\"}", waiting as u64);
         page.value("tasks", "{state=\"running\"}", running as u64);
         page.value("configuration_version", "", runner.document_version());
--- a/soak/src/room/processes.rs
+++ b/soak/src/room/processes.rs
@@ -78,7 +78,7 @@
                     self.lies_unanswered(call, late);
                     self.at(hop, Happening::Start(call, order.clone(), late));
                     let silent = Happening::Started(call, order.key, StartReply::NoAnswer);
-                    self.at(timing.order_time, silent);
+                    self.at(timing.command_timeout, silent);
                 }
                 runner::Action::Stop(order) => {
                     let (hop, late) = self.order_time(agent);
@@ -86,7 +86,7 @@
                     self.lies_unanswered(call, late);
                     self.at(hop, Happening::Stop(call, order.clone(), late));
                     let silent = Happening::Stopped(call, order.key, StopReply::NoAnswer);
-                    self.at(timing.order_time, silent);
+                    self.at(timing.command_timeout, silent);
                 }
                 runner::Action::Hold(order) => {
                     self.tell_no_listener(agent, &order.target);
--- a/soak/src/room/world.rs
+++ b/soak/src/room/world.rs
@@ -179,7 +179,7 @@
             world.set_up_halls(options.seed);
         }
         if options.restless {
-            world.times.agent.longest_lease = LONGEST_LEASE;
+            world.times.agent.max_lease = LONGEST_LEASE;
             world.set_up_restless(options.seed);
         }
         world
--- a/soak/tests/load.rs
+++ b/soak/tests/load.rs
@@ -214,7 +214,7 @@
         ..usual()
     };
     let long_waits = |mut load: Load| {
-        load.times.agent.unanswered_kept = Duration::ZERO;
+        load.times.agent.unanswered_retention = Duration::ZERO;
         play_load(&load)
     };
     let burst = Load { usage: 0.95, ..load.clone() };
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -220,7 +220,7 @@
 #[test]
 fn an_agent_that_runs_on_for_a_dead_entry_is_found() {
     let mut times = RoomTimes::default();
-    times.agent.session_silence = Duration::from_secs(30);
+    times.agent.session_timeout = Duration::from_secs(30);
     assert_found(times, "runs twice at once");
 }
 
@@ -237,15 +237,15 @@
     times.entry.longest_pause = Duration::from_secs(60);
     times.entry.session_silence = Duration::from_secs(60);
     times.entry.agent_silence = Duration::from_secs(60);
-    times.agent.start_age = Duration::from_secs(60);
-    times.agent.session_silence = Duration::from_secs(60);
+    times.agent.max_start_age = Duration::from_secs(60);
+    times.agent.session_timeout = Duration::from_secs(60);
     assert_found(times, "");
 }
 
 #[test]
 fn a_start_that_may_be_carried_out_seconds_later_is_found() {
     let mut times = RoomTimes::default();
-    times.agent.start_life = Duration::from_secs(60);
+    times.agent.start_validity = Duration::from_secs(60);
     times.agent.lease = Duration::from_millis(100);
     assert_found(times, "");
 }
