--- /dev/null
+++ b/components/runner/src/commands.rs
@@ -0,0 +1,324 @@
+//! Start and stop commands: admission of runs, and the target's answers.
+
+use std::time::Duration;
+
+use model::{TaskId, Time};
+use wire::{Refusal, TaskEnd};
+
+use crate::event::{
+    Action, LogEvent, RunKey, StartCommand, StartRefusal, StartReply, StopCommand, StopReply,
+};
+use crate::run::{Run, RunState, Stopping};
+use crate::runner::{Runner, log_health_change};
+
+/// Interval at which an unanswered stop is sent again.
+const STOP_RESEND_INTERVAL: Duration = Duration::from_millis(60);
+/// Time, beyond that of a stop, until a list with the end of the run arrives.
+const END_LISTING_DELAY: Duration = Duration::from_millis(30);
+/// Unanswered starts with one number after which the run is stopped.
+const MAX_UNANSWERED_STARTS: u32 = 3;
+/// Refusals after which a start is not sent again.
+const MAX_START_REFUSALS: u32 = 6;
+/// A run is overdue when it exceeds its estimate by this factor and `OVERDUE_MARGIN`.
+const OVERDUE_FACTOR: u32 = 3;
+/// A run is far overdue when it exceeds its estimate by this factor and `OVERDUE_MARGIN`.
+const FAR_OVERDUE_FACTOR: u32 = 8;
+/// Time beyond the multiple of the estimate before a run is overdue.
+const OVERDUE_MARGIN: Duration = Duration::from_millis(120);
+/// With an overdue run, a target that has ended no run for this long may be stuck.
+const STALLED_AFTER: Duration = Duration::from_millis(400);
+/// Upper bound of the slowdown by which estimates are scaled.
+const MAX_SLOWDOWN: f64 = 4.0;
+/// The number of a task's first run.
+const FIRST_RUN: u64 = 1;
+
+impl Runner {
+    /// Starts the waiting runs that fit into the free capacity, most urgent first.
+    pub(crate) fn admit_waiting(&mut self, now: Time, out: &mut Vec<Action>) {
+        if !self.is_open(now) {
+            return;
+        }
+        let mut waiting: Vec<(u8, Time, TaskId)> = self
+            .runs
+            .iter()
+            .filter(|(_, run)| run.state == RunState::Waiting)
+            .map(|(task, run)| (run.priority, run.requested_at, task.clone()))
+            .collect();
+        if waiting.is_empty() {
+            return;
+        }
+        waiting.sort();
+        let mut free = self.free_capacity();
+        for (_, _, task) in waiting {
+            let on_trial = self.target.as_ref().is_some_and(|target| target.health.on_trial());
+            if on_trial && self.runs.values().any(Run::holds_capacity) {
+                return;
+            }
+            let Some(run) = self.runs.get_mut(&task) else { continue };
+            if !run.resources.fits(&free) {
+                continue;
+            }
+            free -= run.resources;
+            run.state = RunState::Starting;
+            run.started_at = now;
+            self.send_start(now, &task, out);
+        }
+    }
+
+    fn send_start(&mut self, now: Time, task: &TaskId, out: &mut Vec<Action>) {
+        let (Some(target), Some(run)) = (&mut self.target, self.runs.get(task)) else { return };
+        target.extend_lease(now, self.timing.start_validity);
+        out.push(Action::Start(StartCommand {
+            key: RunKey { target: target.instance().clone(), task: task.clone(), run: run.run },
+            spec: run.spec.clone(),
+            deadline_ms: target.deadline_ms(now, self.timing.start_validity),
+            fencing_token: target.fencing_token,
+        }));
+    }
+
+    pub(crate) fn send_stop(&self, task: &TaskId, out: &mut Vec<Action>) {
+        let (Some(target), Some(run)) = (&self.target, self.runs.get(task)) else { return };
+        out.push(Action::Stop(StopCommand {
+            key: RunKey { target: target.instance().clone(), task: task.clone(), run: run.run },
+            fencing_token: target.fencing_token,
+        }));
+    }
+
+    /// The run with this key, if it exists and the key may name the current instance.
+    fn find_run(&mut self, key: &RunKey) -> Option<&mut Run> {
+        let same_instance =
+            self.target.as_ref().is_some_and(|target| target.instance().may_match(&key.target));
+        self.runs.get_mut(&key.task).filter(|run| same_instance && run.run == key.run)
+    }
+
+    /// Processes the answer to a start.
+    pub(crate) fn start_answered(
+        &mut self,
+        now: Time,
+        key: &RunKey,
+        reply: StartReply,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(run) = self.find_run(key) else { return };
+        let stopping = matches!(run.state, RunState::Stopping(_));
+        let unconfirmed = run.unanswered_starts > 0;
+        match reply {
+            StartReply::Accepted { clock_ms } => {
+                if let RunState::Stopping(stopping) = &mut run.state {
+                    // The run has started; the pending stop ends it.
+                    stopping.unconfirmed = false;
+                } else {
+                    run.state = RunState::Running;
+                    run.started_at = now;
+                }
+                self.counters.started += 1;
+                self.sync_target_clock(now, clock_ms);
+            }
+            StartReply::Refused { clock_ms, reason } => {
+                self.sync_target_clock(now, clock_ms);
+                self.start_refused(now, &key.task, reason, stopping, out);
+            }
+            StartReply::Invalid | StartReply::Unhealthy if unconfirmed => {
+                if !stopping {
+                    self.stop_unconfirmed(now, &key.task, out);
+                }
+            }
+            StartReply::Invalid => self.end_run(now, &key.task, TaskEnd::Failed, out),
+            StartReply::Unhealthy => {
+                if let Some(target) = &mut self.target {
+                    log_health_change(target.health.record_failure(now, now), out);
+                }
+                self.end_run(now, &key.task, TaskEnd::NotRun(Refusal::Target), out);
+            }
+            StartReply::OtherInstance => self.target_gone(now, out),
+            StartReply::NoAnswer => self.start_unanswered(now, &key.task, stopping, out),
+        }
+    }
+
+    fn start_refused(
+        &mut self,
+        now: Time,
+        task: &TaskId,
+        reason: StartRefusal,
+        stopping: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(run) = self.runs.get_mut(task) else { return };
+        let unconfirmed = run.unanswered_starts > 0;
+        if stopping && unconfirmed {
+            return;
+        }
+        if stopping {
+            return self.end_run(now, task, TaskEnd::NotRun(Refusal::Target), out);
+        }
+        if reason == StartRefusal::NoCapacity {
+            self.counters.no_capacity += 1;
+        }
+        if unconfirmed && !matches!(reason, StartRefusal::StaleToken | StartRefusal::DeadlinePassed)
+        {
+            // An earlier start with this number may have run already or may run later.
+            return self.stop_unconfirmed(now, task, out);
+        }
+        let may_retry = run.refusals < MAX_START_REFUSALS;
+        run.refusals += 1;
+        match reason {
+            // The target has seen a number as high, from another entry: continues far above it.
+            StartRefusal::StaleRun if may_retry => {
+                run.run += 1 << run.refusals;
+                self.send_start(now, task, out);
+            }
+            StartRefusal::DeadlinePassed if may_retry => self.send_start(now, task, out),
+            StartRefusal::StaleToken if may_retry => {
+                if let Some(target) = &mut self.target {
+                    target.raise_fencing_token(now);
+                }
+                self.send_start(now, task, out);
+            }
+            StartRefusal::NoCapacity => {
+                self.end_run(now, task, TaskEnd::NotRun(Refusal::Room), out)
+            }
+            _ if unconfirmed => self.stop_unconfirmed(now, task, out),
+            _ => self.end_run(now, task, TaskEnd::NotRun(Refusal::Target), out),
+        }
+    }
+
+    /// Processes a start that was not answered: the run may have started, or may start later.
+    /// Sending the start again is safe, as the target accepts each number once. If all attempts
+    /// stay unanswered, an acknowledged stop proves that the run is not active.
+    fn start_unanswered(
+        &mut self,
+        now: Time,
+        task: &TaskId,
+        stopping: bool,
+        out: &mut Vec<Action>,
+    ) {
+        self.counters.unanswered_starts += 1;
+        if let Some(target) = &mut self.target {
+            target.record_unanswered(now, &self.timing);
+        }
+        if stopping {
+            return;
+        }
+        out.push(Action::Log(LogEvent::StartSilent(task.clone())));
+        let Some(run) = self.runs.get_mut(task) else { return };
+        run.unanswered_starts += 1;
+        if run.unanswered_starts < MAX_UNANSWERED_STARTS {
+            self.send_start(now, task, out);
+        } else {
+            self.stop_unconfirmed(now, task, out);
+        }
+    }
+
+    /// Stops a run that may or may not have started.
+    pub(crate) fn stop_unconfirmed(&mut self, now: Time, task: &TaskId, out: &mut Vec<Action>) {
+        let Some(run) = self.runs.get_mut(task) else { return };
+        run.state = RunState::Stopping(Stopping::new(now, true));
+        self.send_stop(task, out);
+    }
+
+    /// Processes the answer to a stop.
+    pub(crate) fn stop_answered(
+        &mut self,
+        now: Time,
+        key: &RunKey,
+        reply: StopReply,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(run) = self.find_run(key) else { return };
+        match (reply, &mut run.state) {
+            (StopReply::Acknowledged, RunState::Stopping(stopping)) => {
+                stopping.acknowledged.get_or_insert(now);
+            }
+            (StopReply::OtherInstance, _) => self.target_gone(now, out),
+            _ => {}
+        }
+    }
+
+    /// Sends unanswered stops again, and ends runs that cannot be active any more.
+    pub(crate) fn resend_stops(&mut self, now: Time, out: &mut Vec<Action>) {
+        let Some(target) = &self.target else { return };
+        let lease_expired = target.is_lease_expired(now);
+        let stop_wait = self.timing.stop_duration + END_LISTING_DELAY;
+        let mut resend = Vec::new();
+        let mut ended = Vec::new();
+        for (task, run) in &mut self.runs {
+            let RunState::Stopping(stopping) = &mut run.state else { continue };
+            match stopping.acknowledged {
+                Some(at) if now.since(at) > stop_wait => ended.push(task.clone()),
+                None if lease_expired => ended.push(task.clone()),
+                None if now.since(stopping.sent) > STOP_RESEND_INTERVAL => {
+                    stopping.sent = now;
+                    resend.push(task.clone());
+                }
+                _ => {}
+            }
+        }
+        resend.iter().for_each(|task| self.send_stop(task, out));
+        ended.iter().for_each(|task| self.end_run(now, task, TaskEnd::Lost, out));
+    }
+
+    /// Stops runs that take much longer than estimated, as the target may be stuck. The estimate of
+    /// a single run may be too low, so this takes a second overdue run, a target on which no run
+    /// has ended for a while, or a far overdue run. Only the first run of a task is stopped.
+    ///
+    /// Durations are taken at the last answer to a hold, since runs may have ended while a hold is
+    /// unanswered.
+    pub(crate) fn stop_overdue(&mut self, now: Time, out: &mut Vec<Action>) {
+        let Some(target) = &self.target else { return };
+        let last_answer = target.last_hold_answer;
+        let slowdown = (target.slowdown_percent / 100.0).clamp(1.0, MAX_SLOWDOWN);
+        let stalled = last_answer.since(target.last_end) > STALLED_AFTER;
+        let overdue = |run: &Run, factor: u32| {
+            let estimate = Duration::from_millis(u64::from(run.estimated_ms)).mul_f64(slowdown);
+            let ran = last_answer.since(run.started_at);
+            run.state == RunState::Running
+                && run.run == FIRST_RUN
+                && run.estimated_ms > 0
+                && ran > estimate * factor + OVERDUE_MARGIN
+        };
+        let late: Vec<TaskId> = self
+            .runs
+            .iter()
+            .filter(|(_, run)| overdue(run, OVERDUE_FACTOR))
+            .map(|(task, _)| task.clone())
+            .collect();
+        let stuck = late.len() >= 2 || stalled;
+        for task in late {
+            let Some(run) = self.runs.get(&task) else { continue };
+            let started_at = run.started_at;
+            if !stuck && !overdue(run, FAR_OVERDUE_FACTOR) {
+                continue;
+            }
+            out.push(Action::Log(LogEvent::Stuck {
+                task: task.clone(),
+                ran_ms: now.since(run.started_at).as_millis() as u64,
+                estimated_ms: run.estimated_ms,
+            }));
+            if let Some(target) = &mut self.target {
+                log_health_change(target.health.record_failure(now, started_at), out);
+            }
+            self.mark_dirty();
+            self.stop_run(now, &task, out);
+        }
+    }
+
+    /// Refuses waiting runs whose wait for capacity has expired.
+    pub(crate) fn expire_waiting(&mut self, now: Time, out: &mut Vec<Action>) {
+        let expired = |run: &Run| run.state == RunState::Waiting && run.expires <= now;
+        let tasks: Vec<TaskId> = self
+            .runs
+            .iter()
+            .filter(|(_, run)| expired(run))
+            .map(|(task, _)| task.clone())
+            .collect();
+        tasks.iter().for_each(|task| self.end_run(now, task, TaskEnd::NotRun(Refusal::Room), out));
+    }
+
+    /// Refuses all waiting runs.
+    pub(crate) fn refuse_waiting(&mut self, now: Time, reason: Refusal, out: &mut Vec<Action>) {
+        let waits = |run: &Run| run.state == RunState::Waiting;
+        let tasks: Vec<TaskId> =
+            self.runs.iter().filter(|(_, run)| waits(run)).map(|(task, _)| task.clone()).collect();
+        tasks.iter().for_each(|task| self.end_run(now, task, TaskEnd::NotRun(reason), out));
+    }
+}
--- a/components/runner/src/event.rs
+++ b/components/runner/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches an agent and what it does.
+//! Events that an agent receives and actions that it returns.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,32 +7,32 @@
 use model::{Resources, TaskId};
 use wire::{Document, EmptiedHalls, TaskEnd, ToAgent, ToEntry};
 
-/// A connection of an entry, numbered by the daemon.
+/// A connection to an entry, numbered by the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// One life of a target. One that starts again may keep its id; the moment of its start then tells
-/// its lives apart.
+/// One process of a target. A restarted target may keep its id; its start time then tells its
+/// instances apart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetInstance {
-    /// The id that it gives itself.
+    /// The id that the target reports.
     pub id: Arc<str>,
-    /// When it started, in ms of the Unix epoch by its own clock; `None` where it does not tell. Clocks
-    /// are set back, so that a later life may tell an earlier start.
+    /// Start time by the target's own wall clock, in ms of the Unix epoch; `None` if not reported.
+    /// The clock may be set back, so a later instance may report an earlier start.
     pub started_ms: Option<u64>,
 }
 
 impl TargetInstance {
-    /// A life that does not tell when it started.
+    /// An instance whose start time is not known.
     pub fn from_id(id: impl Into<Arc<str>>) -> Self {
         Self { id: id.into(), started_ms: None }
     }
 
-    /// Whether nothing says that two names are of different lives: orders and their answers may name
-    /// the id alone.
-    pub fn may_be(&self, other: &Self) -> bool {
+    /// Whether both names may denote the same instance: the ids are equal, and the start times are
+    /// equal or at least one is unknown. Commands and their answers may carry the id alone.
+    pub fn may_match(&self, other: &Self) -> bool {
         let same_start = match (self.started_ms, other.started_ms) {
-            (Some(own), Some(others)) => own == others,
+            (Some(own_start), Some(other_start)) => own_start == other_start,
             _ => true,
         };
         self.id == other.id && same_start
@@ -48,116 +48,117 @@
     }
 }
 
-/// What a target reports of itself.
+/// A status report that a target sends to its agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetReport {
-    /// Which of its lives.
+    /// The instance that sent the report.
     pub instance: TargetInstance,
-    /// The service that it takes work of.
+    /// The service whose tasks the target runs.
     pub service: Arc<str>,
-    /// Its data hall.
+    /// The data hall of the target.
     pub hall: Arc<str>,
-    /// Its kind, its rack and the like.
+    /// Properties such as hardware type or rack.
     pub labels: Vec<Arc<str>>,
-    /// All that it has.
+    /// The target's total resources.
     pub capacity: Resources,
-    /// Whether it is about to leave.
+    /// Whether the target is about to leave.
     pub draining: bool,
-    /// While it drains: the least time that is left.
+    /// While draining: the guaranteed minimum time left.
     pub remaining: Option<Duration>,
-    /// Its steady clock, in ms; each life's begins anew.
+    /// The target's monotonic clock, in ms; restarts with each instance.
     pub clock_ms: u64,
-    /// Rises with each report of one life; that of another life says nothing of it.
+    /// Increases with each report of one instance; not comparable between instances.
     pub sequence: u64,
 }
 
-/// One run of one task at one life of a target.
+/// One run of a task on one target instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunKey {
-    /// The target's life.
+    /// The target instance.
     pub target: TargetInstance,
     /// The task.
     pub task: TaskId,
-    /// Counts the task's starts.
+    /// Number of the run among the runs of its task.
     pub run: u64,
 }
 
-/// An order to start a run.
+/// A command to start a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartCommand {
     /// The run.
     pub key: RunKey,
-    /// What the task is told to do.
+    /// The task specification passed to the target.
     pub spec: Arc<str>,
-    /// The lease's end on the target's clock, in ms. An order that arrives later is refused.
+    /// End of the lease on the target's clock, in ms. The target refuses a command that arrives
+    /// later.
     pub deadline_ms: u64,
-    /// Higher than that of any earlier life of the agent.
+    /// Higher than the token of every earlier agent process.
     pub fencing_token: u64,
 }
 
-/// An order to stop a run, or to refuse it if it comes later.
+/// A command to stop a run, or to refuse its start if that arrives later.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopCommand {
     /// The run.
     pub key: RunKey,
-    /// Higher than that of any earlier life of the agent.
+    /// Higher than the token of every earlier agent process.
     pub fencing_token: u64,
 }
 
-/// An order to renew the lease, and to answer once a run ends.
+/// A command to renew the lease and to answer as soon as a run ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HoldCommand {
-    /// The target's life.
+    /// The target instance.
     pub target: TargetInstance,
-    /// The lease's end on the target's clock, in ms; `None` where it is not to be renewed.
+    /// End of the lease on the target's clock, in ms; `None` to leave the lease as it is.
     pub deadline_ms: Option<u64>,
-    /// Higher than that of any earlier life of the agent.
+    /// Higher than the token of every earlier agent process.
     pub fencing_token: u64,
-    /// The last end that is taken note of.
+    /// Number of the last run end that the agent has processed.
     pub last_seen: u64,
-    /// How long to wait for an end.
+    /// How long the target may wait for a run to end.
     pub wait: Duration,
-    /// It is given up after so long without an answer.
+    /// Timeout for the answer.
     pub answer_within: Duration,
 }
 
 /// Why a target refuses a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRefusal {
-    /// It has seen a higher fencing token.
+    /// The target has seen a higher fencing token.
     StaleToken,
-    /// A run as high was stopped or has ended there.
+    /// A run of the task with this or a higher number has been stopped or has ended.
     StaleRun,
     /// The deadline has passed.
     DeadlinePassed,
-    /// It has no room.
+    /// The target lacks free capacity.
     NoCapacity,
-    /// Another reason.
+    /// Any other reason.
     Other,
 }
 
 /// A target's answer to a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartReply {
-    /// The run is there.
+    /// The run is on the target.
     Accepted {
-        /// Its clock, in ms.
+        /// The target's monotonic clock, in ms.
         clock_ms: u64,
     },
-    /// The run is not there.
+    /// The run was not started.
     Refused {
-        /// Its clock, in ms; 0 if not told.
+        /// The target's monotonic clock, in ms; 0 if not reported.
         clock_ms: u64,
-        /// Why.
+        /// Reason of the refusal.
         reason: StartRefusal,
     },
-    /// It can't read the order.
+    /// The target cannot read the command.
     Invalid,
-    /// It is not well, and has done nothing.
+    /// The target is unhealthy and has not acted on the command.
     Unhealthy,
-    /// Another life has its address.
+    /// Another instance listens at the target's address.
     OtherInstance,
-    /// No answer: it may have been done, or may be later.
+    /// No answer: the command may have been carried out, or may be carried out later.
     NoAnswer,
 }
 
@@ -166,9 +167,9 @@
 pub enum StopReply {
     /// The run is stopping, has ended, or will never start.
     Acknowledged,
-    /// Another life has its address.
+    /// Another instance listens at the target's address.
     OtherInstance,
-    /// It was not done, or not answered.
+    /// The stop failed or was not answered.
     NoAnswer,
 }
 
@@ -177,86 +178,87 @@
 pub struct TargetRun {
     /// The task.
     pub task: TaskId,
-    /// Which run.
+    /// Number of the run among the runs of its task.
     pub run: u64,
 }
 
-/// How a target says that a run ended.
+/// How a run ended, as reported by the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// It is done.
+    /// The task completed.
     Done,
-    /// It failed, by its own fault or the target's.
+    /// The task or the target failed.
     Failed,
-    /// It was stopped.
+    /// The run was stopped by a command.
     Stopped,
-    /// The lease ran out.
+    /// The lease expired.
     LeaseExpired,
-    /// Another reason.
+    /// Any other reason.
     Other,
 }
 
-/// An end that a target lists.
+/// The end of a run, as listed by a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetEnd {
-    /// Counts the ends of the target's life.
+    /// Sequence number of the end on this target instance, from 1.
     pub number: u64,
-    /// The run that ended; `None` for a name that no agent gives.
+    /// The run that ended; `None` if the task name is not one that an agent assigns.
     pub run: Option<TargetRun>,
-    /// How.
+    /// How the run ended.
     pub reason: EndReason,
 }
 
 /// A target's answer to a hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HoldReply {
-    /// The lease is renewed.
+    /// The state of the target's runs; the lease is renewed if the hold asked for it.
     Runs {
-        /// When the life that answers started, as in [`TargetLife`].
+        /// Start time of the answering instance, as in [`TargetInstance`].
         started_ms: Option<u64>,
-        /// Its clock, in ms.
+        /// The target's monotonic clock, in ms.
         clock_ms: u64,
-        /// What runs.
+        /// Active runs.
         running: Vec<TargetRun>,
-        /// What ended since the last end that was taken note of.
+        /// Runs that ended after the last end that the agent has processed.
         ended: Vec<TargetEnd>,
     },
-    /// It has seen a higher fencing token.
+    /// The target has seen a higher fencing token.
     StaleToken {
-        /// Its clock, in ms.
+        /// The target's monotonic clock, in ms.
         clock_ms: u64,
     },
-    /// Another life has its address.
+    /// Another instance listens at the target's address.
     OtherInstance,
     /// No answer.
     NoAnswer,
 }
 
-/// Who told an agent which halls are emptied.
+/// The sender of a list of emptied halls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HallsSource {
     /// A keeper.
     Keeper,
-    /// The entry of a session.
+    /// The entry of this session.
     Entry(SessionId),
 }
 
-/// What reaches an agent.
+/// An event that an agent receives.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An entry was connected to.
+    /// A connection to an entry was established.
     SessionOpened(SessionId),
-    /// The connection is gone.
+    /// The connection was closed.
     SessionClosed(SessionId),
-    /// The entry is to be served by other agents: the session ends once nothing runs for it.
+    /// The entry is to be served by other agents: the session ends once it has no runs left.
     SessionRetired(SessionId),
-    /// An entry's message.
+    /// A message of an entry.
     FromEntry(SessionId, ToAgent),
-    /// The target reports of itself.
+    /// The target sent a status report.
     TargetReported(TargetReport),
-    /// The target says that it ends now.
+    /// The target announced that it ends now.
     TargetLeft(TargetInstance),
-    /// An order for a life could not be sent, as nothing listens at the target's address.
+    /// A command to this instance could not be delivered: the target's address refused the
+    /// connection.
     NoListener(TargetInstance),
     /// The answer to a start.
     StartAnswered(RunKey, StartReply),
@@ -264,127 +266,128 @@
     StopAnswered(RunKey, StopReply),
     /// The answer to a hold.
     HoldAnswered(TargetInstance, HoldReply),
-    /// A newer document.
+    /// A newer configuration document.
     Document(Document),
-    /// A keeper tells which halls are emptied.
+    /// The emptied halls, from a keeper.
     Halls(EmptiedHalls),
-    /// A planned stop: takes no new work.
+    /// A planned stop: the agent accepts no new work.
     Drain,
     /// Time has passed.
     Tick,
 }
 
-/// What an agent does.
+/// An action that the caller performs for the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Sends a message to an entry.
     Send(SessionId, ToEntry),
-    /// Closes the connection of an entry.
+    /// Closes the connection to an entry.
     Close(SessionId),
-    /// Orders the target to start a run.
+    /// Sends a start to the target.
     Start(StartCommand),
-    /// Orders the target to stop a run.
+    /// Sends a stop to the target.
     Stop(StopCommand),
-    /// Renews the lease.
+    /// Sends a hold to the target.
     Hold(HoldCommand),
-    /// Reports a decision or a change of state.
+    /// Writes an event to the log.
     Log(LogEvent),
 }
 
-/// What an agent decided or came to believe, for the log.
+/// A decision or a change of state, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A target's new life is taken on.
+    /// A new target instance is in use.
     TargetFound {
-        /// Its life.
+        /// The instance.
         instance: TargetInstance,
-        /// The fencing token that it is given.
+        /// Fencing token of the agent's commands to this instance.
         fencing_token: u64,
     },
-    /// A target's life is over.
+    /// The target instance has ended.
     TargetGone {
-        /// Its life.
+        /// The instance.
         instance: TargetInstance,
-        /// Runs that went with it.
+        /// Number of runs that ended with the instance.
         lost: usize,
     },
-    /// A life that nothing is known of reported while another is there: it is asked.
+    /// An unknown instance reported while another one is in use; it is probed with a hold.
     TargetAsked(TargetInstance),
-    /// A report was overtaken by newer ones of its life, or its life is over: nothing in it counts
-    /// but that the present life is about to leave.
+    /// A report was older than an earlier one of its instance, or its instance has ended. The
+    /// report is ignored, except that draining is kept if the instance is the current one.
     TargetReportLate {
-        /// The life that it is of.
+        /// The instance that sent the report.
         instance: TargetInstance,
-        /// Its number within that life.
+        /// Sequence number of the report.
         sequence: u64,
-        /// The life that is there now.
+        /// The current instance.
         present: Option<TargetInstance>,
-        /// The highest number that was heard of that one; 0 for none.
+        /// Highest sequence number received from the current instance; 0 if there is no instance.
         present_sequence: u64,
     },
     /// The target does not answer.
     TargetSilent(TargetInstance),
     /// The target answers again.
     TargetHeard(TargetInstance),
-    /// Other halls are emptied than before.
+    /// The set of emptied halls has changed.
     Halls {
-        /// Those that are, and the revision of the order.
+        /// The emptied halls with their revision.
         halls: EmptiedHalls,
-        /// Whether the target's is one of them.
+        /// Whether the target's hall is among them.
         emptied: bool,
-        /// Who told of it.
+        /// The sender of the change.
         source: HallsSource,
     },
-    /// The target is about to leave: no new work.
+    /// The target is about to leave and gets no new work.
     TargetDrains(TargetInstance),
-    /// The target fails what it runs: left out for a while.
+    /// The target is excluded for a while because its runs fail.
     TargetLeftOut {
-        /// Failures in a row.
+        /// Number of consecutive failures.
         failures: u32,
-        /// How long, in ms.
+        /// Duration of the exclusion, in ms.
         for_ms: u64,
     },
-    /// The target runs tasks well again.
+    /// The target completes tasks again and is no longer excluded.
     TargetTakenBack,
     /// A session with an entry opened.
     SessionOpened(SessionId),
-    /// A session is dead: what ran for it is stopped.
+    /// A session was lost; its runs are stopped.
     SessionLost {
         /// The session.
         session: SessionId,
-        /// Why.
+        /// Cause of the loss.
         reason: &'static str,
-        /// Runs that are stopped.
+        /// Number of runs that are stopped.
         runs: usize,
     },
-    /// A session ended that this agent had retired; nothing ran for it any more.
+    /// A retired session ended; it had no runs left.
     SessionRetired(SessionId),
-    /// A run was started, refused or ended.
+    /// A run was refused or has ended.
     Run {
         /// The task.
         task: TaskId,
-        /// Which run.
+        /// Number of the run among the runs of its task.
         run: u64,
-        /// What became of it.
+        /// Outcome of the run.
         end: TaskEnd,
-        /// How long it waited for room, in ms.
+        /// How long the run waited for capacity, in ms.
         waited_ms: u64,
-        /// How long it ran, in ms.
+        /// How long the run lasted, in ms.
         ran_ms: u64,
-        /// What was free at that moment.
+        /// Free capacity of the target afterwards.
         free: Resources,
     },
-    /// A run is stopped because it takes far longer than it was thought to.
+    /// A run is stopped because it takes much longer than estimated.
     Stuck {
         /// The task.
         task: TaskId,
-        /// How long it ran, in ms.
+        /// How long the run has lasted, in ms.
         ran_ms: u64,
-        /// How long it was thought to take, in ms.
+        /// Estimated duration, in ms.
         estimated_ms: u32,
     },
-    /// A start was not answered: it is stopped.
+    /// A start was not answered; it is sent again or stopped.
     StartSilent(TaskId),
-    /// The target lists a run that this life of the agent did not start: it is stopped.
+    /// The target lists a run that the agent does not track, such as one of an earlier agent
+    /// process; it is stopped.
     Orphan(TaskId),
 }
--- a/components/runner/src/halls.rs
+++ b/components/runner/src/halls.rs
@@ -1,8 +1,9 @@
-//! The target's data hall while operators have emptied it: nothing new starts there, what runs there ends in its
-//! own time.
+//! Emptied data halls: nothing new starts on a target in an emptied hall, and its active runs
+//! finish normally.
 //!
-//! An agent hears of orders from keepers and from entries, and tells its entries, so that an order reaches also who
-//! is cut off from every keeper. Only a higher revision counts, however late a message comes.
+//! An agent receives the list from keepers and from entries and forwards it to its entries, so that
+//! it also reaches processes that are cut off from every keeper. Only a higher revision takes
+//! effect, in whatever order messages arrive.
 
 use model::Time;
 use wire::{EmptiedHalls, Refusal, ToEntry};
@@ -11,9 +12,9 @@
 use crate::runner::Runner;
 
 impl Runner {
-    /// Takes note of the halls that are emptied. Where the target's is one of them, what waits is refused at once,
-    /// so that its entry places it elsewhere.
-    pub(crate) fn take_halls(
+    /// Applies a list of emptied halls. If the target's hall is one of them, waiting runs are
+    /// refused at once, so that their entries place them elsewhere.
+    pub(crate) fn update_halls(
         &mut self,
         now: Time,
         halls: &EmptiedHalls,
@@ -26,15 +27,17 @@
         let emptied = self.is_hall_emptied();
         out.push(Action::Log(LogEvent::Halls { halls: halls.clone(), emptied, source }));
         let others = self.sessions.keys().filter(|id| source != HallsSource::Entry(**id));
-        let told: Vec<SessionId> = others.copied().collect();
-        out.extend(told.into_iter().map(|id| Action::Send(id, ToEntry::Halls(halls.clone()))));
+        let recipients: Vec<SessionId> = others.copied().collect();
+        out.extend(
+            recipients.into_iter().map(|id| Action::Send(id, ToEntry::Halls(halls.clone()))),
+        );
         if emptied {
             self.refuse_waiting(now, Refusal::Closed, out);
         }
         self.mark_dirty();
     }
 
-    /// Whether the target stands in a hall that is emptied.
+    /// Whether the target's hall is emptied.
     pub(crate) fn is_hall_emptied(&self) -> bool {
         self.target.as_ref().is_some_and(|target| self.halls.contains(&target.report.hall))
     }
--- a/components/runner/src/health.rs
+++ b/components/runner/src/health.rs
@@ -1,78 +1,80 @@
-//! Whether the target runs tasks well, by how they end.
+//! Tracks from the ends of runs whether the target completes tasks.
 //!
-//! Only runs that began after the first failure of a row, or after the target was left out, speak
-//! for it: what it had begun while it was well says nothing of what it does now.
+//! A success counts only if its run started after the first of the consecutive failures, or after
+//! the exclusion began: earlier runs say nothing about the target's present health.
 
 use std::time::Duration;
 
 use model::Time;
 
-/// Failures in a row after which the target is left out.
-const FAILURES: u32 = 3;
-/// How long it is left out the first time; twice as long each time after.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_000);
+/// Consecutive failures after which the target is excluded.
+const FAILURE_THRESHOLD: u32 = 3;
+/// Length of the first exclusion; doubles with each further one.
+const INITIAL_EXCLUSION: Duration = Duration::from_millis(500);
+/// Upper bound of an exclusion.
+const MAX_EXCLUSION: Duration = Duration::from_millis(1_000);
 
-/// What changed by an end.
+/// The effect of a run's end on the target's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Change {
+pub(crate) enum HealthChange {
     None,
-    LeftOut { failures: u32, pause: Duration },
-    TakenBack,
+    Excluded { failures: u32, exclusion: Duration },
+    Restored,
 }
 
-/// Failures in a row, and the pause that they led to.
+/// Consecutive failures and the exclusion that they caused.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     failures: u32,
-    /// Runs that began before say nothing good of the target.
-    counts_from: Time,
-    pause: Option<Duration>,
-    out_until: Time,
+    /// Runs that started earlier do not count as evidence of health.
+    evidence_from: Time,
+    exclusion: Option<Duration>,
+    excluded_until: Time,
 }
 
 impl Health {
-    /// A task that began at `began` failed, or did not come to an end.
-    pub fn failed(&mut self, now: Time, began: Time) -> Change {
+    /// Records a failed run that started at `started_at`.
+    pub fn record_failure(&mut self, now: Time, started_at: Time) -> HealthChange {
         if self.failures == 0 {
-            self.counts_from = began;
+            self.evidence_from = started_at;
         }
         self.failures += 1;
-        let on_trial = self.pause.is_some();
-        if self.failures < FAILURES && !on_trial {
-            return Change::None;
+        let on_trial = self.exclusion.is_some();
+        if self.failures < FAILURE_THRESHOLD && !on_trial {
+            return HealthChange::None;
         }
-        if now < self.out_until || (on_trial && began < self.counts_from) {
-            return Change::None;
+        if now < self.excluded_until || (on_trial && started_at < self.evidence_from) {
+            return HealthChange::None;
         }
-        let pause = self.pause.map_or(FIRST_PAUSE, |pause| (pause * 2).min(LONGEST_PAUSE));
-        self.pause = Some(pause);
-        self.out_until = now + pause;
-        self.counts_from = now;
-        Change::LeftOut { failures: self.failures, pause }
+        let exclusion = self
+            .exclusion
+            .map_or(INITIAL_EXCLUSION, |exclusion| (exclusion * 2).min(MAX_EXCLUSION));
+        self.exclusion = Some(exclusion);
+        self.excluded_until = now + exclusion;
+        self.evidence_from = now;
+        HealthChange::Excluded { failures: self.failures, exclusion }
     }
 
-    /// A task that began at `began` was done.
-    pub fn succeeded(&mut self, began: Time) -> Change {
-        if self.failures > 0 && began <= self.counts_from {
-            return Change::None;
+    /// Records a completed run that started at `started_at`.
+    pub fn record_success(&mut self, started_at: Time) -> HealthChange {
+        if self.failures > 0 && started_at <= self.evidence_from {
+            return HealthChange::None;
         }
         self.failures = 0;
-        self.out_until = Time::default();
-        match self.pause.take() {
-            Some(_) => Change::TakenBack,
-            None => Change::None,
+        self.excluded_until = Time::default();
+        match self.exclusion.take() {
+            Some(_) => HealthChange::Restored,
+            None => HealthChange::None,
         }
     }
 
-    /// Whether the target is left out now.
-    pub fn is_out(&self, now: Time) -> bool {
-        now < self.out_until
+    /// Whether the target is excluded at this time.
+    pub fn is_excluded(&self, now: Time) -> bool {
+        now < self.excluded_until
     }
 
-    /// Whether it is given only one task at a time, to see how that ends.
+    /// Whether the target runs only one task at a time until one completes.
     pub fn on_trial(&self) -> bool {
-        self.pause.is_some()
+        self.exclusion.is_some()
     }
 }
--- a/components/runner/src/hold.rs
+++ b/components/runner/src/hold.rs
@@ -1,4 +1,5 @@
-//! The target's lease: one standing hold renews it and brings ends.
+//! The target's lease: at most one hold is outstanding, which renews the lease and returns ended
+//! runs.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,142 +15,146 @@
 use crate::runner::Runner;
 use crate::target::Target;
 
-/// Silence, besides the wait of a hold, after which the lease is not renewed any more.
-const RENEW_SILENCE: Duration = Duration::from_millis(450);
-/// A stop that is not answered for so long may go unheeded.
-const STOP_ANSWER: Duration = Duration::from_millis(75);
-/// From one hold that failed to the next.
-pub(crate) const RETRY: Duration = Duration::from_millis(15);
-/// A run that this many holds in a row did not list, nor its end, is gone.
-const UNLISTED: u32 = 3;
-/// A hold that was sent this soon after a start may not list its run yet.
-pub(crate) const START_SLACK: Duration = Duration::from_millis(100);
+/// If the last answer to a hold is older than this plus the wait of a hold, the lease is not
+/// renewed.
+const RENEWAL_CUTOFF: Duration = Duration::from_millis(450);
+/// A stop that stays unanswered for this long may not have been carried out.
+const STOP_ANSWER_TIMEOUT: Duration = Duration::from_millis(75);
+/// Delay before the next hold after a failed one.
+pub(crate) const HOLD_RETRY_DELAY: Duration = Duration::from_millis(15);
+/// A run that this many consecutive holds list neither as active nor as ended is lost.
+const MAX_UNLISTED_HOLDS: u32 = 3;
+/// A hold that was sent within this time after a start may not list the run yet.
+pub(crate) const LISTING_DELAY: Duration = Duration::from_millis(100);
 
 impl Runner {
-    /// Sends the next hold where none is under way, and takes note of a silent target.
-    pub(crate) fn watch_target(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Sends the next hold if none is outstanding, and detects a target that does not answer.
+    pub(crate) fn check_target(&mut self, now: Time, out: &mut Vec<Action>) {
         let timing = self.timing;
-        let is_due = |target: &Target| target.holding.is_none() && target.hold_from <= now;
+        let is_due = |target: &Target| target.hold_sent.is_none() && target.next_hold_at <= now;
         if self.target.as_ref().is_some_and(is_due) {
             self.send_hold(now, out);
         }
         let Some(target) = &mut self.target else { return };
-        let silent = now.since(target.heard) > timing.hold_wait + timing.hold_silence;
+        let silent = now.since(target.last_hold_answer) > timing.hold_wait + timing.target_timeout;
         if silent && !target.silent {
             target.silent = true;
-            out.push(Action::Log(LogEvent::TargetSilent(target.id().clone())));
+            out.push(Action::Log(LogEvent::TargetSilent(target.instance().clone())));
             self.mark_dirty();
         }
-        self.end_lapsed(now, out);
+        self.end_runs_of_expired_lease(now, out);
     }
 
     fn send_hold(&mut self, now: Time, out: &mut Vec<Action>) {
         let timing = self.timing;
-        let unheeded = self.has_unheeded_stop(now);
-        let times = self.hold_times(now);
+        let unanswered_stop = self.has_unanswered_stop(now);
+        let hold_timing = self.hold_timing(now);
         let Some(target) = &mut self.target else { return };
-        target.holding = Some(now);
-        // A target that does not answer is no longer renewed, so that its lease surely ends.
-        let heard = now.since(target.heard) <= timing.hold_wait + RENEW_SILENCE;
+        target.hold_sent = Some(now);
+        // Without renewal, the lease of a target that does not answer is sure to expire.
+        let renewable = now.since(target.last_hold_answer) <= timing.hold_wait + RENEWAL_CUTOFF;
         let orphans_only = target.has_orphans && self.runs.is_empty();
-        let renews = heard && !orphans_only && !unheeded;
+        let renews = renewable && !orphans_only && !unanswered_stop;
         if renews {
-            target.renew(now, timing.lease);
+            target.extend_lease(now, timing.lease);
         }
         out.push(Action::Hold(HoldCommand {
-            target: target.id().clone(),
+            target: target.instance().clone(),
             deadline_ms: renews.then(|| target.deadline_ms(now, timing.lease)),
             fencing_token: target.fencing_token,
             last_seen: target.last_seen,
-            wait: times.wait,
-            answer_within: times.answer,
+            wait: hold_timing.wait,
+            answer_within: hold_timing.answer_within,
         }));
     }
 
-    /// Whether a stop was not answered, so that only the end of the lease surely stops its run.
-    fn has_unheeded_stop(&self, now: Time) -> bool {
-        let unheeded = |run: &Run| match run.state {
+    /// Whether a stop has stayed unanswered, so that only the end of the lease is sure to stop its
+    /// run.
+    fn has_unanswered_stop(&self, now: Time) -> bool {
+        let unanswered_stop = |run: &Run| match run.state {
             RunState::Stopping(stop) => {
-                stop.acknowledged.is_none() && now.since(stop.first_sent) > STOP_ANSWER
+                stop.acknowledged.is_none() && now.since(stop.first_sent) > STOP_ANSWER_TIMEOUT
             }
             _ => false,
         };
-        self.runs.values().any(unheeded)
+        self.runs.values().any(unanswered_stop)
     }
 
-    /// What a target ran that has not answered since its lease ran out is gone.
-    fn end_lapsed(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Ends all runs on a target whose lease has expired.
+    fn end_runs_of_expired_lease(&mut self, now: Time, out: &mut Vec<Action>) {
         let Some(target) = &self.target else { return };
-        if !target.has_lapsed(now) {
+        if !target.is_lease_expired(now) {
             return;
         }
-        // One that only leaves orders unanswered may be well, and its tasks with it.
-        let has_crashed = target.no_listener.is_some();
-        let end_of = |run: &Run| match has_crashed && target.crashed_under(now, run) {
+        // A target that accepts connections but does not answer may be healthy, and its tasks too.
+        let has_crashed = target.unreachable_since.is_some();
+        let end_of = |run: &Run| match has_crashed && target.crashed_during(now, run) {
             true => TaskEnd::Crashed,
             false => TaskEnd::Lost,
         };
-        let gone = self.runs.iter().filter(|(_, run)| run.takes_room());
-        let ends = gone.map(|(task, run)| (task.clone(), end_of(run))).collect();
-        self.end_with_target(now, ends, out);
+        let lost = self.runs.iter().filter(|(_, run)| run.holds_capacity());
+        let ends = lost.map(|(task, run)| (task.clone(), end_of(run))).collect();
+        self.end_runs_with_target(now, ends, out);
     }
 
-    /// The target answered something.
-    pub(crate) fn target_heard(&mut self, now: Time, clock_ms: u64) {
+    /// Updates the known clock of the target from an answer.
+    pub(crate) fn sync_target_clock(&mut self, now: Time, clock_ms: u64) {
         if let Some(target) = &mut self.target {
-            target.clock_is(now, clock_ms);
+            target.sync_clock(now, clock_ms);
         }
     }
 
-    /// The target answered a hold.
-    pub(crate) fn held(
+    /// Processes the answer to a hold.
+    pub(crate) fn hold_answered(
         &mut self,
         now: Time,
-        id: &TargetInstance,
+        instance: &TargetInstance,
         reply: HoldReply,
         out: &mut Vec<Action>,
     ) {
-        if self.newcomer_answered(now, id, &reply, out) {
+        if self.candidate_answered(now, instance, &reply, out) {
             return;
         }
-        if !self.target.as_ref().is_some_and(|target| target.id().may_be(id)) {
+        if !self.target.as_ref().is_some_and(|target| target.instance().may_match(instance)) {
             return;
         }
-        if self.another_life_answered(now, &reply, out) {
+        if self.other_instance_answered(now, &reply, out) {
             return;
         }
         let Some(target) = &mut self.target else { return };
-        let sent = target.holding.take().unwrap_or(now);
+        let sent = target.hold_sent.take().unwrap_or(now);
         match reply {
             HoldReply::Runs { clock_ms, running, ended, .. } => {
-                target.clock_is(now, clock_ms);
-                target.heard_now(now);
-                // A leave that was told before the hold was sent was that of an earlier life.
-                let was_doubted = target.leave_doubted.take_if(|left| *left < sent).is_some();
+                target.sync_clock(now, clock_ms);
+                target.record_hold_answer(now);
+                // The target still answers, so a leave received before the hold was sent came from
+                // an earlier instance.
+                let had_unconfirmed_leave =
+                    target.unconfirmed_leave.take_if(|left| *left < sent).is_some();
                 let was_silent = std::mem::take(&mut target.silent);
                 if was_silent {
-                    out.push(Action::Log(LogEvent::TargetHeard(id.clone())));
+                    out.push(Action::Log(LogEvent::TargetHeard(instance.clone())));
                 }
-                if was_silent || was_doubted {
+                if was_silent || had_unconfirmed_leave {
                     self.mark_dirty();
                 }
-                self.take_ends(now, ended, out);
-                self.compare(now, sent, &running, out);
+                self.apply_ends(now, ended, out);
+                self.reconcile_runs(now, sent, &running, out);
             }
             HoldReply::StaleToken { clock_ms } => {
-                target.clock_is(now, clock_ms);
-                target.hold_from = now + RETRY;
-                target.raise_fence(now);
+                target.sync_clock(now, clock_ms);
+                target.next_hold_at = now + HOLD_RETRY_DELAY;
+                target.raise_fencing_token(now);
             }
             HoldReply::OtherInstance => self.target_gone(now, out),
             HoldReply::NoAnswer => {
-                target.left_unanswered(now, &self.timing);
-                target.hold_from = sent + RETRY;
+                target.record_unanswered(now, &self.timing);
+                target.next_hold_at = sent + HOLD_RETRY_DELAY;
             }
         }
     }
 
-    fn take_ends(&mut self, now: Time, ended: Vec<TargetEnd>, out: &mut Vec<Action>) {
+    fn apply_ends(&mut self, now: Time, ended: Vec<TargetEnd>, out: &mut Vec<Action>) {
         for end in ended {
             let Some(target) = &mut self.target else { return };
             if end.number <= target.last_seen {
@@ -167,32 +172,38 @@
             let outcome = match end.reason {
                 EndReason::Done => TaskEnd::Done,
                 EndReason::Failed => TaskEnd::Failed,
-                EndReason::Stopped if stopping.is_some_and(|stop| !stop.doubtful) => {
+                EndReason::Stopped if stopping.is_some_and(|stop| !stop.unconfirmed) => {
                     TaskEnd::Stopped
                 }
                 EndReason::Stopped | EndReason::LeaseExpired | EndReason::Other => TaskEnd::Lost,
             };
-            self.end(now, &task, outcome, out);
+            self.end_run(now, &task, outcome, out);
         }
     }
 
-    /// Compares what the target lists with what is known: it may run what an earlier life of the
-    /// agent started, and may have lost what this one did.
-    fn compare(&mut self, now: Time, sent: Time, running: &[TargetRun], out: &mut Vec<Action>) {
+    /// Compares the runs that the target lists with the known ones: stops unknown runs, such as
+    /// those of an earlier agent process, and ends known runs that the target no longer lists.
+    fn reconcile_runs(
+        &mut self,
+        now: Time,
+        sent: Time,
+        running: &[TargetRun],
+        out: &mut Vec<Action>,
+    ) {
         let listed: BTreeSet<(&TaskId, u64)> =
             running.iter().map(|run| (&run.task, run.run)).collect();
-        let mut gone = Vec::new();
+        let mut lost = Vec::new();
         for (task, run) in &mut self.runs {
             if listed.contains(&(task, run.run)) {
-                run.unlisted = 0;
-            } else if run.state == RunState::Running && run.since + START_SLACK < sent {
-                run.unlisted += 1;
-                if run.unlisted >= UNLISTED {
-                    gone.push(task.clone());
+                run.unlisted_holds = 0;
+            } else if run.state == RunState::Running && run.started_at + LISTING_DELAY < sent {
+                run.unlisted_holds += 1;
+                if run.unlisted_holds >= MAX_UNLISTED_HOLDS {
+                    lost.push(task.clone());
                 }
             }
         }
-        gone.iter().for_each(|task| self.end(now, task, TaskEnd::Lost, out));
+        lost.iter().for_each(|task| self.end_run(now, task, TaskEnd::Lost, out));
         let Some(target) = &mut self.target else { return };
         let had_orphans = std::mem::take(&mut target.has_orphans);
         for run in running {
@@ -201,7 +212,8 @@
             }
             target.has_orphans = true;
             out.push(Action::Log(LogEvent::Orphan(run.task.clone())));
-            let key = RunKey { target: target.id().clone(), task: run.task.clone(), run: run.run };
+            let key =
+                RunKey { target: target.instance().clone(), task: run.task.clone(), run: run.run };
             out.push(Action::Stop(StopCommand { key, fencing_token: target.fencing_token }));
         }
         if had_orphans != target.has_orphans {
--- a/components/runner/src/lib.rs
+++ b/components/runner/src/lib.rs
@@ -1,26 +1,30 @@
-//! An agent's decisions where its target takes work by room, under a lease.
+//! The agent's decision logic for a target that accepts work by capacity under a lease.
 //!
-//! The agent alone gives its target orders. It admits tasks of several entries into the target's
-//! room, keeps the target's lease alive, hears how tasks end, and stops what it runs for an entry
-//! as soon as their session is dead.
+//! The agent is the only process that sends commands to its target. It admits tasks of several
+//! entries into the target's capacity, renews the target's lease, collects the ends of runs, and
+//! stops the runs of an entry as soon as their session is lost.
 //!
-//! No clock, socket or thread in here: [`Runner::handle`] takes a time and an event and gives the
-//! actions that follow.
+//! The lease is renewed by a *hold*: a long-poll request that the target answers when a run ends or
+//! its wait is over, with the runs that are active and those that have ended. Each process of a
+//! target is an *instance*; a restarted target is a new instance, possibly under the same id.
+//!
+//! The crate has no clock, sockets or threads: [`Runner::handle`] takes a time and an event and
+//! returns the resulting actions.
 
+mod commands;
 mod event;
 mod halls;
 mod health;
 mod hold;
-mod hold_times;
-mod lives;
-mod loads;
-mod orders;
-mod rate;
+mod hold_timing;
+mod instances;
+mod load_reports;
+mod round_robin;
 mod run;
 mod runner;
 mod sessions;
+mod start_rate;
 mod target;
-mod turns;
 
 pub use event::{
     Action, EndReason, Event, HallsSource, HoldCommand, HoldReply, LogEvent, RunKey, SessionId,
--- a/components/runner/src/run.rs
+++ b/components/runner/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a task at this agent.
+//! A run of a task on this agent's target.
 
 use std::sync::Arc;
 
@@ -6,67 +6,67 @@
 
 use crate::event::SessionId;
 
-/// How far a run is.
+/// The state of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunState {
-    /// It waits for room.
+    /// Waits for capacity.
     Waiting,
-    /// The target was told to start it.
+    /// A start has been sent to the target.
     Starting,
-    /// It runs.
+    /// Runs on the target.
     Running,
-    /// The target is told to stop it.
+    /// A stop has been sent to the target.
     Stopping(Stopping),
 }
 
-/// A stop that is under way.
+/// The state of a stop that has not been confirmed by an end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Stopping {
-    /// Nobody knows whether it ever ran.
-    pub doubtful: bool,
-    /// When the stop was sent first.
+    /// Whether it is unknown if the run ever started.
+    pub unconfirmed: bool,
+    /// When the stop was first sent.
     pub first_sent: Time,
-    /// When the stop was sent last; it is sent again until it is answered.
+    /// When the stop was last sent; it is sent again until the target answers.
     pub sent: Time,
-    /// When the target acknowledged it.
+    /// When the target acknowledged the stop.
     pub acknowledged: Option<Time>,
 }
 
 impl Stopping {
-    pub fn new(now: Time, doubtful: bool) -> Self {
-        Self { doubtful, first_sent: now, sent: now, acknowledged: None }
+    pub fn new(now: Time, unconfirmed: bool) -> Self {
+        Self { unconfirmed, first_sent: now, sent: now, acknowledged: None }
     }
 }
 
-/// One run.
+/// A run and its state.
 #[derive(Debug)]
 pub(crate) struct Run {
-    /// Who asked for it; `None` once the session is dead.
+    /// The session that requested the run; `None` once it is lost.
     pub session: Option<SessionId>,
     pub sequence: u64,
-    /// The number that it has at the target.
+    /// Number of the run on the target.
     pub run: u64,
     pub spec: Arc<str>,
     pub resources: Resources,
     pub estimated_ms: u32,
     pub priority: u8,
-    pub asked: Time,
-    /// A run that waits is given up then.
+    pub requested_at: Time,
+    /// When a waiting run is given up.
     pub expires: Time,
-    /// When it began to run, or was told to.
-    pub since: Time,
+    /// When the run, or its start command, began.
+    pub started_at: Time,
     pub state: RunState,
-    /// How often the target said that it had seen a run as high.
-    pub renumbered: u32,
-    /// Starts of this number that were not answered: one of them may be carried out yet.
-    pub unanswered: u32,
-    /// Holds that did not list it.
-    pub unlisted: u32,
+    /// Number of starts of the run that the target refused.
+    pub refusals: u32,
+    /// Starts with this number that were not answered; each may still be carried out.
+    pub unanswered_starts: u32,
+    /// Consecutive holds that did not list the run.
+    pub unlisted_holds: u32,
 }
 
 impl Run {
-    /// Whether it takes room at the target.
-    pub fn takes_room(&self) -> bool {
+    /// Whether the run occupies capacity of the target.
+    pub fn holds_capacity(&self) -> bool {
         self.state != RunState::Waiting
     }
 }
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -1,4 +1,4 @@
-//! One life of an agent: its state, and which part takes which event.
+//! The state of an agent, and the dispatch of its events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,65 +8,67 @@
 use wire::{Document, EmptiedHalls, Refusal, TaskEnd, TaskReport, ToEntry};
 
 use crate::event::{Action, Event, HallsSource, LogEvent, SessionId, TargetInstance};
-use crate::health::Change;
-use crate::lives::NextLife;
+use crate::health::HealthChange;
+use crate::instances::NextInstance;
+use crate::round_robin::RoundRobin;
 use crate::run::{Run, RunState, Stopping};
 use crate::sessions::Session;
 use crate::target::Target;
-use crate::turns::Turns;
 
-/// The times of an agent.
+/// Timeouts and intervals of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How long a target's lease is. With `session_silence` it has to be shorter than the time
-    /// after which clients send again: then nothing of a first try runs beside the second, even
-    /// where an entry and an agent die one after the other.
+    /// Duration of the target's lease. Lease and `session_timeout` together have to be shorter than
+    /// the time after which clients retry, so that no run of the first attempt overlaps the second,
+    /// even if an entry and an agent fail in succession.
     pub lease: Duration,
-    /// The longest lease that a target grants, whatever an order asks for.
+    /// Upper bound of the lease that a target grants.
     pub max_lease: Duration,
-    /// How long the target may take to answer a start or a stop: it stands beside the agent.
+    /// Timeout for the answer to a start or a stop.
     pub command_timeout: Duration,
-    /// How long a hold waits for an end. While a hold is lost nothing is known of the target.
+    /// How long a hold waits for the end of a run.
     pub hold_wait: Duration,
-    /// How much longer than it was asked to wait the target may take to answer a hold.
+    /// Timeout for the answer to a hold, beyond its wait.
     pub hold_slack: Duration,
-    /// How long a target that has left an order unanswered is thought to do so again.
+    /// How long a target counts as unreliable after it has left a command unanswered.
     pub unanswered_retention: Duration,
-    /// How long a hold waits for an end at such a target, at least: each hold costs the agent's processor time,
-    pub short_hold_wait_least: Duration,
-    /// and at most. What begins meanwhile may end sooner than the hold was thought to wait.
-    pub short_hold_wait_most: Duration,
-    /// How much longer than it was asked to wait such a target may take to answer. A hold that is given up too
-    /// soon costs a connection.
+    /// Lower bound of a hold's wait on an unreliable target; limits the CPU time spent on holds.
+    pub short_hold_wait_min: Duration,
+    /// Upper bound of a hold's wait on an unreliable target; a run that starts during the hold may
+    /// end before its expected end.
+    pub short_hold_wait_max: Duration,
+    /// Timeout for the answer to a hold on an unreliable target, beyond its wait. A hold that times
+    /// out costs a connection.
     pub short_hold_slack: Duration,
-    /// A target that has not answered a hold for so long gets no new work.
-    pub hold_silence: Duration,
-    /// How long a start may be on its way to the target.
+    /// A target that has not answered a hold for this long, beyond the wait of a hold, gets no new
+    /// work.
+    pub target_timeout: Duration,
+    /// How long a start command stays valid after it is sent.
     pub start_validity: Duration,
     /// How long the target takes to stop a run.
-    pub stop_time: Duration,
-    /// Silence of an entry for which something runs here after which its session is dead.
+    pub stop_duration: Duration,
+    /// A session with runs is lost after this time without a message.
     pub session_timeout: Duration,
-    /// Silence of an entry for which nothing runs here after which its session is dead: nothing has to
-    /// be stopped then, so that its heartbeats may be rare. A connection that has gone silent for good is
-    /// still replaced within 1.3 s, as soaks of real processes hold.
-    pub quiet_silence: Duration,
-    /// How long an entry is told that a session takes no more work before the session ends, at least:
-    /// starts that cross the word on their way are still carried out.
+    /// A session without runs is lost after this time without a message. Nothing has to be stopped
+    /// then, so heartbeats may be rarer.
+    pub idle_session_timeout: Duration,
+    /// Minimum time between the announcement that a retired session accepts no more work and its
+    /// end; starts in flight are still carried out.
     pub retire_notice: Duration,
-    /// Age of what an entry heard after which its starts are refused.
+    /// A start that its entry sent this long after it last received a message is refused.
     pub max_start_age: Duration,
-    /// A gap between two events after which the process is taken to have stood still.
-    pub longest_pause: Duration,
-    /// From one report of the load to the next, at least: every entry reads each report,
-    pub load_gap: Duration,
-    /// and at most by how fast room is taken.
-    pub load_gap_plenty: Duration,
-    /// The load is reported once entries are thought to have taken this part of what was free: late
-    /// enough to spare entries, early enough that little of what they count on is gone.
-    pub load_change: f64,
-    /// From one report of the load to the next, at most.
-    pub load_interval: Duration,
+    /// A gap between two events after which the process counts as paused.
+    pub max_event_gap: Duration,
+    /// Minimum time between two load reports to an entry.
+    pub min_load_interval: Duration,
+    /// Upper bound of the time between two load reports while the load changes; the faster
+    /// entries take capacity, the sooner the load is reported.
+    pub max_adaptive_load_interval: Duration,
+    /// The fraction of the free capacity that entries are expected to take before the load is
+    /// reported again.
+    pub load_change_fraction: f64,
+    /// Maximum time between two load reports to an entry.
+    pub max_load_interval: Duration,
 }
 
 impl Default for Timing {
@@ -78,120 +80,120 @@
             hold_wait: Duration::from_millis(120),
             hold_slack: Duration::from_millis(50),
             unanswered_retention: Duration::from_secs(5),
-            short_hold_wait_least: Duration::from_millis(20),
-            short_hold_wait_most: Duration::from_millis(60),
+            short_hold_wait_min: Duration::from_millis(20),
+            short_hold_wait_max: Duration::from_millis(60),
             short_hold_slack: Duration::from_millis(20),
-            hold_silence: Duration::from_millis(500),
+            target_timeout: Duration::from_millis(500),
             start_validity: Duration::from_millis(300),
-            stop_time: Duration::from_millis(50),
+            stop_duration: Duration::from_millis(50),
             session_timeout: Duration::from_millis(450),
-            quiet_silence: Duration::from_millis(900),
+            idle_session_timeout: Duration::from_millis(900),
             retire_notice: Duration::from_millis(500),
             max_start_age: Duration::from_millis(400),
-            longest_pause: Duration::from_millis(400),
-            load_gap: Duration::from_millis(8),
-            load_gap_plenty: Duration::from_millis(90),
-            load_change: 0.5,
-            load_interval: Duration::from_millis(100),
+            max_event_gap: Duration::from_millis(400),
+            min_load_interval: Duration::from_millis(8),
+            max_adaptive_load_interval: Duration::from_millis(90),
+            load_change_fraction: 0.5,
+            max_load_interval: Duration::from_millis(100),
         }
     }
 }
 
-/// What an agent counts since its start.
+/// Counters since the start of the agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunnerCounters {
-    /// Tasks asked for.
+    /// Tasks that entries requested.
     pub requested: u64,
-    /// Starts that the target took.
+    /// Starts that the target accepted.
     pub started: u64,
-    /// Tasks done.
+    /// Tasks that completed.
     pub done: u64,
-    /// Tasks failed.
+    /// Tasks that failed.
     pub failed: u64,
     /// Tasks that did not run.
     pub not_run: u64,
-    /// Tasks stopped.
+    /// Tasks that were stopped.
     pub stopped: u64,
-    /// Tasks that are gone without an outcome.
+    /// Tasks that ended without a known outcome.
     pub lost: u64,
     /// Tasks that ran when the target crashed.
     pub crashed: u64,
-    /// Starts that the target refused for want of room.
+    /// Starts that the target refused for lack of capacity.
     pub no_capacity: u64,
     /// Starts that the target did not answer.
     pub unanswered_starts: u64,
-    /// Sessions that died.
+    /// Sessions that were lost.
     pub sessions_lost: u64,
-    /// Reports that came late: after newer ones of the same life, or after that life was over.
+    /// Reports that arrived after newer ones of their instance, or after the end of the instance.
     pub late_reports: u64,
 }
 
-/// One life of an agent.
+/// The state of an agent.
 #[derive(Debug)]
 pub struct Runner {
     pub(crate) node: NodeName,
     pub(crate) timing: Timing,
     pub(crate) target: Option<Target>,
-    /// Lives of the target that are over.
-    pub(crate) gone: Vec<TargetInstance>,
-    /// Lives that reported while another was there, in the order in which they were heard of: the
-    /// next ones, or late reports of earlier ones.
-    pub(crate) newcomers: Vec<Target>,
+    /// Target instances that have ended.
+    pub(crate) ended_instances: Vec<TargetInstance>,
+    /// Instances that reported while another one was in use, in order of their first report:
+    /// successors, or earlier instances whose reports are late.
+    pub(crate) candidates: Vec<Target>,
     pub(crate) sessions: BTreeMap<SessionId, Session>,
     pub(crate) runs: BTreeMap<TaskId, Run>,
     pub(crate) document: Option<Document>,
-    /// The halls that get no new work.
+    /// Emptied halls, which get no new work.
     pub(crate) halls: EmptiedHalls,
-    /// Runs that were lost before the target listed their ends, and when that is forgotten: a later
-    /// run of the same task gets a higher number, so that a late end is not taken for its own.
-    pub(crate) lost: BTreeMap<TaskId, (u64, Time)>,
+    /// Runs that were lost before the target listed their ends, with the time to forget them. A
+    /// later run of the same task gets a higher number, so that a late end is not attributed to it.
+    pub(crate) lost_runs: BTreeMap<TaskId, (u64, Time)>,
     pub(crate) cancelled: CancelledJobs,
-    /// Tasks that ran when the target crashed, and when that is forgotten.
-    pub(crate) crashed: BTreeMap<TaskId, Time>,
-    pub(crate) turns: Turns,
+    /// Tasks that ran when the target crashed, with the time to forget them.
+    pub(crate) crashed_tasks: BTreeMap<TaskId, Time>,
+    pub(crate) round_robin: RoundRobin,
     pub(crate) draining: bool,
-    /// When this life of the agent began.
-    pub(crate) began: Time,
+    /// When this agent process started.
+    pub(crate) started_at: Time,
     pub(crate) last_event: Time,
     pub(crate) counters: RunnerCounters,
 }
 
-/// How long lost runs are remembered: longer than a target holds back ends.
-const LOST_KEPT: Duration = Duration::from_secs(20);
-/// How long the tasks that ran at a crash are remembered: many times as long as it takes a client to send a job again.
-const CRASHED_KEPT: Duration = Duration::from_secs(20);
-/// From one tick to the next, at most.
-const TICK: Duration = Duration::from_millis(20);
+/// How long lost runs are remembered: longer than a target may delay the report of an end.
+const LOST_RUN_RETENTION: Duration = Duration::from_secs(20);
+/// How long tasks that ran during a crash are remembered: well beyond the client's retries.
+const CRASHED_TASK_RETENTION: Duration = Duration::from_secs(20);
+/// Maximum time between ticks while runs or reports are pending.
+const BUSY_TICK: Duration = Duration::from_millis(20);
 const IDLE_TICK: Duration = Duration::from_millis(100);
 
 impl Runner {
-    /// An agent that has not heard of its target yet.
+    /// An agent without a target.
     pub fn new(node: NodeName, timing: Timing, now: Time) -> Self {
         Self {
             node,
             timing,
             target: None,
-            gone: Vec::new(),
-            newcomers: Vec::new(),
+            ended_instances: Vec::new(),
+            candidates: Vec::new(),
             sessions: BTreeMap::new(),
             runs: BTreeMap::new(),
             document: None,
             halls: EmptiedHalls::default(),
-            lost: BTreeMap::new(),
+            lost_runs: BTreeMap::new(),
             cancelled: CancelledJobs::default(),
-            crashed: BTreeMap::new(),
-            turns: Turns::default(),
+            crashed_tasks: BTreeMap::new(),
+            round_robin: RoundRobin::default(),
             draining: false,
-            began: now,
+            started_at: now,
             last_event: now,
             counters: RunnerCounters::default(),
         }
     }
 
-    /// Takes an event and adds the actions that follow.
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        if now.since(self.last_event) > self.timing.longest_pause {
-            // What waited meanwhile may be far too old: entries have given up on this agent.
+        if now.since(self.last_event) > self.timing.max_event_gap {
+            // Queued events may be outdated, and entries have given up on this agent.
             self.lose_all_sessions("stood still", out);
         }
         self.last_event = now;
@@ -199,84 +201,86 @@
             Event::SessionOpened(session) => self.open_session(now, session, out),
             Event::SessionClosed(session) => self.lose_session(session, "closed", out),
             Event::SessionRetired(session) => self.retire_session(now, session),
-            Event::FromEntry(session, message) => self.hear_entry(now, session, message, out),
-            Event::TargetReported(report) => self.target_reports(now, report, out),
-            Event::TargetLeft(id) => self.target_left(now, &id, out),
-            Event::NoListener(id) => self.nothing_listens(now, &id),
-            Event::StartAnswered(key, reply) => self.started(now, &key, reply, out),
+            Event::FromEntry(session, message) => {
+                self.receive_from_entry(now, session, message, out)
+            }
+            Event::TargetReported(report) => self.target_reported(now, report, out),
+            Event::TargetLeft(instance) => self.target_left(now, &instance, out),
+            Event::NoListener(instance) => self.target_unreachable(now, &instance),
+            Event::StartAnswered(key, reply) => self.start_answered(now, &key, reply, out),
             Event::StopAnswered(key, reply) => self.stop_answered(now, &key, reply, out),
-            Event::HoldAnswered(id, reply) => self.held(now, &id, reply, out),
-            Event::Document(document) => self.take_document(document),
-            Event::Halls(halls) => self.take_halls(now, &halls, HallsSource::Keeper, out),
+            Event::HoldAnswered(instance, reply) => self.hold_answered(now, &instance, reply, out),
+            Event::Document(document) => self.update_document(document),
+            Event::Halls(halls) => self.update_halls(now, &halls, HallsSource::Keeper, out),
             Event::Drain => self.drain(now, out),
             Event::Tick => {}
         }
         self.tick(now, out);
     }
 
-    /// Its times.
+    /// The timeouts and intervals in use.
     pub fn timing(&self) -> &Timing {
         &self.timing
     }
 
-    /// When the next tick is due.
+    /// When the next [`Event::Tick`] is due.
     pub fn next_timer(&self, now: Time) -> Time {
         let waits = |run: &Run| run.state != RunState::Running;
         let busy = self.runs.values().any(waits)
             || self.sessions.values().any(Session::is_dirty)
-            || !self.newcomers.is_empty();
-        if self.takes_turns(now) {
-            return Turns::end(now);
+            || !self.candidates.is_empty();
+        if self.uses_round_robin(now) {
+            return RoundRobin::turn_end(now);
         }
-        now + if busy { TICK } else { IDLE_TICK }
+        now + if busy { BUSY_TICK } else { IDLE_TICK }
     }
 
-    /// Whether nothing runs or waits.
+    /// Whether there are no runs, waiting or active.
     pub fn is_idle(&self) -> bool {
         self.runs.is_empty()
     }
 
-    /// What it counted.
+    /// Counters since the start of the agent.
     pub fn counters(&self) -> RunnerCounters {
         self.counters
     }
 
-    /// Tasks that wait, and tasks at the target.
+    /// Number of waiting runs, and number of runs on the target.
     pub fn run_counts(&self) -> (usize, usize) {
-        let waiting = self.runs.values().filter(|run| !run.takes_room()).count();
+        let waiting = self.runs.values().filter(|run| !run.holds_capacity()).count();
         (waiting, self.runs.len() - waiting)
     }
 
-    /// The newest document that it knows.
+    /// Version of the newest configuration document; 0 without one.
     pub fn document_version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// The halls that it knows to be emptied.
+    /// The emptied halls with the highest known revision.
     pub fn halls(&self) -> &EmptiedHalls {
         &self.halls
     }
 
-    /// What no run takes, waiting ones aside.
-    pub(crate) fn free(&self) -> Resources {
+    /// Free capacity of the target, not counting waiting runs.
+    pub(crate) fn free_capacity(&self) -> Resources {
         let Some(target) = &self.target else { return Resources::default() };
         let mut free = target.capacity();
-        self.runs.values().filter(|run| run.takes_room()).for_each(|run| free -= run.resources);
+        self.runs.values().filter(|run| run.holds_capacity()).for_each(|run| free -= run.resources);
         free
     }
 
-    /// Whether the target takes new work.
+    /// Whether the target accepts new work.
     pub(crate) fn is_open(&self, now: Time) -> bool {
         let closed = |target: &Target| {
             let orphans_only = target.has_orphans && self.runs.is_empty();
             target.report.draining
                 || target.silent
-                || target.health.is_out(now)
+                || target.health.is_excluded(now)
                 || orphans_only
-                || target.is_report_dated(self.began)
-                || target.leave_doubted.is_some()
-                || target.is_unreported
-                || target.no_listener.is_some()
+                || target.is_report_outdated(self.started_at)
+                || target.unconfirmed_leave.is_some()
+                || target.awaits_report
+                || target.unreachable_since.is_some()
         };
         !self.draining
             && !self.is_hall_emptied()
@@ -284,20 +288,20 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.end_silent_sessions(now, out);
+        self.end_timed_out_sessions(now, out);
         self.end_retired_sessions(now, out);
         self.cancelled.forget(now);
-        self.lost.retain(|_, (_, until)| *until > now);
-        self.crashed.retain(|_, until| *until > now);
+        self.lost_runs.retain(|_, (_, until)| *until > now);
+        self.crashed_tasks.retain(|_, until| *until > now);
         if let Some(target) = &mut self.target {
-            target.forget(now);
+            target.decay_slowdown(now);
         }
-        self.watch_target(now, out);
-        self.ask_newcomers(now, out);
-        self.stop_stuck(now, out);
+        self.check_target(now, out);
+        self.probe_candidates(now, out);
+        self.stop_overdue(now, out);
         self.expire_waiting(now, out);
-        self.repeat_stops(now, out);
-        self.admit(now, out);
+        self.resend_stops(now, out);
+        self.admit_waiting(now, out);
         self.report_loads(now, out);
     }
 
@@ -307,35 +311,36 @@
         self.mark_dirty();
     }
 
-    pub(crate) fn take_document(&mut self, document: Document) {
+    pub(crate) fn update_document(&mut self, document: Document) {
         if document.version > self.document_version() {
             self.document = Some(document);
         }
     }
 
-    /// A life of the target is over, and with it all that ran there but what its next life may run: that is kept.
-    pub(crate) fn end_life(&mut self, now: Time, next: NextLife, out: &mut Vec<Action>) {
+    /// Ends the current instance with its runs, except those that its successor may run.
+    pub(crate) fn end_instance(&mut self, now: Time, next: NextInstance, out: &mut Vec<Action>) {
         let Some(target) = self.target.take() else { return };
-        self.remember_gone(target.id().clone());
-        let is_kept = |task: &TaskId, run: &Run| next.may_run(now, task, run);
+        self.remember_ended_instance(target.instance().clone());
+        let is_carried_over = |task: &TaskId, run: &Run| next.may_run(now, task, run);
         let end_of = |run: &Run| match run.state {
             RunState::Waiting => TaskEnd::NotRun(Refusal::Closed),
-            _ if target.crashed_under(now, run) => TaskEnd::Crashed,
+            _ if target.crashed_during(now, run) => TaskEnd::Crashed,
             _ => TaskEnd::Lost,
         };
-        let over = self.runs.iter().filter(|(task, run)| !is_kept(task, run));
+        let ended = self.runs.iter().filter(|(task, run)| !is_carried_over(task, run));
         let ends: Vec<(TaskId, TaskEnd)> =
-            over.map(|(task, run)| (task.clone(), end_of(run))).collect();
+            ended.map(|(task, run)| (task.clone(), end_of(run))).collect();
         out.push(Action::Log(LogEvent::TargetGone {
-            instance: target.id().clone(),
+            instance: target.instance().clone(),
             lost: ends.len(),
         }));
-        self.end_with_target(now, ends, out);
+        self.end_runs_with_target(now, ends, out);
         self.mark_dirty();
     }
 
-    /// Runs are over with their target. Every entry is told under which of them it has crashed.
-    pub(crate) fn end_with_target(
+    /// Ends runs together with their target. Every entry is notified of the tasks that ran when the
+    /// target crashed.
+    pub(crate) fn end_runs_with_target(
         &mut self,
         now: Time,
         ends: Vec<(TaskId, TaskEnd)>,
@@ -344,31 +349,37 @@
         let crashed = ends.iter().filter(|(_, end)| *end == TaskEnd::Crashed);
         let crashed: Vec<TaskId> = crashed.map(|(task, _)| task.clone()).collect();
         if !crashed.is_empty() {
-            let told = || ToEntry::TargetCrashed(crashed.clone());
-            out.extend(self.sessions.keys().map(|id| Action::Send(*id, told())));
+            let message = || ToEntry::TargetCrashed(crashed.clone());
+            out.extend(self.sessions.keys().map(|id| Action::Send(*id, message())));
         }
-        ends.into_iter().for_each(|(task, end)| self.end(now, &task, end, out));
+        ends.into_iter().for_each(|(task, end)| self.end_run(now, &task, end, out));
     }
 
-    /// A run is over: tells its entry, and frees its room.
-    pub(crate) fn end(&mut self, now: Time, task: &TaskId, end: TaskEnd, out: &mut Vec<Action>) {
+    /// Ends a run: reports it to its entry and frees its capacity.
+    pub(crate) fn end_run(
+        &mut self,
+        now: Time,
+        task: &TaskId,
+        end: TaskEnd,
+        out: &mut Vec<Action>,
+    ) {
         let Some(run) = self.runs.remove(task) else { return };
-        let ran = if run.takes_room() { now.since(run.since) } else { Duration::ZERO };
+        let ran = if run.holds_capacity() { now.since(run.started_at) } else { Duration::ZERO };
         if matches!(end, TaskEnd::Lost | TaskEnd::Crashed) {
-            self.lost.insert(task.clone(), (run.run, now + LOST_KEPT));
+            self.lost_runs.insert(task.clone(), (run.run, now + LOST_RUN_RETENTION));
         }
         if end == TaskEnd::Crashed {
-            self.crashed.insert(task.clone(), now + CRASHED_KEPT);
+            self.crashed_tasks.insert(task.clone(), now + CRASHED_TASK_RETENTION);
         }
-        self.count(end);
-        self.learn(now, &run, end, ran, out);
+        self.count_end(end);
+        self.update_target_stats(now, &run, end, ran, out);
         out.push(Action::Log(LogEvent::Run {
             task: task.clone(),
             run: run.run,
             end,
-            waited_ms: run.since.since(run.asked).as_millis() as u64,
+            waited_ms: run.started_at.since(run.requested_at).as_millis() as u64,
             ran_ms: ran.as_millis() as u64,
-            free: self.free(),
+            free: self.free_capacity(),
         }));
         self.mark_dirty();
         let Some(session) = run.session else { return };
@@ -378,27 +389,34 @@
             end,
             ran_ms: ran.as_millis() as u32,
         };
-        self.report_end(session, report);
+        self.queue_end_report(session, report);
     }
 
-    /// What an end says of the target.
-    fn learn(&mut self, now: Time, run: &Run, end: TaskEnd, ran: Duration, out: &mut Vec<Action>) {
+    /// Updates speed and health of the target from the end of a run.
+    fn update_target_stats(
+        &mut self,
+        now: Time,
+        run: &Run,
+        end: TaskEnd,
+        ran: Duration,
+        out: &mut Vec<Action>,
+    ) {
         let Some(target) = &mut self.target else { return };
         if !matches!(end, TaskEnd::NotRun(_)) {
-            target.ended = now;
+            target.last_end = now;
         }
         let change = match end {
             TaskEnd::Done => {
-                target.ran(now, ran, run.estimated_ms);
-                target.health.succeeded(run.since)
+                target.record_duration(now, ran, run.estimated_ms);
+                target.health.record_success(run.started_at)
             }
-            TaskEnd::Failed => target.health.failed(now, run.since),
-            _ => Change::None,
+            TaskEnd::Failed => target.health.record_failure(now, run.started_at),
+            _ => HealthChange::None,
         };
-        report_health(change, out);
+        log_health_change(change, out);
     }
 
-    fn count(&mut self, end: TaskEnd) {
+    fn count_end(&mut self, end: TaskEnd) {
         let counter = match end {
             TaskEnd::Done => &mut self.counters.done,
             TaskEnd::Failed => &mut self.counters.failed,
@@ -410,40 +428,40 @@
         *counter += 1;
     }
 
-    /// Stops a run, whatever state it is in.
-    pub(crate) fn stop(&mut self, now: Time, task: &TaskId, out: &mut Vec<Action>) {
+    /// Stops a run in any state.
+    pub(crate) fn stop_run(&mut self, now: Time, task: &TaskId, out: &mut Vec<Action>) {
         let Some(run) = self.runs.get_mut(task) else { return };
         match run.state {
             RunState::Waiting => {
-                self.end(now, task, TaskEnd::NotRun(Refusal::Cancelled), out);
+                self.end_run(now, task, TaskEnd::NotRun(Refusal::Cancelled), out);
             }
             RunState::Starting | RunState::Running => {
-                let doubtful = run.state == RunState::Starting;
-                run.state = RunState::Stopping(Stopping::new(now, doubtful));
+                let unconfirmed = run.state == RunState::Starting;
+                run.state = RunState::Stopping(Stopping::new(now, unconfirmed));
                 self.send_stop(task, out);
             }
             RunState::Stopping(_) => {}
         }
     }
 
-    /// The tasks of a job that are here.
+    /// The tasks of a job that have a run here.
     pub(crate) fn tasks_of(&self, job: &JobId) -> Vec<TaskId> {
         self.runs.keys().filter(|task| task.job == *job).cloned().collect()
     }
 
-    /// The name of the service, for the profile.
+    /// The service of the target; empty without a target.
     pub(crate) fn service(&self) -> Arc<str> {
         self.target.as_ref().map_or_else(|| Arc::from(""), |target| target.report.service.clone())
     }
 }
 
-pub(crate) fn report_health(change: Change, out: &mut Vec<Action>) {
+pub(crate) fn log_health_change(change: HealthChange, out: &mut Vec<Action>) {
     match change {
-        Change::None => {}
-        Change::LeftOut { failures, pause } => {
-            let for_ms = pause.as_millis() as u64;
+        HealthChange::None => {}
+        HealthChange::Excluded { failures, exclusion } => {
+            let for_ms = exclusion.as_millis() as u64;
             out.push(Action::Log(LogEvent::TargetLeftOut { failures, for_ms }));
         }
-        Change::TakenBack => out.push(Action::Log(LogEvent::TargetTakenBack)),
+        HealthChange::Restored => out.push(Action::Log(LogEvent::TargetTakenBack)),
     }
 }
--- a/components/runner/src/sessions.rs
+++ b/components/runner/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with entries: who is heard of, what each is told.
+//! Sessions with entries: their messages, their timeouts and pending reports.
 
 use std::time::Duration;
 
@@ -6,33 +6,33 @@
 use wire::{AgentProfile, Load, Refusal, StartTask, TaskEnd, TaskReport, ToAgent, ToEntry};
 
 use crate::event::{Action, HallsSource, LogEvent, SessionId};
-use crate::rate::StartRate;
 use crate::run::{Run, RunState};
 use crate::runner::Runner;
+use crate::start_rate::StartRate;
 
-/// One session.
+/// A session with an entry.
 #[derive(Debug)]
 pub(crate) struct Session {
-    heard: Time,
-    /// The last start that was taken or refused.
-    pub seen: u64,
-    /// The entry has not been told the last change of the load.
+    last_received: Time,
+    /// Sequence number of the last start that was accepted or refused.
+    pub last_sequence: u64,
+    /// Whether the load has changed since the last report.
     pub dirty: bool,
-    pub told: Time,
-    /// The load that it was told last.
-    pub told_load: Load,
-    /// When the entry sent a start last.
+    pub last_report: Time,
+    /// The load in the last report.
+    pub last_load: Load,
+    /// When the entry last sent a start.
     pub last_start: Option<Time>,
-    /// Ends to be told.
+    /// Ended runs that are not reported yet.
     pub reports: Vec<TaskReport>,
-    /// How fast the entry takes room.
-    pub rate: StartRate,
-    /// Since when the entry is told that it gets no more work done here.
+    /// The rate at which the entry takes capacity.
+    pub start_rate: StartRate,
+    /// When the session was retired; its load reports then refuse further work.
     pub retired: Option<Time>,
 }
 
 impl Session {
-    /// Whether there is something to tell.
+    /// Whether a report is pending.
     pub fn is_dirty(&self) -> bool {
         self.dirty || !self.reports.is_empty()
     }
@@ -41,14 +41,14 @@
 impl Runner {
     pub(crate) fn open_session(&mut self, now: Time, id: SessionId, out: &mut Vec<Action>) {
         let session = Session {
-            heard: now,
-            seen: 0,
+            last_received: now,
+            last_sequence: 0,
             dirty: true,
-            told: Time::default(),
-            told_load: Load::default(),
+            last_report: Time::default(),
+            last_load: Load::default(),
             last_start: None,
             reports: vec![],
-            rate: StartRate::default(),
+            start_rate: StartRate::default(),
             retired: None,
         };
         self.sessions.insert(id, session);
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Tells every entry who this agent is.
-    pub(crate) fn say_hello(&mut self, out: &mut Vec<Action>) {
+    /// Sends this agent's profile to every entry.
+    pub(crate) fn send_hello(&mut self, out: &mut Vec<Action>) {
         for id in self.sessions.keys() {
             out.push(Action::Send(*id, self.hello()));
         }
@@ -77,7 +77,7 @@
         ToEntry::Hello { profile, document: self.document_version(), halls: self.halls.clone() }
     }
 
-    pub(crate) fn hear_entry(
+    pub(crate) fn receive_from_entry(
         &mut self,
         now: Time,
         id: SessionId,
@@ -85,25 +85,25 @@
         out: &mut Vec<Action>,
     ) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        session.heard = now;
+        session.last_received = now;
         match message {
             ToAgent::Heartbeat { .. } => {}
             ToAgent::Start { heard, job, spec, tasks } => {
                 let late = now.since(heard) > self.timing.max_start_age;
                 for task in tasks {
-                    self.ask(now, id, &job, &spec, task, late);
+                    self.request_start(now, id, &job, &spec, task, late);
                 }
             }
             ToAgent::Stop(tasks) => {
                 for task in tasks {
                     if self.runs.get(&task).is_some_and(|run| run.session == Some(id)) {
-                        self.stop(now, &task, out);
+                        self.stop_run(now, &task, out);
                     }
                 }
             }
-            ToAgent::Cancel(job) => self.cancel(now, id, &job, out),
+            ToAgent::Cancel(job) => self.cancel_job(now, id, &job, out),
             ToAgent::Halls(halls) => {
-                self.take_halls(now, &halls, HallsSource::Entry(id), out);
+                self.update_halls(now, &halls, HallsSource::Entry(id), out);
             }
             ToAgent::SendPart(request) => {
                 let part = self.document.as_ref().and_then(|document| document.part(request));
@@ -112,8 +112,8 @@
         }
     }
 
-    /// An entry asks for a task.
-    fn ask(
+    /// Processes an entry's request to start a task.
+    fn request_start(
         &mut self,
         now: Time,
         id: SessionId,
@@ -130,53 +130,54 @@
             Some(Refusal::Cancelled)
         } else if !self.is_open(now) {
             Some(Refusal::Closed)
-        } else if self.crashed.contains_key(&task) {
+        } else if self.crashed_tasks.contains_key(&task) {
             Some(Refusal::CrashedTarget)
         } else if self.runs.contains_key(&task) {
-            // A run of it for another entry, or an earlier one, has not come to its end yet.
+            // Another run of the task, for this or another entry, has not ended yet.
             Some(Refusal::Target)
         } else {
             None
         };
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.seen = start.sequence;
+            session.last_sequence = start.sequence;
             session.dirty = true;
         }
         if let Some(refusal) = refusal {
             self.counters.not_run += 1;
             let end = TaskEnd::NotRun(refusal);
             let report = TaskReport { task, sequence: start.sequence, end, ran_ms: 0 };
-            return self.report_end(id, report);
+            return self.queue_end_report(id, report);
         }
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.rate.add(now, start.resources.cpu_milli);
+            session.start_rate.add(now, start.resources.cpu_milli);
             session.last_start = Some(now);
         }
-        self.turns.asked(start.resources.cpu_milli);
+        self.round_robin.record_request(start.resources.cpu_milli);
         let run = Run {
             session: Some(id),
             sequence: start.sequence,
-            run: self.lost.get(&task).map_or(start.run, |(run, _)| start.run.max(run + 1)),
+            run: self.lost_runs.get(&task).map_or(start.run, |(run, _)| start.run.max(run + 1)),
             spec: spec.clone(),
             resources: start.resources,
             estimated_ms: start.estimated_ms,
             priority: start.priority,
-            asked: now,
+            requested_at: now,
             expires: now + Duration::from_millis(u64::from(start.longest_wait_ms)),
-            since: now,
+            started_at: now,
             state: RunState::Waiting,
-            renumbered: 0,
-            unanswered: 0,
-            unlisted: 0,
+            refusals: 0,
+            unanswered_starts: 0,
+            unlisted_holds: 0,
         };
         self.runs.insert(task, run);
     }
 
-    /// A job is cancelled at an entry: its tasks end here, and the entry that owns it is told.
-    fn cancel(&mut self, now: Time, from: SessionId, job: &JobId, out: &mut Vec<Action>) {
+    /// Ends the runs of a job that was cancelled at an entry, and forwards the cancellation to the
+    /// other entries, one of which may own the job.
+    fn cancel_job(&mut self, now: Time, from: SessionId, job: &JobId, out: &mut Vec<Action>) {
         self.cancelled.add(now, job);
         for task in self.tasks_of(job) {
-            self.stop(now, &task, out);
+            self.stop_run(now, &task, out);
         }
         for id in self.sessions.keys().filter(|id| **id != from) {
             out.push(Action::Send(*id, ToEntry::Cancelled(job.clone())));
@@ -202,7 +203,7 @@
             if let Some(run) = self.runs.get_mut(&task) {
                 run.session = None;
             }
-            self.stop(self.last_event, &task, out);
+            self.stop_run(self.last_event, &task, out);
         }
     }
 
@@ -211,25 +212,26 @@
         ids.into_iter().for_each(|id| self.lose_session(id, reason, out));
     }
 
-    pub(crate) fn end_silent_sessions(&mut self, now: Time, out: &mut Vec<Action>) {
-        let silence = |id: &SessionId| match self.has_runs(*id) {
+    pub(crate) fn end_timed_out_sessions(&mut self, now: Time, out: &mut Vec<Action>) {
+        let timeout = |id: &SessionId| match self.has_runs(*id) {
             true => self.timing.session_timeout,
-            false => self.timing.quiet_silence,
+            false => self.timing.idle_session_timeout,
         };
-        let silent = |(id, session): &(&SessionId, &Session)| {
-            now.since(session.heard) > self.timing.session_timeout
-                && now.since(session.heard) > silence(id)
+        let timed_out = |(id, session): &(&SessionId, &Session)| {
+            now.since(session.last_received) > self.timing.session_timeout
+                && now.since(session.last_received) > timeout(id)
         };
-        let ids: Vec<SessionId> = self.sessions.iter().filter(silent).map(|(id, _)| *id).collect();
+        let ids: Vec<SessionId> =
+            self.sessions.iter().filter(timed_out).map(|(id, _)| *id).collect();
         ids.into_iter().for_each(|id| self.lose_session(id, "silent", out));
     }
 
-    /// Whether anything runs or waits here for the entry of a session.
+    /// Whether a session has runs that are waiting or active.
     fn has_runs(&self, id: SessionId) -> bool {
         self.runs.values().any(|run| run.session == Some(id))
     }
 
-    /// The entry of a session is to be served by other agents.
+    /// Marks a session as retired: its entry is to be served by other agents.
     pub(crate) fn retire_session(&mut self, now: Time, id: SessionId) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.retired.get_or_insert(now);
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Ends sessions that were retired, once nothing runs for them.
+    /// Ends retired sessions that have no runs left.
     pub(crate) fn end_retired_sessions(&mut self, now: Time, out: &mut Vec<Action>) {
         let notice = self.timing.retire_notice;
         let is_over = |(id, session): &(&SessionId, &Session)| {
@@ -253,7 +255,7 @@
         }
     }
 
-    pub(crate) fn report_end(&mut self, id: SessionId, report: TaskReport) {
+    pub(crate) fn queue_end_report(&mut self, id: SessionId, report: TaskReport) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.reports.push(report);
         }
--- a/components/runner/src/target.rs
+++ b/components/runner/src/target.rs
@@ -1,4 +1,4 @@
-//! One life of the target, as the agent knows it.
+//! The agent's state of one target instance, current or candidate.
 
 use std::time::Duration;
 
@@ -6,98 +6,98 @@
 
 use crate::event::{HoldCommand, TargetInstance, TargetReport};
 use crate::health::Health;
-use crate::hold::RETRY;
-use crate::hold_times::HoldTimes;
+use crate::hold::HOLD_RETRY_DELAY;
+use crate::hold_timing::HoldTiming;
 use crate::run::{Run, RunState};
 use crate::runner::Timing;
 
-/// One life of the target.
+/// The agent's state of one target instance.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub report: TargetReport,
     pub fencing_token: u64,
-    /// The last end that is taken note of.
+    /// Number of the last run end that the agent has processed.
     pub last_seen: u64,
     pub health: Health,
-    /// Its clock as it was told last, and when.
+    /// The target's monotonic clock in ms as last reported, and when that was received.
     clock: (u64, Time),
-    /// A hold is under way since then.
-    pub holding: Option<Time>,
-    /// What runs there may run until then, at the latest.
+    /// When the outstanding hold was sent.
+    pub hold_sent: Option<Time>,
+    /// The latest time at which runs on the target may still be active.
     lease_ends: Time,
-    /// When it answered last.
-    pub heard: Time,
-    /// The next hold is not sent before.
-    pub hold_from: Time,
+    /// When the target last answered a hold.
+    pub last_hold_answer: Time,
+    /// The next hold is not sent earlier.
+    pub next_hold_at: Time,
     pub silent: bool,
-    /// When it last left a hold or a start unanswered.
-    unanswered: Option<Time>,
-    /// It may run what an earlier life of the agent started: its lease is left to run out, and
-    /// nothing is started there.
+    /// When the target last left a hold or a start unanswered.
+    last_unanswered: Option<Time>,
+    /// Whether the target may have runs that this agent does not track. While it has only such
+    /// runs, its lease is left to expire and nothing starts on it.
     pub has_orphans: bool,
-    /// How long tasks take against their estimates, in hundredths, smoothed.
+    /// Duration of tasks in percent of their estimates, smoothed.
     pub slowdown_percent: f64,
-    /// When the slowdown was learned or worn off last.
-    judged: Time,
-    /// When a run ended there last.
-    pub ended: Time,
-    /// While it is a newcomer: another life was taken on since the hold that is under way was sent.
+    /// When the slowdown was last updated or decayed.
+    slowdown_updated: Time,
+    /// When a run last ended on the target.
+    pub last_end: Time,
+    /// For a candidate: whether another instance was adopted after the outstanding hold was sent.
     pub is_overtaken: bool,
-    /// When someone with its id said that it ends, without saying which life: no new work until it
-    /// answers a hold that was sent after that.
-    pub leave_doubted: Option<Time>,
-    /// Since when it answers no orders.
+    /// When a leave arrived that had the target's id and no start time. The target gets no new work
+    /// until it answers a hold that was sent later.
+    pub unconfirmed_leave: Option<Time>,
+    /// When the target stopped answering.
     failing_since: Option<Time>,
-    /// It had left an order unanswered a while before that.
-    failed_before: bool,
-    /// It has answered, but not reported of itself yet: what it has is not known.
-    pub is_unreported: bool,
-    /// Since when nothing listens at its address.
-    pub no_listener: Option<Time>,
-    /// How often it refused the fencing token.
-    fence_refusals: u32,
+    /// Whether the target had left a command unanswered shortly before it stopped answering.
+    unanswered_before_failure: bool,
+    /// Whether the target has answered but not reported yet, so that its capacity is unknown.
+    pub awaits_report: bool,
+    /// Since when the target's address refuses connections.
+    pub unreachable_since: Option<Time>,
+    /// How often the target refused the fencing token.
+    token_refusals: u32,
 }
 
-/// A token above all that earlier lives of the agent took, without anything on a disk: a target's clock only goes
-/// forward, and where it keeps its id, the moment of its start does.
-fn fencing_token(id: &TargetInstance, clock_ms: u64) -> u64 {
-    id.started_ms.unwrap_or(0) + clock_ms
+/// A token higher than those of earlier agent processes, without storage: the monotonic clock of an
+/// instance only increases, and so does the start time where a target keeps its id.
+fn fencing_token(instance: &TargetInstance, clock_ms: u64) -> u64 {
+    instance.started_ms.unwrap_or(0) + clock_ms
 }
 
-/// What a report changes in what was known of its life.
+/// The effect of a report on the known state of its instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Heard {
-    /// A newer one was there before.
-    pub late: bool,
-    /// It says for the first time that the target is about to leave.
-    pub drains: bool,
-    /// Room or labels are others.
-    pub moved: bool,
+pub(crate) struct ReportChange {
+    /// Whether a newer report of the instance was received before.
+    pub is_late: bool,
+    /// Whether the report is the first one that announces a leave.
+    pub starts_draining: bool,
+    /// Whether capacity or labels have changed.
+    pub profile_changed: bool,
 }
 
-/// How much longer a span may take on the target's clock.
-const SLOWEST_CLOCK: f64 = 1.02;
-/// How long an order that is answered may be on its way, and lists of what ended.
-const ORDER_SLACK: Duration = Duration::from_millis(40);
-/// How long a hold that only asks for a sign of life waits: the least that an order can name.
-const SIGN_WAIT: Duration = Duration::from_millis(1);
-/// A report may have been sent so long before the agent began. A leave that an earlier life of the
-/// agent acknowledged since is then told again well before work has to stop, 2 s after it.
-const REPORT_SLACK: Duration = Duration::from_millis(500);
-/// The largest step of a fencing token is two to this power: two such steps are beyond all clocks.
-const MOST_FENCE_DOUBLINGS: u32 = 40;
-/// The highest fencing token: what a number in a body holds exactly. A target that refuses every token is not to bring it
-/// beyond that.
-const FENCING_TOKEN_MAX: u64 = 1 << 53;
-/// A target that is well answers each hold within the time that it waits, and a little more.
-const HEARD_LATELY: Duration = Duration::from_millis(250);
+/// Maximum length of a span on the target's clock, as a multiple of its length on the agent's.
+const CLOCK_DRIFT_FACTOR: f64 = 1.02;
+/// Time in flight of an answered command.
+const COMMAND_SLACK: Duration = Duration::from_millis(40);
+/// Wait of a hold that only probes a candidate: the minimum that a command can express.
+const PROBE_WAIT: Duration = Duration::from_millis(1);
+/// Maximum age of a report at the start of the agent. A leave that an earlier agent process
+/// acknowledged after such a report is repeated well before the target's work has to stop.
+const REPORT_AGE_SLACK: Duration = Duration::from_millis(500);
+/// Largest step of a fencing token, as a power of two: two such steps exceed any clock.
+const MAX_TOKEN_DOUBLINGS: u32 = 40;
+/// Upper bound of a fencing token, which JSON numbers still represent exactly. Keeps a target that
+/// refuses every token from causing an overflow.
+const MAX_FENCING_TOKEN: u64 = 1 << 53;
+/// A healthy target answers each hold within its wait and a small margin; this covers both.
+const RECENT_ANSWER: Duration = Duration::from_millis(250);
 /// Weight of one task in the smoothed slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.15;
-/// Without an end for so long, what was learned wears off by a part,
-const FORGET_EVERY: Duration = Duration::from_millis(200);
-/// this part.
-const FORGET_WEIGHT: f64 = 0.1;
-/// The slowdown of a target that nothing is known of.
+/// Without an ended run, the slowdown decays once per this interval.
+const DECAY_INTERVAL: Duration = Duration::from_millis(200);
+/// Fraction of the way to `NO_SLOWDOWN` that one decay step covers.
+const DECAY_WEIGHT: f64 = 0.1;
+/// Slowdown, in percent, of a target without known durations.
 const NO_SLOWDOWN: f64 = 100.0;
 
 impl Target {
@@ -108,220 +108,229 @@
             report,
             last_seen: 0,
             health: Health::default(),
-            holding: None,
+            hold_sent: None,
             lease_ends: now,
-            heard: now,
-            hold_from: now,
+            last_hold_answer: now,
+            next_hold_at: now,
             silent: false,
-            unanswered: None,
+            last_unanswered: None,
             has_orphans: true,
             slowdown_percent: NO_SLOWDOWN,
-            judged: now,
-            ended: now,
+            slowdown_updated: now,
+            last_end: now,
             is_overtaken: false,
-            leave_doubted: None,
+            unconfirmed_leave: None,
             failing_since: None,
-            failed_before: false,
-            is_unreported: false,
-            no_listener: None,
-            fence_refusals: 0,
+            unanswered_before_failure: false,
+            awaits_report: false,
+            unreachable_since: None,
+            token_refusals: 0,
         }
     }
 
-    /// The next life of this target, which has answered an order and not reported of itself yet.
-    pub fn before_its_report(&self, now: Time, id: TargetInstance, clock_ms: u64) -> Self {
+    /// The next instance of this target, which has answered a command but not reported yet.
+    pub fn successor(&self, now: Time, instance: TargetInstance, clock_ms: u64) -> Self {
         let report = TargetReport {
-            instance: id,
+            instance,
             draining: false,
             remaining: None,
             clock_ms,
             sequence: 0,
             ..self.report.clone()
         };
-        let mut next = Self { is_unreported: true, ..Self::new(report, now) };
-        next.follow(self);
+        let mut next = Self { awaits_report: true, ..Self::new(report, now) };
+        next.inherit_fencing_token(self);
         next
     }
 
-    /// While it is a newcomer: it may be the next life of a target that keeps its id. Its token is not below
-    /// that life's then, so that nothing ordered of lives before that is carried out late by this one.
-    pub fn follow(&mut self, before: &Target) {
-        if self.id().id == before.id().id {
+    /// For a candidate: if it has the id of the current instance, raises its token to at least that
+    /// one's, so that it refuses delayed commands meant for earlier instances.
+    pub fn inherit_fencing_token(&mut self, before: &Target) {
+        if self.instance().id == before.instance().id {
             self.fencing_token = self.fencing_token.max(before.fencing_token);
         }
     }
 
-    pub fn id(&self) -> &TargetInstance {
+    pub fn instance(&self) -> &TargetInstance {
         &self.report.instance
     }
 
-    /// Whether a report with this name is one of this life, or of a writer that leaves the start out.
-    pub fn may_report(&self, id: &TargetInstance) -> bool {
-        let leaves_out = id.started_ms.is_none() && id.id == self.id().id;
-        *self.id() == *id || leaves_out
+    /// Whether a report under this name is one of this instance, or lacks the start time.
+    pub fn accepts_report_of(&self, instance: &TargetInstance) -> bool {
+        let leaves_out = instance.started_ms.is_none() && instance.id == self.instance().id;
+        *self.instance() == *instance || leaves_out
     }
 
-    /// Its answer tells when it started, which its report did not: whatever report does counts as newer.
-    pub fn learn_start(&mut self, now: Time, started_ms: u64) {
+    /// Sets the start time from an answer, because the reports lack it. Any report that has it then
+    /// counts as newer.
+    pub fn set_start_time(&mut self, now: Time, started_ms: u64) {
         self.report.instance.started_ms = Some(started_ms);
         self.report.sequence = 0;
-        self.fencing_token = self.fencing_token.max(self.present_token(now));
+        self.fencing_token = self.fencing_token.max(self.current_token(now));
     }
 
-    fn present_token(&self, now: Time) -> u64 {
-        fencing_token(self.id(), self.deadline_ms(now, Duration::ZERO))
+    fn current_token(&self, now: Time) -> u64 {
+        fencing_token(self.instance(), self.deadline_ms(now, Duration::ZERO))
     }
 
-    /// It has seen a higher token, of an earlier life of the agent or one that was meant for an earlier life of
-    /// itself. Steps that double reach any such token after few refusals.
-    pub fn raise_fence(&mut self, now: Time) {
-        let step = 1 << self.fence_refusals.min(MOST_FENCE_DOUBLINGS);
-        self.fence_refusals += 1;
-        let raised = (self.fencing_token + step).min(FENCING_TOKEN_MAX);
-        self.fencing_token = self.present_token(now).max(raised);
+    /// Raises the token after the target refused it: the target has seen the token of an earlier
+    /// agent process, or one meant for an earlier instance. Doubling steps reach any such token
+    /// within a few refusals.
+    pub fn raise_fencing_token(&mut self, now: Time) {
+        let step = 1 << self.token_refusals.min(MAX_TOKEN_DOUBLINGS);
+        self.token_refusals += 1;
+        let raised = (self.fencing_token + step).min(MAX_FENCING_TOKEN);
+        self.fencing_token = self.current_token(now).max(raised);
     }
 
-    /// Takes a report of this life. Of one that newer ones have overtaken nothing counts but that
-    /// the target is about to leave: it was told that this is known, so it may end soon after, and
-    /// no life takes it back.
-    pub fn hear(&mut self, report: TargetReport) -> Heard {
-        let tells_less = report.instance.started_ms.is_none() && self.id().started_ms.is_some();
-        let late = tells_less || report.sequence < self.report.sequence;
-        let drains = report.draining && !self.report.draining;
+    /// Applies a report of this instance. Of a late report only draining takes effect: its answer
+    /// acknowledges the announcement, so the target may end soon after, and an instance that drains
+    /// never becomes ready again.
+    pub fn apply_report(&mut self, report: TargetReport) -> ReportChange {
+        let omits_start_time =
+            report.instance.started_ms.is_none() && self.instance().started_ms.is_some();
+        let is_late = omits_start_time || report.sequence < self.report.sequence;
+        let starts_draining = report.draining && !self.report.draining;
         let draining = report.draining || self.report.draining;
-        let moved = !late
+        let profile_changed = !is_late
             && (report.capacity != self.report.capacity || report.labels != self.report.labels);
-        if !late {
+        if !is_late {
             self.report = report;
-            self.is_unreported = false;
+            self.awaits_report = false;
         }
         self.report.draining = draining;
-        Heard { late, drains, moved }
+        ReportChange { is_late, starts_draining, profile_changed }
     }
 
-    /// While it is a newcomer: an order that nobody but this life carries out, and that changes
-    /// nothing there, unless one is under way or a pause has to pass.
-    pub fn ask(&mut self, now: Time, timing: &Timing) -> Option<HoldCommand> {
-        if self.holding.is_some() || now < self.hold_from {
+    /// For a candidate: a hold without effect that only this instance answers. Returns `None` while
+    /// one is outstanding or a retry is not due.
+    pub fn probe(&mut self, now: Time, timing: &Timing) -> Option<HoldCommand> {
+        if self.hold_sent.is_some() || now < self.next_hold_at {
             return None;
         }
-        self.holding = Some(now);
-        let times = HoldTimes::waiting(SIGN_WAIT, timing);
+        self.hold_sent = Some(now);
+        let hold_timing = HoldTiming::with_wait(PROBE_WAIT, timing);
         Some(HoldCommand {
-            target: self.id().clone(),
+            target: self.instance().clone(),
             deadline_ms: None,
             fencing_token: self.fencing_token,
             last_seen: self.last_seen,
-            wait: times.wait,
-            answer_within: times.answer,
+            wait: hold_timing.wait,
+            answer_within: hold_timing.answer_within,
         })
     }
 
-    /// While it is a newcomer: the hold that was under way has shown nothing.
-    pub fn unanswered(&mut self, now: Time) {
-        self.holding = None;
+    /// For a candidate: records that the outstanding hold did not show whether the instance is
+    /// current.
+    pub fn probe_failed(&mut self, now: Time) {
+        self.hold_sent = None;
         self.is_overtaken = false;
-        self.hold_from = now + RETRY;
+        self.next_hold_at = now + HOLD_RETRY_DELAY;
     }
 
-    /// While it is a newcomer: another life is taken on.
-    pub fn overtake(&mut self) {
-        self.is_overtaken = self.holding.is_some();
+    /// For a candidate: records that another instance was adopted.
+    pub fn mark_overtaken(&mut self) {
+        self.is_overtaken = self.hold_sent.is_some();
     }
 
-    /// It has left an order unanswered.
-    pub fn left_unanswered(&mut self, now: Time, timing: &Timing) {
-        self.stopped_answering(now, timing);
-        self.unanswered = Some(now);
+    /// Records an unanswered command.
+    pub fn record_unanswered(&mut self, now: Time, timing: &Timing) {
+        self.mark_failing(now, timing);
+        self.last_unanswered = Some(now);
     }
 
-    /// Whether it answers, but has left an order unanswered within this time.
-    pub fn leaves_unanswered(&self, now: Time, within: Duration) -> bool {
-        !self.silent && self.has_left_unanswered(now, within)
+    /// Whether the target answers holds, but has left a command unanswered within this time.
+    pub fn recently_unanswered(&self, now: Time, within: Duration) -> bool {
+        !self.silent && self.had_unanswered(now, within)
     }
 
-    fn has_left_unanswered(&self, now: Time, within: Duration) -> bool {
-        self.unanswered.is_some_and(|at| now.since(at) < within)
+    fn had_unanswered(&self, now: Time, within: Duration) -> bool {
+        self.last_unanswered.is_some_and(|at| now.since(at) < within)
     }
 
-    /// Takes its clock from an answer.
-    pub fn clock_is(&mut self, now: Time, clock_ms: u64) {
-        self.no_listener = None;
+    /// Updates the known clock from an answer.
+    pub fn sync_clock(&mut self, now: Time, clock_ms: u64) {
+        self.unreachable_since = None;
         if clock_ms > 0 {
             self.clock = (clock_ms, now);
         }
     }
 
-    /// Whether the newest report is from before the agent began, by the target's own clock. An
-    /// earlier life of the agent may then have acknowledged that the target is about to leave.
-    pub fn is_report_dated(&self, began: Time) -> bool {
+    /// Whether the newest report was sent before the agent started, by the target's clock. An
+    /// earlier agent process may then have acknowledged a leave that this one does not know of.
+    pub fn is_report_outdated(&self, started_at: Time) -> bool {
         let (clock, at) = self.clock;
         let age = Duration::from_millis(clock.saturating_sub(self.report.clock_ms));
-        age > at.since(began) + REPORT_SLACK
+        age > at.since(started_at) + REPORT_AGE_SLACK
     }
 
-    /// A moment on its clock, from now on.
+    /// The target's clock, in ms, at this span from now.
     pub fn deadline_ms(&self, now: Time, span: Duration) -> u64 {
         let (clock, at) = self.clock;
         clock + (now.since(at) + span).as_millis() as u64
     }
 
-    /// An order is sent that renews the lease by a span from when it is carried out; the target's
-    /// clock may be slow.
-    pub fn renew(&mut self, now: Time, span: Duration) {
-        self.lease_ends = self.lease_ends.max(now + span.mul_f64(SLOWEST_CLOCK) + ORDER_SLACK);
+    /// Records a command that renews the lease by this span, counted from when the target carries
+    /// it out. The target's clock may be slow.
+    pub fn extend_lease(&mut self, now: Time, span: Duration) {
+        self.lease_ends =
+            self.lease_ends.max(now + span.mul_f64(CLOCK_DRIFT_FACTOR) + COMMAND_SLACK);
     }
 
-    /// It answered a hold.
-    pub fn heard_now(&mut self, now: Time) {
-        self.heard = now;
+    /// Records an answer to a hold.
+    pub fn record_hold_answer(&mut self, now: Time) {
+        self.last_hold_answer = now;
         self.failing_since = None;
     }
 
-    /// An order was not answered, or could not be sent: notes since when that is so.
-    pub fn stopped_answering(&mut self, now: Time, timing: &Timing) {
+    /// Records since when commands are unanswered or undeliverable.
+    pub fn mark_failing(&mut self, now: Time, timing: &Timing) {
         if self.failing_since.is_none() {
             self.failing_since = Some(now);
-            self.failed_before = self.has_left_unanswered(now, timing.unanswered_retention);
+            self.unanswered_before_failure = self.had_unanswered(now, timing.unanswered_retention);
         }
     }
 
-    /// Whether a run was there when it crashed, where it has: one that had begun, and was not stopped before.
-    pub fn crashed_under(&self, now: Time, run: &Run) -> bool {
+    /// If the target has crashed: whether this run was active at that time. That is, it had started
+    /// and was not stopped before.
+    pub fn crashed_during(&self, now: Time, run: &Run) -> bool {
         let was_running = match run.state {
             RunState::Running => true,
             RunState::Stopping(stop) => {
-                !stop.doubtful && self.failing_since.is_some_and(|since| since <= stop.first_sent)
+                !stop.unconfirmed
+                    && self.failing_since.is_some_and(|since| since <= stop.first_sent)
             }
             RunState::Waiting | RunState::Starting => false,
         };
-        was_running && !self.report.draining && self.told_all_until_it_failed(now)
+        was_running && !self.report.draining && self.reported_until_failure(now)
     }
 
-    /// Whether it told of all that had ended there until it stopped to answer: a hold is under way all the time, and is
-    /// answered at the first end. Where this agent has not asked for a while, or the target leaves orders unanswered now and
-    /// then, nothing is known.
-    fn told_all_until_it_failed(&self, now: Time) -> bool {
-        let failed_before = self.failing_since.is_some() && self.failed_before;
-        !failed_before && self.failing_since.unwrap_or(now).since(self.heard) <= HEARD_LATELY
+    /// Whether the target had reported all ended runs when it stopped answering. This holds if a
+    /// hold was answered shortly before, since a hold is answered at the first end; it is unknown
+    /// after a gap between holds, or if the target occasionally leaves commands unanswered.
+    fn reported_until_failure(&self, now: Time) -> bool {
+        let unanswered_before_failure =
+            self.failing_since.is_some() && self.unanswered_before_failure;
+        !unanswered_before_failure
+            && self.failing_since.unwrap_or(now).since(self.last_hold_answer) <= RECENT_ANSWER
     }
 
-    /// Whether its lease has surely run out.
-    pub fn has_lapsed(&self, now: Time) -> bool {
+    /// Whether the target's lease has expired, with allowance for its clock.
+    pub fn is_lease_expired(&self, now: Time) -> bool {
         now > self.lease_ends
     }
 
-    /// What was learned of its speed wears off while nothing ends there.
-    pub fn forget(&mut self, now: Time) {
-        if now.since(self.judged) >= FORGET_EVERY {
-            self.judged = now;
-            self.slowdown_percent += (NO_SLOWDOWN - self.slowdown_percent) * FORGET_WEIGHT;
+    /// Decays the slowdown towards the default while no run ends on the target.
+    pub fn decay_slowdown(&mut self, now: Time) {
+        if now.since(self.slowdown_updated) >= DECAY_INTERVAL {
+            self.slowdown_updated = now;
+            self.slowdown_percent += (NO_SLOWDOWN - self.slowdown_percent) * DECAY_WEIGHT;
         }
     }
 
-    /// Takes a task's time against its estimate.
-    pub fn ran(&mut self, now: Time, ran: Duration, estimated_ms: u32) {
-        self.judged = now;
+    /// Updates the slowdown from the duration of a completed task.
+    pub fn record_duration(&mut self, now: Time, ran: Duration, estimated_ms: u32) {
+        self.slowdown_updated = now;
         if estimated_ms == 0 {
             return;
         }
