--- a/components/runner/tests/orders.rs
+++ b/components/runner/tests/commands.rs
@@ -1,4 +1,5 @@
-//! Orders that the target leaves unanswered, refuses, or carries out late, and runs that seem stuck.
+//! Commands that the target leaves unanswered, refuses or carries out late, and runs that seem
+//! stuck.
 
 mod support;
 
@@ -11,9 +12,9 @@
 use support::{Agent, SESSION, START, key};
 
 #[test]
-fn a_stop_that_is_not_answered_is_sent_again_and_the_lease_not_renewed() {
+fn unanswered_stop_is_sent_again_without_lease_renewal() {
     let mut agent = Agent::new();
-    agent.ask("a", 2, 0);
+    agent.request("a", 2, 0);
     let starts = agent.take_starts();
     let task = starts[0].key.task.clone();
     agent.handle(Event::FromEntry(SESSION, ToAgent::Stop(vec![task])));
@@ -21,30 +22,33 @@
     agent.run_for(110);
     assert!(agent.stops.len() >= 2);
     agent.holds.truncate(1);
-    agent.hold(&[&starts[0].key, &starts[1].key], &[]);
-    assert_eq!(agent.holds[0].deadline_ms, None, "only the end of the lease surely stops it");
+    agent.answer_outstanding_hold(&[&starts[0].key, &starts[1].key], &[]);
+    assert_eq!(
+        agent.holds[0].deadline_ms, None,
+        "only the end of the lease is sure to stop the run"
+    );
     agent.handle(Event::StopAnswered(starts[0].key.clone(), StopReply::Acknowledged));
-    agent.hold(&[&starts[1].key], &[(1, &starts[0].key, EndReason::Stopped)]);
+    agent.answer_outstanding_hold(&[&starts[1].key], &[(1, &starts[0].key, EndReason::Stopped)]);
     assert!(agent.holds[0].deadline_ms.is_some());
     assert_eq!(agent.ends(), [TaskEnd::Stopped]);
 }
 
 #[test]
-fn a_start_without_an_answer_is_sent_again_under_the_same_number() {
+fn unanswered_start_is_sent_again_with_same_number() {
     let mut agent = Agent::new();
-    agent.ask("a", 1, 0);
-    let first = agent.starts.pop().expect("it is started");
+    agent.request("a", 1, 0);
+    let first = agent.starts.pop().expect("a start was sent");
     agent.handle(Event::StartAnswered(first.key.clone(), StartReply::NoAnswer));
-    let again = agent.starts.pop().expect("it is started again");
+    let again = agent.starts.pop().expect("the start was sent again");
     assert_eq!(again.key, first.key);
     assert!(agent.stops.is_empty());
     agent.handle(Event::StartAnswered(again.key.clone(), StartReply::Accepted { clock_ms: 0 }));
-    agent.hold(&[], &[(1, &first.key, EndReason::Done)]);
+    agent.answer_outstanding_hold(&[], &[(1, &first.key, EndReason::Done)]);
     assert_eq!(agent.ends(), [TaskEnd::Done]);
 }
 
 #[test]
-fn a_refusal_proves_nothing_while_an_earlier_start_is_unanswered() {
+fn refusal_is_inconclusive_after_unanswered_start() {
     let refused = |reason| StartReply::Refused { clock_ms: 0, reason };
     let refusals = [
         refused(StartRefusal::NoCapacity),
@@ -54,61 +58,61 @@
     ];
     for refusal in refusals {
         let mut agent = Agent::new();
-        agent.ask("a", 1, 0);
-        let start = agent.starts.pop().expect("it is started");
+        agent.request("a", 1, 0);
+        let start = agent.starts.pop().expect("a start was sent");
         agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
         agent.handle(Event::StartAnswered(start.key.clone(), refusal));
-        assert!(agent.reports.is_empty(), "the first start may be carried out yet");
+        assert!(agent.reports.is_empty(), "the first start may still be carried out");
         assert_eq!(agent.stops[0].key, start.key);
         agent.handle(Event::StopAnswered(start.key.clone(), StopReply::Acknowledged));
-        agent.hold(&[], &[(1, &start.key, EndReason::Done)]);
-        assert_eq!(agent.ends(), [TaskEnd::Done], "it had been");
+        agent.answer_outstanding_hold(&[], &[(1, &start.key, EndReason::Done)]);
+        assert_eq!(agent.ends(), [TaskEnd::Done], "the first start had been carried out");
     }
 }
 
 #[test]
-fn a_start_that_is_never_answered_is_stopped_and_then_proven_gone() {
+fn never_answered_start_is_stopped_and_then_lost() {
     let mut agent = Agent::new();
-    agent.ask("a", 1, 0);
-    let start = agent.starts.pop().expect("it is started");
+    agent.request("a", 1, 0);
+    let start = agent.starts.pop().expect("a start was sent");
     for _ in 0..3 {
         agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
     }
-    assert_eq!(agent.stops[0].key, start.key, "a stop of the same run");
-    assert!(agent.reports.is_empty(), "nothing is known yet");
+    assert_eq!(agent.stops[0].key, start.key, "the stop is for the same run");
+    assert!(agent.reports.is_empty(), "the outcome is not known yet");
     agent.handle(Event::StopAnswered(start.key.clone(), StopReply::Acknowledged));
     agent.run_for(200);
     assert_eq!(agent.ends(), [TaskEnd::Lost]);
 }
 
 #[test]
-fn a_start_whose_answer_was_lost_counts_as_it_ended() {
+fn start_without_answer_is_reported_by_its_end() {
     let mut agent = Agent::new();
-    agent.ask("a", 1, 0);
-    let start = agent.starts.pop().expect("it is started");
+    agent.request("a", 1, 0);
+    let start = agent.starts.pop().expect("a start was sent");
     for _ in 0..3 {
         agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
     }
     agent.handle(Event::StopAnswered(start.key.clone(), StopReply::Acknowledged));
-    agent.hold(&[], &[(1, &start.key, EndReason::Done)]);
+    agent.answer_outstanding_hold(&[], &[(1, &start.key, EndReason::Done)]);
     assert_eq!(agent.ends(), [TaskEnd::Done]);
 }
 
 #[test]
-fn a_run_that_was_there_before_gets_a_higher_number() {
+fn stale_run_number_is_raised() {
     let mut agent = Agent::new();
-    agent.ask("a", 1, 0);
-    let first = agent.starts.pop().expect("it is started");
+    agent.request("a", 1, 0);
+    let first = agent.starts.pop().expect("a start was sent");
     let refused = |reason| StartReply::Refused { clock_ms: 0, reason };
     agent.handle(Event::StartAnswered(first.key.clone(), refused(StartRefusal::StaleRun)));
-    let second = agent.starts.pop().expect("it is started again");
+    let second = agent.starts.pop().expect("the start was sent again");
     assert!(second.key.run > first.key.run);
     agent.handle(Event::StartAnswered(second.key, refused(StartRefusal::NoCapacity)));
     assert_eq!(agent.ends(), [TaskEnd::NotRun(Refusal::Room)]);
 }
 
 #[test]
-fn a_start_that_was_held_up_is_refused() {
+fn delayed_start_is_refused() {
     let mut agent = Agent::new();
     agent.run_for(500);
     let heard = START;
@@ -120,54 +124,57 @@
 }
 
 #[test]
-fn one_overdue_task_runs_on_and_two_are_taken_for_stuck() {
+fn two_overdue_runs_are_stopped_but_not_a_single_one() {
     let mut agent = Agent::new();
-    agent.ask("a", 1, 0);
+    agent.request("a", 1, 0);
     agent.take_starts();
-    let keep_heard = |agent: &mut Agent| {
+    let answer_holds = |agent: &mut Agent| {
         for number in 0..5 {
             agent.run_for(100);
             agent.holds.truncate(1);
-            // Something else ends there all the while.
-            agent.hold(&[], &[(number + 1, &key("other", 1), EndReason::Done)]);
+            // Another run ends on the target in each interval.
+            agent.answer_outstanding_hold(&[], &[(number + 1, &key("other", 1), EndReason::Done)]);
         }
     };
-    agent.ask("b", 1, 0);
+    agent.request("b", 1, 0);
     let busy = agent.take_starts();
     agent.run_for(100);
     agent.holds.truncate(1);
-    agent.hold(&[], &[(1, &busy[0].key, EndReason::Done)]);
+    agent.answer_outstanding_hold(&[], &[(1, &busy[0].key, EndReason::Done)]);
     agent.run_for(330);
-    assert!(agent.stops.is_empty(), "one alone is let run");
-    keep_heard(&mut agent);
-    agent.ask("c", 2, 0);
+    assert!(agent.stops.is_empty(), "a single overdue run continues");
+    answer_holds(&mut agent);
+    agent.request("c", 2, 0);
     let stuck = agent.take_starts();
     for _ in 0..5 {
         agent.run_for(90);
         agent.holds.truncate(1);
-        agent.hold(&[&stuck[0].key, &stuck[1].key], &[]);
+        agent.answer_outstanding_hold(&[&stuck[0].key, &stuck[1].key], &[]);
     }
-    assert!(!agent.stops.is_empty(), "several overdue, and nothing ends");
+    assert!(!agent.stops.is_empty(), "several runs are overdue and none ends");
 }
 
 #[test]
-fn runs_are_not_taken_for_stuck_while_the_target_leaves_a_hold_unanswered() {
+fn runs_are_not_overdue_while_a_hold_is_unanswered() {
     let mut agent = Agent::new();
-    agent.ask("a", 2, 0);
+    agent.request("a", 2, 0);
     let starts = agent.take_starts();
     agent.run_for(500);
-    assert!(agent.stops.is_empty(), "they may have ended long ago");
+    assert!(agent.stops.is_empty(), "the runs may have ended");
     agent.holds.truncate(1);
-    agent.hold(&[], &[(1, &starts[0].key, EndReason::Done), (2, &starts[1].key, EndReason::Done)]);
+    agent.answer_outstanding_hold(
+        &[],
+        &[(1, &starts[0].key, EndReason::Done), (2, &starts[1].key, EndReason::Done)],
+    );
     assert_eq!(agent.ends(), [TaskEnd::Done, TaskEnd::Done]);
-    assert!(agent.open, "nothing speaks against the target");
+    assert!(agent.open, "the target is not excluded");
 }
 
 #[test]
-fn a_run_that_was_never_answered_is_known_to_be_gone_a_tenth_of_a_second_after_its_stop() {
+fn never_answered_run_is_lost_soon_after_stop() {
     let mut agent = Agent::new();
-    agent.ask("a", 1, 0);
-    let start = agent.starts.pop().expect("it is started");
+    agent.request("a", 1, 0);
+    let start = agent.starts.pop().expect("a start was sent");
     for _ in 0..3 {
         agent.run_for(agent.runner.timing().command_timeout.as_millis() as u64);
         agent.handle(Event::StartAnswered(start.key.clone(), StartReply::NoAnswer));
@@ -178,18 +185,18 @@
 }
 
 #[test]
-fn a_late_end_of_a_lost_run_is_not_taken_for_that_of_the_next() {
+fn late_end_of_lost_run_does_not_end_the_next_run() {
     let mut agent = Agent::new();
-    agent.ask("a", 1, 0);
+    agent.request("a", 1, 0);
     let first = agent.take_starts();
-    // Nothing is heard of the target until its lease has run out.
+    // The target answers nothing until its lease has expired.
     agent.run_for(2_000);
     assert_eq!(agent.ends(), [TaskEnd::Lost]);
     agent.holds.truncate(1);
-    agent.hold(&[], &[]);
-    agent.ask("a", 1, 0);
-    let second = agent.starts.pop().expect("it is started");
-    assert!(second.key.run > first[0].key.run, "told apart");
-    agent.hold(&[], &[(1, &first[0].key, EndReason::Done)]);
+    agent.answer_outstanding_hold(&[], &[]);
+    agent.request("a", 1, 0);
+    let second = agent.starts.pop().expect("a start was sent");
+    assert!(second.key.run > first[0].key.run, "the runs have different numbers");
+    agent.answer_outstanding_hold(&[], &[(1, &first[0].key, EndReason::Done)]);
     assert_eq!(agent.ends(), [TaskEnd::Lost], "the second run has not ended");
 }
--- a/components/runner/tests/support/mod.rs
+++ b/components/runner/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An agent whose target and entry say what a test tells them to.
+//! An agent whose target and entry are played by the test.
 
-// Each test file uses a part of it.
+// Each test file uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 
 pub const START: Time = Time::from_millis(1_000_000);
 pub const SESSION: SessionId = SessionId(1);
-/// The clock that lives tell in numbered reports, in ms.
+/// The monotonic clock in numbered reports, in ms.
 pub const CLOCK: u64 = 7_000;
 
-/// An agent whose target and entry say what the test tells them to.
+/// An agent with the commands and messages that it has sent.
 pub struct Agent {
     pub runner: Runner,
     pub now: Time,
@@ -28,30 +28,30 @@
     pub reports: Vec<TaskReport>,
     pub closed: Vec<SessionId>,
     pub open: bool,
-    /// How often the load was told without an end.
+    /// Number of load reports without ended runs.
     pub loads: u32,
     pub sequence: u64,
-    /// The emptied halls that entries were told of.
-    pub halls_told: Vec<(SessionId, EmptiedHalls)>,
+    /// The lists of emptied halls that were sent to entries.
+    pub halls_sent: Vec<(SessionId, EmptiedHalls)>,
 }
 
 impl Agent {
-    /// An agent that has just found its target and listed nothing there.
+    /// An agent that has adopted its target, which runs nothing.
     pub fn new() -> Self {
         let mut agent = Self::at_target("t1", 5_000);
-        agent.hold(&[], &[]);
+        agent.answer_outstanding_hold(&[], &[]);
         agent.handle(Event::SessionOpened(SESSION));
         agent
     }
 
     pub fn at_target(id: &str, clock_ms: u64) -> Self {
-        let mut agent = Self::waiting_for_target();
+        let mut agent = Self::without_target();
         agent.handle(Event::TargetReported(report(id, clock_ms)));
         agent
     }
 
-    /// An agent that has not heard of a target.
-    pub fn waiting_for_target() -> Self {
+    /// An agent without a target.
+    pub fn without_target() -> Self {
         Self {
             runner: Runner::new(NodeName::new("a1"), Timing::default(), START),
             now: START,
@@ -63,7 +63,7 @@
             open: false,
             loads: 0,
             sequence: 0,
-            halls_told: Vec::new(),
+            halls_sent: Vec::new(),
         }
     }
 
@@ -72,9 +72,9 @@
         self.runner.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Start(order) => self.starts.push(order),
-                Action::Stop(order) => self.stops.push(order),
-                Action::Hold(order) => self.holds.push(order),
+                Action::Start(command) => self.starts.push(command),
+                Action::Stop(command) => self.stops.push(command),
+                Action::Hold(command) => self.holds.push(command),
                 Action::Close(id) => self.closed.push(id),
                 Action::Send(_, ToEntry::Ended { reports, load }) => {
                     self.reports.extend(reports);
@@ -84,27 +84,27 @@
                     self.open = load.open;
                     self.loads += 1;
                 }
-                Action::Send(id, ToEntry::Halls(halls)) => self.halls_told.push((id, halls)),
+                Action::Send(id, ToEntry::Halls(halls)) => self.halls_sent.push((id, halls)),
                 Action::Send(..) | Action::Log(_) => {}
             }
         }
     }
 
-    /// Lets time pass; the entry shows that it lives.
+    /// Advances time, with heartbeats of the entry.
     pub fn run_for(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now = self.now + Duration::from_millis(10);
-            self.beat();
+            self.heartbeat();
             self.handle(Event::Tick);
         }
     }
 
-    pub fn beat(&mut self) {
+    pub fn heartbeat(&mut self) {
         let heard = self.now;
         self.handle(Event::FromEntry(SESSION, ToAgent::Heartbeat { heard }));
     }
 
-    pub fn ask(&mut self, job: &str, count: u32, priority: u8) {
+    pub fn request(&mut self, job: &str, count: u32, priority: u8) {
         let heard = self.now;
         let tasks = (0..count).map(|index| self.task(index, priority)).collect();
         let job = JobId::new(job);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The target takes every start that was ordered.
+    /// Answers every pending start as accepted.
     pub fn take_starts(&mut self) -> Vec<StartCommand> {
         let starts = std::mem::take(&mut self.starts);
         for start in &starts {
@@ -137,9 +137,13 @@
         starts
     }
 
-    /// The target answers the hold that is under way.
-    pub fn hold(&mut self, running: &[&RunKey], ended: &[(u64, &RunKey, EndReason)]) {
-        let order = self.holds.pop().expect("a hold is under way");
+    /// Answers the outstanding hold.
+    pub fn answer_outstanding_hold(
+        &mut self,
+        running: &[&RunKey],
+        ended: &[(u64, &RunKey, EndReason)],
+    ) {
+        let command = self.holds.pop().expect("a hold is outstanding");
         let run = |key: &RunKey| TargetRun { task: key.task.clone(), run: key.run };
         let reply = HoldReply::Runs {
             started_ms: None,
@@ -154,7 +158,7 @@
                 })
                 .collect(),
         };
-        self.handle(Event::HoldAnswered(order.target, reply));
+        self.handle(Event::HoldAnswered(command.target, reply));
     }
 
     pub fn ends(&self) -> Vec<TaskEnd> {
@@ -181,27 +185,27 @@
     RunKey { target: TargetInstance::from_id("t1"), task, run }
 }
 
-/// A life of the target.
+/// A target instance.
 pub fn target(id: &str) -> TargetInstance {
     TargetInstance::from_id(id)
 }
 
-/// Its report of this number.
-pub fn numbered(id: &str, sequence: u64) -> TargetReport {
+/// The report of an instance with this sequence number.
+pub fn numbered_report(id: &str, sequence: u64) -> TargetReport {
     TargetReport { sequence, ..report(id, CLOCK) }
 }
 
-/// Its report of this number, by which it is about to leave.
-pub fn leaving(id: &str, sequence: u64) -> TargetReport {
-    TargetReport { draining: true, ..numbered(id, sequence) }
+/// The draining report of an instance with this sequence number.
+pub fn draining_report(id: &str, sequence: u64) -> TargetReport {
+    TargetReport { draining: true, ..numbered_report(id, sequence) }
 }
 
-/// The answer of a life where nothing runs or has ended.
-pub fn empty() -> HoldReply {
+/// The answer to a hold without active or ended runs.
+pub fn no_runs() -> HoldReply {
     HoldReply::Runs { started_ms: None, clock_ms: CLOCK, running: Vec::new(), ended: Vec::new() }
 }
 
-/// Answers the hold that is under way at a life; whether there was one.
+/// Answers the outstanding hold of an instance; returns whether there was one.
 pub fn answer(agent: &mut Agent, id: &str, reply: HoldReply) -> bool {
     let Some(at) = agent.holds.iter().position(|hold| *hold.target.id == *id) else { return false };
     agent.holds.remove(at);
@@ -209,8 +213,8 @@
     true
 }
 
-/// The lives that a new task is started at.
+/// Starts a task; returns the instances on which it was started.
 pub fn started_at(agent: &mut Agent, job: &str) -> Vec<TargetInstance> {
-    agent.ask(job, 1, 0);
+    agent.request(job, 1, 0);
     agent.take_starts().into_iter().map(|start| start.key.target).collect()
 }
