--- a/components/runner/tests/runner.rs
+++ b/components/runner/tests/runner.rs
@@ -240,7 +240,7 @@
         })
     };
     assert_eq!(reported(SESSION), Some(0), "the entry's own starts are excluded");
-    // 6.4 cores, over a time constant of 300 ms, decayed for 100 ms.
+    // The rate of the four started tasks, decayed since their start.
     assert_eq!(reported(other), Some(15));
 }
 
