--- a/soak/src/room/world.rs
+++ b/soak/src/room/world.rs
@@ -9,8 +9,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use runner::{
-    HoldOrder, HoldReply, RunKey, Runner, StartOrder, StartReply, StopOrder, StopReply, TargetLife,
-    TargetReport,
+    HoldCommand, HoldReply, RunKey, Runner, StartCommand, StartReply, StopCommand, StopReply,
+    TargetInstance, TargetReport,
 };
 use wire::{Document, EmptiedHalls};
 
@@ -52,13 +52,13 @@
     LinkSent(usize),
     /// A part of the configuration may be late at one life of an entry.
     PartLate(usize, u64),
-    Start(Call, StartOrder, bool),
-    Stop(Call, StopOrder, bool),
-    Hold(Call, HoldOrder),
+    Start(Call, StartCommand, bool),
+    Stop(Call, StopCommand, bool),
+    Hold(Call, HoldCommand),
     HoldOver(Call),
     Started(Call, RunKey, StartReply),
     Stopped(Call, RunKey, StopReply),
-    Held(Call, HoldOrder, HoldReply),
+    Held(Call, HoldCommand, HoldReply),
     Targets,
     Beat(usize),
     /// A report of a target that was held up on its way.
@@ -92,9 +92,9 @@
     /// A target has another room, in percent of what it had at first.
     Resize(usize, u64),
     /// One life of an agent finds that nothing listens at the address of its target.
-    NoListener(usize, u64, TargetLife),
+    NoListener(usize, u64, TargetInstance),
     /// A task crashes the life of its target in which it began.
-    CrashUnder(usize, TargetLife),
+    CrashUnder(usize, TargetInstance),
 }
 
 /// An order of one life of an agent; it is answered once, or not in time.
@@ -130,7 +130,7 @@
     /// When the agent heard that its target leaves.
     pub drains: Option<Time>,
     /// The hold that waits at the target.
-    pub waiting: Option<(Call, HoldOrder)>,
+    pub waiting: Option<(Call, HoldCommand)>,
 }
 
 pub(super) struct World {
@@ -179,7 +179,7 @@
             world.set_up_halls(options.seed);
         }
         if options.restless {
-            world.times.agent.longest_lease = LONGEST_LEASE;
+            world.times.agent.max_lease = LONGEST_LEASE;
             world.set_up_restless(options.seed);
         }
         world
@@ -387,13 +387,13 @@
             Happening::Hold(call, order) => self.target_hold(call, order),
             Happening::HoldOver(call) => self.hold_over(call),
             Happening::Started(call, key, reply) => {
-                self.answer_agent(call, runner::Event::Started(key, reply));
+                self.answer_agent(call, runner::Event::StartAnswered(key, reply));
             }
             Happening::Stopped(call, key, reply) => {
-                self.answer_agent(call, runner::Event::Stopped(key, reply));
+                self.answer_agent(call, runner::Event::StopAnswered(key, reply));
             }
             Happening::Held(call, order, reply) => {
-                self.answer_agent(call, runner::Event::Held(order.target, reply));
+                self.answer_agent(call, runner::Event::HoldAnswered(order.target, reply));
             }
             Happening::Targets => self.pass_targets(),
             Happening::Beat(agent) => self.beat(agent),
@@ -464,11 +464,11 @@
                 let (life, capacity) = (process.target_lives, process.capacity);
                 let hall = self.halls.as_ref().map_or(ONE_HALL, |_| Halls::of_agent(agent));
                 let id = match &self.restless {
-                    Some(_) => TargetLife {
+                    Some(_) => TargetInstance {
                         id: name.into(),
                         started_ms: Some(self.now.as_micros() / 1_000),
                     },
-                    None => TargetLife::named(format!("{name}#{life}")),
+                    None => TargetInstance::from_id(format!("{name}#{life}")),
                 };
                 let mut target = Target::new(id, capacity, process.slow_clock, self.now);
                 target.hall = hall;
