--- a/components/consensus/src/election.rs
+++ b/components/consensus/src/election.rs
@@ -1,4 +1,5 @@
-//! Elections: a pre-vote that disturbs nobody, then a vote.
+//! Elections: a pre-vote that leaves the term unchanged, then the vote. Also how a replica outside
+//! the member list asks to join.
 
 use std::collections::BTreeSet;
 
@@ -8,40 +9,41 @@
 use crate::replica::{Replica, Role};
 use crate::{Action, Message, Record};
 
-/// Who granted a vote.
+/// The replicas that granted a pre-vote or a vote, including the candidate itself.
 #[derive(Debug, Default)]
-pub(crate) struct Ballot {
-    granted: BTreeSet<NodeName>,
+pub(crate) struct Votes {
+    granted_by: BTreeSet<NodeName>,
 }
 
-impl Ballot {
-    fn of(name: &NodeName) -> Self {
-        Self { granted: BTreeSet::from([name.clone()]) }
+impl Votes {
+    fn with_own(name: &NodeName) -> Self {
+        Self { granted_by: BTreeSet::from([name.clone()]) }
     }
 }
 
 impl Replica {
-    /// No leader was heard of: asks whether the others would vote for it.
-    pub(crate) fn stand(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.wait_for_leader(now);
+    /// Starts a pre-vote after the election timeout. A replica that is not a member asks to join
+    /// instead, and a blank replica does nothing.
+    pub(crate) fn start_pre_vote(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.reset_election_timer(now);
         if !self.members().contains(&self.name) {
-            return self.ask_to_join(out);
+            return self.request_join(out);
         }
         if self.blank {
             return;
         }
         self.leader = None;
-        self.role = Role::PreCandidate(Ballot::of(&self.name));
+        self.role = Role::PreCandidate(Votes::with_own(&self.name));
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
-        self.ask_others(&Message::PreVote { term: self.term + 1, last_index, last_term }, out);
+        self.broadcast(&Message::PreVote { term: self.term + 1, last_index, last_term }, out);
         self.count_votes(now, out);
     }
 
-    fn ask_others(&self, message: &Message, out: &mut Vec<Action>) {
+    fn broadcast(&self, message: &Message, out: &mut Vec<Action>) {
         out.extend(self.others().into_iter().map(|other| Action::Send(other, message.clone())));
     }
 
-    pub(crate) fn pre_vote(
+    pub(crate) fn handle_pre_vote(
         &mut self,
         now: Time,
         from: &NodeName,
@@ -49,28 +51,31 @@
         last: (Term, Index),
         out: &mut Vec<Action>,
     ) {
-        // One that was replaced while it was away does not know it yet.
+        // A replica that was replaced while it was down does not know that it is no longer a
+        // member; the leader brings it up to date.
         if !self.members().contains(from) {
-            self.join(now, from, out);
+            self.handle_join(now, from, out);
         }
-        let granted = term > self.term && self.would_vote(now, last);
+        let granted = term > self.term && self.would_grant_vote(now, last);
         let term = if granted { term } else { self.term };
         out.push(Action::Send(from.clone(), Message::PreVoteReply { term, granted }));
     }
 
-    /// Whether a log is complete enough and no leader counts on this replica.
-    fn would_vote(&self, now: Time, (last_term, last_index): (Term, Index)) -> bool {
-        now >= self.votes_from && self.may_vote((last_term, last_index))
+    /// Whether this replica would grant its vote: the candidate's log is complete enough and the
+    /// lease of the last known leader has run out.
+    fn would_grant_vote(&self, now: Time, (last_term, last_index): (Term, Index)) -> bool {
+        now >= self.no_vote_before && self.can_grant_vote((last_term, last_index))
     }
 
-    /// Whether a log is complete enough.
-    fn may_vote(&self, (last_term, last_index): (Term, Index)) -> bool {
+    /// Whether this replica may grant a vote at all and the candidate's log is at least as up to
+    /// date as its own.
+    fn can_grant_vote(&self, (last_term, last_index): (Term, Index)) -> bool {
         !self.blank
             && !matches!(self.role, Role::Leader(_))
             && self.log.is_covered_by(last_term, last_index)
     }
 
-    pub(crate) fn pre_vote_reply(
+    pub(crate) fn handle_pre_vote_reply(
         &mut self,
         now: Time,
         from: &NodeName,
@@ -79,70 +84,72 @@
         out: &mut Vec<Action>,
     ) {
         if !granted {
-            return self.take_term(term, out);
+            return self.adopt_term(term, out);
         }
         if term != self.term + 1 {
             return;
         }
-        if let Role::PreCandidate(ballot) = &mut self.role {
-            ballot.granted.insert(from.clone());
+        if let Role::PreCandidate(votes) = &mut self.role {
+            votes.granted_by.insert(from.clone());
             self.count_votes(now, out);
         }
     }
 
-    /// Goes on to the vote, or leads, once a majority has granted the pre-vote or the vote that is under way.
+    /// Starts the election or becomes leader once a majority has granted the pre-vote or the vote.
     fn count_votes(&mut self, now: Time, out: &mut Vec<Action>) {
-        let has_majority = |ballot: &Ballot| ballot.granted.len() >= self.quorum();
+        let has_majority = |votes: &Votes| votes.granted_by.len() >= self.quorum();
         match &self.role {
-            Role::PreCandidate(ballot) if has_majority(ballot) => {
-                self.ask_for_votes(now, false, out);
+            Role::PreCandidate(votes) if has_majority(votes) => {
+                self.start_election(now, false, out);
             }
-            Role::Candidate(ballot) if has_majority(ballot) => self.lead(now, out),
+            Role::Candidate(votes) if has_majority(votes) => self.become_leader(now, out),
             _ => {}
         }
     }
 
-    /// The leader has resigned in favour of this replica.
-    pub(crate) fn take_over(&mut self, now: Time, term: Term, out: &mut Vec<Action>) {
-        let fit = !self.blank && self.members().contains(&self.name);
-        if term == self.term && fit && matches!(self.role, Role::Follower) {
-            self.wait_for_leader(now);
+    /// Starts an election at once, as the leader has handed over to this replica.
+    pub(crate) fn handle_take_over(&mut self, now: Time, term: Term, out: &mut Vec<Action>) {
+        let eligible = !self.blank && self.members().contains(&self.name);
+        if term == self.term && eligible && matches!(self.role, Role::Follower) {
+            self.reset_election_timer(now);
             self.leader = None;
-            self.ask_for_votes(now, true, out);
+            self.start_election(now, true, out);
         }
     }
 
-    fn ask_to_join(&mut self, out: &mut Vec<Action>) {
-        self.asks_leader = true;
-        let mut asked: BTreeSet<&NodeName> = self.contacts.iter().collect();
-        asked.extend(self.members());
-        asked.remove(&self.name);
-        out.extend(asked.into_iter().map(|to| Action::Send(to.clone(), Message::Join)));
+    fn request_join(&mut self, out: &mut Vec<Action>) {
+        self.join_pending = true;
+        let mut recipients: BTreeSet<&NodeName> = self.contacts.iter().collect();
+        recipients.extend(self.members());
+        recipients.remove(&self.name);
+        out.extend(recipients.into_iter().map(|to| Action::Send(to.clone(), Message::Join)));
     }
 
-    /// Another tells whom it takes for the leader. One is asked each time: two that take each other
-    /// for the leader would send it to and fro.
-    pub(crate) fn referred(&mut self, leader: NodeName, out: &mut Vec<Action>) {
-        let asks = self.asks_leader && leader != self.name && !self.members().contains(&self.name);
-        if asks {
-            self.asks_leader = false;
+    /// Handles a referral to the leader of a replica that wants to join. Follows one referral per
+    /// join request: two replicas that name each other as leader would otherwise pass the request
+    /// back and forth.
+    pub(crate) fn handle_referral(&mut self, leader: NodeName, out: &mut Vec<Action>) {
+        let accepted =
+            self.join_pending && leader != self.name && !self.members().contains(&self.name);
+        if accepted {
+            self.join_pending = false;
             out.push(Action::Send(leader, Message::Join));
         }
     }
 
-    fn ask_for_votes(&mut self, now: Time, transfer: bool, out: &mut Vec<Action>) {
+    fn start_election(&mut self, now: Time, transfer: bool, out: &mut Vec<Action>) {
         self.term += 1;
         self.voted_for = Some(self.name.clone());
-        self.role = Role::Candidate(Ballot::of(&self.name));
+        self.role = Role::Candidate(Votes::with_own(&self.name));
         let record = Record::Vote { term: self.term, voted_for: self.voted_for.clone() };
         out.push(Action::Store(vec![record]));
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         let message = Message::Vote { term: self.term, last_index, last_term, transfer };
-        self.ask_others(&message, out);
+        self.broadcast(&message, out);
         self.count_votes(now, out);
     }
 
-    pub(crate) fn vote(
+    pub(crate) fn handle_vote(
         &mut self,
         now: Time,
         from: &NodeName,
@@ -150,23 +157,24 @@
         last: (Term, Index),
         out: &mut Vec<Action>,
     ) {
-        // A leader that is heard of is not disturbed by one who stands all the same.
-        if term > self.term && (transfer || now >= self.votes_from) {
-            self.take_term(term, out);
+        // A higher term is ignored while the leader is in contact, so that no candidate deposes it.
+        if term > self.term && (transfer || now >= self.no_vote_before) {
+            self.adopt_term(term, out);
         }
-        let free = self.voted_for.as_ref().is_none_or(|name| name == from);
-        let timely = transfer || now >= self.votes_from;
-        let granted = term == self.term && free && timely && self.may_vote(last);
+        let not_voted_for_other = self.voted_for.as_ref().is_none_or(|name| name == from);
+        let lease_expired = transfer || now >= self.no_vote_before;
+        let granted =
+            term == self.term && not_voted_for_other && lease_expired && self.can_grant_vote(last);
         if granted && self.voted_for.is_none() {
             self.voted_for = Some(from.clone());
             let record = Record::Vote { term, voted_for: self.voted_for.clone() };
             out.push(Action::Store(vec![record]));
-            self.wait_for_leader(now);
+            self.reset_election_timer(now);
         }
         out.push(Action::Send(from.clone(), Message::VoteReply { term: self.term, granted }));
     }
 
-    pub(crate) fn vote_reply(
+    pub(crate) fn handle_vote_reply(
         &mut self,
         now: Time,
         from: &NodeName,
@@ -174,12 +182,12 @@
         granted: bool,
         out: &mut Vec<Action>,
     ) {
-        self.take_term(term, out);
+        self.adopt_term(term, out);
         if !granted || term != self.term {
             return;
         }
-        if let Role::Candidate(ballot) = &mut self.role {
-            ballot.granted.insert(from.clone());
+        if let Role::Candidate(votes) = &mut self.role {
+            votes.granted_by.insert(from.clone());
             self.count_votes(now, out);
         }
     }
--- a/components/consensus/src/event.rs
+++ b/components/consensus/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches a replica and what it does.
+//! Inputs and outputs of a replica.
 
 use std::fmt;
 
@@ -7,77 +7,81 @@
 
 use crate::{Entry, Index, Message, Record, Snapshot, Term};
 
-/// A proposal or a read, numbered by its caller.
+/// Identifies a proposal; assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalId(pub u64);
 
-/// What reaches a replica.
+/// An input of a replica.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A message of another replica.
+    /// A message from another replica.
     Message {
-        /// Who sent it.
+        /// The sender.
         from: NodeName,
         /// The message.
         message: Message,
     },
-    /// A command for the log.
+    /// A command to append to the log.
     Propose {
-        /// Numbers it.
+        /// Identifies the proposal in the reply.
         id: ProposalId,
-        /// The command.
+        /// The command, opaque to this crate.
         command: Vec<u8>,
     },
-    /// The process is about to stop: a leader hands over.
+    /// The process is about to stop; a leader transfers leadership.
     Resign,
-    /// Time has passed.
+    /// Checks the timers.
     Tick,
 }
 
-/// What a replica does. Stores come before what depends on them.
+/// An output of a replica. Actions have to be performed in order, as later ones may depend on
+/// earlier stores.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Writes records; they have to be synced before any later action is done.
+    /// Appends records to the journal; they have to be synced before any later action is performed.
     Store(Vec<Record>),
-    /// Replaces all records by these, in one step, synced.
+    /// Atomically replaces all records of the journal by these and syncs it.
     Rewrite(Vec<Record>),
-    /// Sends a message; it may be lost.
+    /// Sends a message; delivery is not guaranteed.
     Send(NodeName, Message),
-    /// A proposal is in the leader's log at an index; whether it lasts shows when it commits.
+    /// The leader appended a proposal to its log at this index. It is durable only once that entry
+    /// is committed.
     Proposed(ProposalId, Index),
-    /// A proposal was not taken.
+    /// A proposal was rejected because this replica is not the leader.
     Refused(ProposalId),
-    /// An entry is committed: it lasts. They come in order, each once a life.
+    /// An entry was committed and has to be applied. Entries are reported in log order, once per
+    /// start of the replica.
     Commit(Entry),
-    /// The state is to be replaced by a snapshot's.
+    /// The state machine has to replace its state by that of the snapshot.
     Install(Snapshot),
-    /// Reports a change of state.
+    /// Reports a change of state for the operator's log.
     News(News),
 }
 
-/// A change of a replica's state, for the log.
+/// A change of a replica's state, reported to the operator's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum News {
-    /// It leads.
+    /// The replica became leader in this term.
     Leads(Term),
-    /// It no longer leads.
+    /// The replica stepped down as leader of this term.
     StepsDown(Term),
-    /// It follows a leader.
+    /// The replica accepted a leader in this term.
     Follows(NodeName, Term),
-    /// Other replicas vote from now on.
+    /// A change of the member list was committed; these replicas vote.
     Members(Vec<NodeName>),
-    /// It has caught up after it began on an empty disk, and votes from now on.
+    /// The replica started on an empty disk and now has all committed entries up to this index; it
+    /// votes from now on.
     CaughtUp(Index),
-    /// A condition that must always hold does not.
+    /// A consistency guarantee of the log was violated.
     Violation(Violation),
 }
 
-/// A breach of the log's promises: a bug, or a disk that forgot synced bytes.
+/// A violated consistency guarantee: a bug, or a disk that lost synced data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Another leader in the same term.
+    /// Two replicas lead in the same term.
     TwoLeaders(Term),
-    /// A committed entry was to be dropped.
+    /// A leader's entries conflict with the committed entry at this index.
     CommittedLost(Index),
 }
 
--- a/components/consensus/src/leader.rs
+++ b/components/consensus/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: replicates its log, commits, keeps its lease.
+//! The leader: replicates its log, commits entries, maintains its lease and changes the members.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,236 +9,252 @@
 use crate::replica::{Replica, Role};
 use crate::{Action, Message, News};
 
-/// Most entries in one message.
-const BATCH: usize = 64;
-/// Most bytes of commands in one message, unless a single one is larger: a third of a second of a link of 25 Mbit/s, and
-/// a thirtieth of the longest frame. By count alone 40 configurations of 845 kB made a message of 34 MB, which no
-/// frame takes.
-const BATCH_BYTES: usize = 1_000_000;
-/// A replica that is no member and silent for longer is sent nothing more until it asks again.
-const LEARNER_SILENCE: Duration = Duration::from_secs(3);
-/// A replica whose last acknowledgement is older does not take a member's place.
-const LEARNER_FRESH: Duration = Duration::from_millis(700);
+/// Maximum number of entries in one message.
+const BATCH_ENTRIES_MAX: usize = 64;
+/// Maximum size of the commands in one message, unless a single command is larger. Keeps messages
+/// with large commands far below the longest frame that the transport accepts.
+const BATCH_BYTES_MAX: usize = 1_000_000;
+/// A non-member that has not replied for this long is no longer replicated to until it asks to join
+/// again.
+const LEARNER_TIMEOUT: Duration = Duration::from_secs(3);
+/// A replica whose last acknowledged append was sent longer ago neither becomes a member nor takes
+/// over leadership.
+const LEARNER_ACK_AGE_MAX: Duration = Duration::from_millis(700);
 
-/// How far a follower is.
+/// The leader's view of one follower.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
-    /// The next entry to send.
-    next: Index,
-    /// The last entry known to be on its disk.
-    matched: Index,
-    /// When the last append was sent that it acknowledged.
-    acked: Time,
-    /// It has not caught up since it began on an empty disk: it does not count.
+    /// The index of the next entry to send.
+    next_index: Index,
+    /// The highest index known to be on the follower's disk.
+    match_index: Index,
+    /// When the latest append that the follower acknowledged was sent.
+    acked_at: Time,
+    /// The follower started on an empty disk and has not caught up, so it does not count towards a
+    /// quorum.
     blank: bool,
-    /// When it was first sent anything, or asked to join.
-    known: Time,
+    /// When the leader started to track this follower.
+    tracked_since: Time,
 }
 
 impl Progress {
-    fn new(next: Index, now: Time) -> Self {
-        Self { next, matched: 0, acked: Time::default(), blank: false, known: now }
+    fn new(next_index: Index, now: Time) -> Self {
+        Self {
+            next_index,
+            match_index: 0,
+            acked_at: Time::default(),
+            blank: false,
+            tracked_since: now,
+        }
     }
 
-    /// When it was last heard of, or first known.
-    fn heard(&self) -> Time {
-        self.acked.max(self.known)
+    /// When the latest acknowledged append was sent, or when tracking started.
+    fn last_contact(&self) -> Time {
+        self.acked_at.max(self.tracked_since)
     }
 }
 
-/// A leader's state in its term.
+/// A leader's state during its term.
 #[derive(Debug)]
-pub(crate) struct Leading {
+pub(crate) struct LeaderState {
     followers: BTreeMap<NodeName, Progress>,
     pub heartbeat_at: Time,
-    /// When it began to lead.
-    since: Time,
-    /// It has asked another to take over: it is sure of nothing any more.
+    /// When this replica became leader.
+    elected_at: Time,
+    /// Another replica was asked to take over; this leader no longer relies on its lease.
     resigned: bool,
 }
 
-impl Leading {
-    /// Until when a quorum grants no vote to another; `None` where no quorum has acknowledged
-    /// anything. A follower may be left out of the count.
+impl LeaderState {
+    /// The time until which a quorum grants no vote to another candidate; `None` if no quorum has
+    /// acknowledged an append in this term. `excluded` is a follower that is not counted.
     pub fn lease_until(
         &self,
         replica: &Replica,
         now: Time,
-        left_out: Option<&NodeName>,
+        excluded: Option<&NodeName>,
     ) -> Option<Time> {
         if self.resigned {
             return None;
         }
         let members = replica.members();
         let counts = |(name, progress): &(&NodeName, &Progress)| {
-            !progress.blank && left_out != Some(*name) && members.contains(name)
+            !progress.blank && excluded != Some(*name) && members.contains(name)
         };
-        let acks = self.followers.iter().filter(counts).map(|(_, progress)| progress.acked);
+        let acks = self.followers.iter().filter(counts).map(|(_, progress)| progress.acked_at);
         let mut times: Vec<Time> = acks.chain([now]).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
-        let weakest = *times.get(replica.quorum() - 1)?;
-        (weakest > Time::default()).then(|| weakest + replica.timing.lease)
+        let quorum_acked_at = *times.get(replica.quorum() - 1)?;
+        (quorum_acked_at > Time::default()).then(|| quorum_acked_at + replica.timing.lease)
     }
 }
 
-impl Leading {
-    /// The member that has been silent for longest, and longer than `replace_after`.
+impl LeaderState {
+    /// The member that has not replied for the longest time, if that time exceeds `limit`.
     fn silent_member(&self, members: &[NodeName], now: Time, limit: Duration) -> Option<NodeName> {
         let silent = self.followers.iter().filter(|(name, progress)| {
-            members.contains(name) && now.since(progress.heard().max(self.since)) > limit
+            members.contains(name)
+                && now.since(progress.last_contact().max(self.elected_at)) > limit
         });
-        silent.min_by_key(|(_, progress)| progress.heard()).map(|(name, _)| name.clone())
+        silent.min_by_key(|(_, progress)| progress.last_contact()).map(|(name, _)| name.clone())
     }
 
-    /// The follower among the members that is furthest behind.
-    fn last_member(&self, members: &[NodeName]) -> Option<NodeName> {
+    /// The member, other than the leader, that is furthest behind.
+    fn slowest_member(&self, members: &[NodeName]) -> Option<NodeName> {
         let followers = self.followers.iter().filter(|(name, _)| members.contains(name));
-        followers.min_by_key(|(_, progress)| progress.matched).map(|(name, _)| name.clone())
+        followers.min_by_key(|(_, progress)| progress.match_index).map(|(name, _)| name.clone())
     }
 
-    /// A replica that is no member, has every committed entry, and was heard of just now.
-    fn fresh_learner(&self, members: &[NodeName], now: Time, commit: Index) -> Option<NodeName> {
-        let fit = |(name, progress): &(&NodeName, &Progress)| {
+    /// A non-member that has every committed entry and replied recently.
+    fn ready_learner(&self, members: &[NodeName], now: Time, commit: Index) -> Option<NodeName> {
+        let eligible = |(name, progress): &(&NodeName, &Progress)| {
             !members.contains(name)
                 && !progress.blank
-                && progress.matched >= commit
-                && now.since(progress.acked) < LEARNER_FRESH
+                && progress.match_index >= commit
+                && now.since(progress.acked_at) < LEARNER_ACK_AGE_MAX
         };
-        self.followers.iter().find(fit).map(|(name, _)| name.clone())
+        self.followers.iter().find(eligible).map(|(name, _)| name.clone())
     }
 }
 
 impl Replica {
-    /// Won an election: leads, and makes a first entry so that earlier ones can commit.
-    pub(crate) fn lead(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Becomes leader after a won election. Appends an empty entry, since entries of earlier terms
+    /// commit only together with one of the current term.
+    pub(crate) fn become_leader(&mut self, now: Time, out: &mut Vec<Action>) {
         let next = self.log.last_index() + 1;
-        let fresh = Progress::new(next, now);
-        let followers = self.others().into_iter().map(|name| (name, fresh)).collect();
-        let leading = Leading { followers, heartbeat_at: now, since: now, resigned: false };
-        self.role = Role::Leader(leading);
+        let initial = Progress::new(next, now);
+        let followers = self.others().into_iter().map(|name| (name, initial)).collect();
+        let leader_state =
+            LeaderState { followers, heartbeat_at: now, elected_at: now, resigned: false };
+        self.role = Role::Leader(leader_state);
         self.leader = Some(self.name.clone());
         out.push(Action::News(News::Leads(self.term)));
-        self.append_own(Payload::Empty, out);
+        self.append_entry(Payload::Empty, out);
         self.replicate(now, out);
     }
 
-    /// Sends to every follower what it lacks, and commits what a quorum has.
+    /// Sends every follower its missing entries or a heartbeat, and commits what a quorum has
+    /// stored.
     pub(crate) fn replicate(&mut self, now: Time, out: &mut Vec<Action>) {
-        if let Role::Leader(leading) = &mut self.role {
-            leading.heartbeat_at = now + self.timing.heartbeat;
+        if let Role::Leader(leader_state) = &mut self.role {
+            leader_state.heartbeat_at = now + self.timing.heartbeat;
         }
-        let Role::Leader(leading) = &self.role else { return };
-        let followers: Vec<NodeName> = leading.followers.keys().cloned().collect();
+        let Role::Leader(leader_state) = &self.role else { return };
+        let followers: Vec<NodeName> = leader_state.followers.keys().cloned().collect();
         for follower in followers {
             self.send_append(now, &follower, out);
         }
-        self.commit_quorum(out);
+        self.advance_commit(out);
     }
 
-    /// A replica that is no member asks to be brought up to date. It may know none that leads, so it
-    /// is told.
-    pub(crate) fn join(&mut self, now: Time, from: &NodeName, out: &mut Vec<Action>) {
+    /// Handles the request of a non-member to be replicated to. A replica that is not the leader
+    /// refers it to the leader.
+    pub(crate) fn handle_join(&mut self, now: Time, from: &NodeName, out: &mut Vec<Action>) {
         let next = self.log.last_index() + 1;
-        if let Role::Leader(leading) = &mut self.role {
-            leading.followers.entry(from.clone()).or_insert(Progress::new(next, now));
+        if let Role::Leader(leader_state) = &mut self.role {
+            leader_state.followers.entry(from.clone()).or_insert(Progress::new(next, now));
         } else if let Some(leader) = self.leader.clone().filter(|leader| leader != from) {
             out.push(Action::Send(from.clone(), Message::Refer { leader }));
         }
     }
 
-    /// Asks the follower that is furthest on to lead, once it has been sent all there is.
+    /// Sends all outstanding entries and then hands over leadership.
     pub(crate) fn resign(&mut self, now: Time, out: &mut Vec<Action>) {
         self.replicate(now, out);
         self.hand_over(now, out);
     }
 
-    /// Asks the follower that is furthest on to lead, and is sure of nothing from then on. Nothing is stored
-    /// and no entry is sent or committed, so that it is right also where the disk takes nothing more.
+    /// Asks the most up-to-date recent follower to start an election and stops relying on the
+    /// lease. Stores, appends and commits nothing, so that it also works when the disk is full.
     pub fn hand_over(&mut self, now: Time, out: &mut Vec<Action>) {
         let term = self.term;
         let members = self.members().to_vec();
-        let Role::Leader(leading) = &mut self.role else { return };
-        let fit = leading.followers.iter().filter(|(name, progress)| {
-            !progress.blank && members.contains(name) && now.since(progress.acked) < LEARNER_FRESH
+        let Role::Leader(leader_state) = &mut self.role else { return };
+        let ready = leader_state.followers.iter().filter(|(name, progress)| {
+            !progress.blank
+                && members.contains(name)
+                && now.since(progress.acked_at) < LEARNER_ACK_AGE_MAX
         });
-        let Some((successor, _)) = fit.max_by_key(|(_, progress)| progress.matched) else { return };
+        let Some((successor, _)) = ready.max_by_key(|(_, p)| p.match_index) else { return };
         let successor = successor.clone();
-        leading.resigned = true;
+        leader_state.resigned = true;
         out.push(Action::Send(successor, Message::TakeOver { term }));
     }
 
-    /// Changes the members by one where too few vote, or one has been silent for long and another
-    /// replica has caught up. Only after an entry of its own term has committed, and one change at
-    /// a time.
+    /// Adds or removes one member if there are fewer voters than configured, or if a member has
+    /// been silent for too long and a replacement has caught up. Only one change is in progress at
+    /// a time, and only after an entry of the current term has been committed.
     fn adjust_members(&mut self, now: Time, out: &mut Vec<Action>) {
-        let settled = self.knows_all_committed() && self.log.last_change() <= self.commit;
-        if !settled || !self.is_sure(now) {
+        let ready = self.has_committed_in_term() && self.log.last_member_change() <= self.commit;
+        if !ready || !self.is_sure(now) {
             return;
         }
         let Some(members) = self.next_members(now) else { return };
-        self.append_own(Payload::Members(members), out);
-        self.align_followers(now);
+        self.append_entry(Payload::Members(members), out);
+        self.update_followers(now);
         self.replicate(now, out);
     }
 
     fn next_members(&self, now: Time) -> Option<Vec<NodeName>> {
-        let Role::Leader(leading) = &self.role else { return None };
+        let Role::Leader(leader_state) = &self.role else { return None };
         let voters = self.timing.voters?;
         let mut members = self.members().to_vec();
-        let silent = leading.silent_member(&members, now, self.timing.replace_after);
+        let silent = leader_state.silent_member(&members, now, self.timing.replace_after);
         if members.len() > voters {
-            let gone = silent.or_else(|| leading.last_member(&members))?;
-            members.retain(|name| *name != gone);
+            let removed = silent.or_else(|| leader_state.slowest_member(&members))?;
+            members.retain(|name| *name != removed);
             return Some(members);
         }
         if members.len() == voters && silent.is_none() {
             return None;
         }
-        members.push(leading.fresh_learner(&members, now, self.commit)?);
+        members.push(leader_state.ready_learner(&members, now, self.commit)?);
         members.sort();
         Some(members)
     }
 
-    /// Every member but this one is a follower; replicas that are neither members nor heard of are
-    /// forgotten.
-    fn align_followers(&mut self, now: Time) {
-        let fresh = Progress::new(self.log.last_index() + 1, now);
+    /// Tracks every other member as a follower, and drops non-members that have not replied
+    /// recently.
+    fn update_followers(&mut self, now: Time) {
+        let initial = Progress::new(self.log.last_index() + 1, now);
         let others = self.others();
-        let Role::Leader(leading) = &mut self.role else { return };
-        leading.followers.retain(|name, progress| {
-            others.contains(name) || now.since(progress.heard()) < LEARNER_SILENCE
+        let Role::Leader(leader_state) = &mut self.role else { return };
+        leader_state.followers.retain(|name, progress| {
+            others.contains(name) || now.since(progress.last_contact()) < LEARNER_TIMEOUT
         });
         for name in others {
-            leading.followers.entry(name).or_insert(fresh);
+            leader_state.followers.entry(name).or_insert(initial);
         }
     }
 
-    /// Shows that it leads, or steps down where no quorum has answered for long.
-    pub(crate) fn lead_on(&mut self, now: Time, out: &mut Vec<Action>) {
-        let Role::Leader(leading) = &self.role else { return };
-        if leading.heartbeat_at > now {
+    /// Sends the periodic heartbeat, or steps down if no quorum has replied within the election
+    /// timeout.
+    pub(crate) fn leader_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+        let Role::Leader(leader_state) = &self.role else { return };
+        if leader_state.heartbeat_at > now {
             return;
         }
-        let heard = leading.lease_until(self, now, None).unwrap_or(leading.since);
-        if now.since(heard) > self.timing.election {
+        let last_contact =
+            leader_state.lease_until(self, now, None).unwrap_or(leader_state.elected_at);
+        if now.since(last_contact) > self.timing.election {
             self.step_down(out);
-            return self.wait_for_leader(now);
+            return self.reset_election_timer(now);
         }
-        self.align_followers(now);
+        self.update_followers(now);
         self.adjust_members(now, out);
         self.replicate(now, out);
     }
 
     fn send_append(&mut self, now: Time, to: &NodeName, out: &mut Vec<Action>) {
-        let Role::Leader(leading) = &self.role else { return };
-        let Some(progress) = leading.followers.get(to).copied() else { return };
-        let sure = self.knows_all_committed()
-            && leading.lease_until(self, now, Some(to)).is_some_and(|until| now < until);
-        let prev_index = progress.next - 1;
+        let Role::Leader(leader_state) = &self.role else { return };
+        let Some(progress) = leader_state.followers.get(to).copied() else { return };
+        let sure = self.has_committed_in_term()
+            && leader_state.lease_until(self, now, Some(to)).is_some_and(|until| now < until);
+        let prev_index = progress.next_index - 1;
         let Some(prev_term) = self.log.term(prev_index) else {
             return self.send_snapshot(now, to, out);
         };
-        let entries = self.log.batch(progress.next, BATCH, BATCH_BYTES);
+        let entries = self.log.batch(progress.next_index, BATCH_ENTRIES_MAX, BATCH_BYTES_MAX);
         let sent = entries.len() as Index;
         let message = Message::Append {
             term: self.term,
@@ -250,13 +266,14 @@
             sure,
         };
         out.push(Action::Send(to.clone(), message));
-        // What is lost on the way shows when the next append does not fit.
-        self.set_next(to, progress.next + sent);
+        // Assumes delivery; after a loss the follower rejects the next append and reports its last
+        // index.
+        self.set_next_index(to, progress.next_index + sent);
     }
 
-    /// Whether an entry of its own term is committed; before that, entries of earlier leaders may be
-    /// committed that it does not know to be.
-    pub(crate) fn knows_all_committed(&self) -> bool {
+    /// Whether an entry of the current term is committed. Before that, entries of earlier terms may
+    /// be committed without this leader knowing.
+    pub(crate) fn has_committed_in_term(&self) -> bool {
         self.log.term(self.commit) == Some(self.term)
     }
 
@@ -267,18 +284,18 @@
             to.clone(),
             Message::Install { term: self.term, snapshot, sent: now },
         ));
-        self.set_next(to, next);
+        self.set_next_index(to, next);
     }
 
-    fn set_next(&mut self, follower: &NodeName, next: Index) {
-        let Role::Leader(leading) = &mut self.role else { return };
-        if let Some(progress) = leading.followers.get_mut(follower) {
-            progress.next = next;
+    fn set_next_index(&mut self, follower: &NodeName, next: Index) {
+        let Role::Leader(leader_state) = &mut self.role else { return };
+        if let Some(progress) = leader_state.followers.get_mut(follower) {
+            progress.next_index = next;
         }
     }
 
-    /// Takes a follower's word on how far it is.
-    pub(crate) fn append_reply(
+    /// Handles a follower's reply to an append or a snapshot.
+    pub(crate) fn handle_append_reply(
         &mut self,
         now: Time,
         from: &NodeName,
@@ -286,50 +303,52 @@
         (fitted, index, sent, blank): (bool, Index, Time, bool),
         out: &mut Vec<Action>,
     ) {
-        self.take_term(term, out);
+        self.adopt_term(term, out);
         let last = self.log.last_index();
-        let Role::Leader(leading) = &mut self.role else { return };
+        let Role::Leader(leader_state) = &mut self.role else { return };
         if term != self.term {
             return;
         }
-        let Some(progress) = leading.followers.get_mut(from) else { return };
-        progress.acked = progress.acked.max(sent);
+        let Some(progress) = leader_state.followers.get_mut(from) else { return };
+        progress.acked_at = progress.acked_at.max(sent);
         if blank && !progress.blank {
-            // Its disk is new: what it acknowledged before is gone.
-            progress.matched = 0;
+            // The follower restarted on an empty disk and lost what it had acknowledged before.
+            progress.match_index = 0;
         }
         progress.blank = blank;
         if fitted {
-            progress.matched = progress.matched.max(index);
-            progress.next = progress.next.max(progress.matched + 1);
+            progress.match_index = progress.match_index.max(index);
+            progress.next_index = progress.next_index.max(progress.match_index + 1);
         } else {
-            progress.next = (index + 1).min(progress.next).max(1);
+            progress.next_index = (index + 1).min(progress.next_index).max(1);
         }
-        let lacks = progress.next <= last;
+        let is_behind = progress.next_index <= last;
         let mut commits = Vec::new();
-        self.commit_quorum(&mut commits);
+        self.advance_commit(&mut commits);
         if !commits.is_empty() {
-            // Followers hear of it before anyone else, so that they can tell it as soon as the leader: it does not
-            // have to tell everyone.
+            // Notifies the followers of the new commit index before the leader answers its callers,
+            // so that followers can serve the committed state as early as the leader.
             self.replicate(now, out);
-        } else if lacks {
+        } else if is_behind {
             self.send_append(now, from, out);
         }
         out.append(&mut commits);
     }
 
-    /// Commits the entries of its own term that a quorum has on disk, and all before them.
-    fn commit_quorum(&mut self, out: &mut Vec<Action>) {
-        let Role::Leader(leading) = &self.role else { return };
+    /// Commits up to the highest index that a quorum has stored, if that entry is of the current
+    /// term.
+    fn advance_commit(&mut self, out: &mut Vec<Action>) {
+        let Role::Leader(leader_state) = &self.role else { return };
         let members = self.members();
-        let counted = leading
+        let counted = leader_state
             .followers
             .iter()
             .filter(|(name, progress)| !progress.blank && members.contains(name));
-        let mut matched: Vec<Index> = counted.map(|(_, progress)| progress.matched).collect();
-        matched.push(self.log.last_index());
-        matched.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(index) = matched.get(self.quorum() - 1).copied() else { return };
+        let mut match_indexes: Vec<Index> =
+            counted.map(|(_, progress)| progress.match_index).collect();
+        match_indexes.push(self.log.last_index());
+        match_indexes.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(index) = match_indexes.get(self.quorum() - 1).copied() else { return };
         if index > self.commit && self.log.term(index) == Some(self.term) {
             self.commit_to(index, out);
         }
--- a/components/consensus/src/lib.rs
+++ b/components/consensus/src/lib.rs
@@ -1,9 +1,13 @@
-//! A replicated log for a few replicas, after Raft: terms, pre-vote, a leader lease, snapshots.
+//! A replicated log for a small cluster, based on Raft, with pre-vote, leader lease, snapshots and
+//! single-server membership changes.
 //!
-//! No clock, socket, disk or thread in here: [`Replica::handle`] takes a time and an event and
-//! gives the actions that follow. What it gives to be stored has to be synced before anything
-//! given after it is done. (Ongaro, Ousterhout: In Search of an Understandable Consensus
-//! Algorithm, USENIX ATC 2014. What differs stands in `docs/design/settings.md`.)
+//! The crate does no I/O and reads no clock: [`Replica::handle`] takes the current time and an
+//! event and returns the actions to perform. Records in a store action have to be synced before any
+//! later action is performed.
+//!
+//! Ongaro, Ousterhout: In Search of an Understandable Consensus Algorithm, USENIX ATC 2014. Unlike
+//! Raft, a replica that restarts on an empty disk may rejoin: it neither votes nor counts towards a
+//! quorum until it has caught up with a leader that holds a valid lease.
 
 mod election;
 mod event;
--- a/components/consensus/src/log.rs
+++ b/components/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: a snapshot and the entries after it.
+//! The in-memory log: a snapshot and the entries after it.
 
 use std::collections::VecDeque;
 
@@ -8,26 +8,26 @@
 
 use crate::Snapshot;
 
-/// The place of an entry in the log, from 1; 0 is before the first.
+/// The position of an entry in the log, starting at 1; 0 is the position before the first entry.
 pub type Index = u64;
-/// Counts elections.
+/// The number of an election term.
 pub type Term = u64;
 
-/// What an entry holds.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a new leader's first entry.
+    /// No command; appended by a new leader.
     Empty,
-    /// A command of the state machine, as bytes.
+    /// A state machine command, opaque to this crate.
     Command(Vec<u8>),
-    /// The replicas that vote from this entry on. It counts as soon as it is in a log, committed or
-    /// not; one entry adds or removes one replica, so that old and new majorities overlap.
+    /// The voting members from this entry on. Takes effect as soon as it is appended, committed or
+    /// not. Consecutive lists differ by one replica, so that their majorities overlap.
     Members(Vec<NodeName>),
 }
 
 impl Payload {
-    /// How large its command is.
-    fn bytes(&self) -> usize {
+    /// The size of the command in bytes.
+    fn command_len(&self) -> usize {
         match self {
             Self::Command(command) => command.len(),
             Self::Empty | Self::Members(_) => 0,
@@ -35,14 +35,14 @@
     }
 }
 
-/// One entry of the log.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place.
+    /// The position in the log.
     pub index: Index,
-    /// The term of the leader that made it.
+    /// The term of the leader that appended the entry.
     pub term: Term,
-    /// What it holds.
+    /// The content.
     pub payload: Payload,
 }
 
@@ -51,13 +51,13 @@
 pub(crate) struct Log {
     pub snapshot: Snapshot,
     entries: VecDeque<Entry>,
-    /// The entries that changed the members, oldest first.
-    changes: Vec<Index>,
+    /// The indexes of the entries that changed the members, in ascending order.
+    member_changes: Vec<Index>,
 }
 
 impl Log {
     pub fn new(snapshot: Snapshot) -> Self {
-        Self { snapshot, entries: VecDeque::new(), changes: Vec::new() }
+        Self { snapshot, entries: VecDeque::new(), member_changes: Vec::new() }
     }
 
     pub fn last_index(&self) -> Index {
@@ -68,7 +68,8 @@
         self.entries.back().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// The term of an entry; `None` for one that is not there, or only in the snapshot.
+    /// The term of the entry at `index`; `None` if it is not in the log or only covered by the
+    /// snapshot.
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -81,19 +82,19 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// All entries from an index on.
-    pub fn from(&self, index: Index) -> Vec<Entry> {
+    /// All entries from `index` on.
+    pub fn entries_from(&self, index: Index) -> Vec<Entry> {
         self.iter_from(index).cloned().collect()
     }
 
-    /// The entries from an index on that are sent in one message: up to `count`, and up to so many bytes of
-    /// commands, but one at least.
+    /// The entries from `index` on for one message: at most `count` entries and `bytes` of
+    /// commands, but at least one entry.
     pub fn batch(&self, index: Index, count: usize, bytes: usize) -> Vec<Entry> {
-        let mut left = bytes;
+        let mut remaining = bytes;
         let mut fits = |entry: &&Entry| {
-            let size = entry.payload.bytes();
-            let fits = size <= left || entry.index == index;
-            left = left.saturating_sub(size);
+            let size = entry.payload.command_len();
+            let fits = size <= remaining || entry.index == index;
+            remaining = remaining.saturating_sub(size);
             fits
         };
         self.iter_from(index).take(count).take_while(|entry| fits(entry)).cloned().collect()
@@ -105,65 +106,66 @@
         self.entries.iter().skip(skipped)
     }
 
-    /// Bytes of the commands up to an index.
-    pub fn bytes_to(&self, index: Index) -> usize {
-        let before = self.entries.iter().take_while(|entry| entry.index <= index);
-        before.map(|entry| entry.payload.bytes()).sum()
+    /// The total size of the commands up to and including `index`.
+    pub fn command_bytes_to(&self, index: Index) -> usize {
+        let covered = self.entries.iter().take_while(|entry| entry.index <= index);
+        covered.map(|entry| entry.payload.command_len()).sum()
     }
 
-    /// Adds the entry that follows the last.
+    /// Appends the entry that follows the last one.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         if matches!(entry.payload, Payload::Members(_)) {
-            self.changes.push(entry.index);
+            self.member_changes.push(entry.index);
         }
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from an index on.
+    /// Removes the entries from `from` on.
     pub fn truncate(&mut self, from: Index) {
         let keep = from.saturating_sub(self.snapshot.index + 1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
-        self.changes.retain(|index| *index < from);
+        self.member_changes.retain(|index| *index < from);
     }
 
-    /// Replaces the entries up to the snapshot's by it; entries after it stay if they fit.
+    /// Replaces the entries that the snapshot covers by the snapshot. Later entries are kept if the
+    /// log contains the snapshot's last entry, and dropped otherwise.
     pub fn compact(&mut self, snapshot: Snapshot) {
         if self.term(snapshot.index) == Some(snapshot.term) {
             self.entries.retain(|entry| entry.index > snapshot.index);
         } else {
             self.entries.clear();
-            self.changes.clear();
+            self.member_changes.clear();
         }
-        self.changes.retain(|index| *index > snapshot.index);
+        self.member_changes.retain(|index| *index > snapshot.index);
         self.snapshot = snapshot;
     }
 
-    /// Who votes: by the last entry that changed it, committed or not.
+    /// The voting members by the latest change in the log, committed or not.
     pub fn members(&self) -> &[NodeName] {
         self.members_at(Index::MAX)
     }
 
-    /// Who votes after an entry.
+    /// The voting members after the entry at `at`.
     pub fn members_at(&self, at: Index) -> &[NodeName] {
-        let change = self.changes.iter().rev().find(|index| **index <= at);
-        match change.and_then(|index| self.get(*index)).map(|entry| &entry.payload) {
+        let latest = self.member_changes.iter().rev().find(|index| **index <= at);
+        match latest.and_then(|index| self.get(*index)).map(|entry| &entry.payload) {
             Some(Payload::Members(members)) => members,
             _ => &self.snapshot.members,
         }
     }
 
-    /// The last entry that changed the members; 0 where it is only in the snapshot.
-    pub fn last_change(&self) -> Index {
-        self.changes.last().copied().unwrap_or(0)
+    /// The index of the latest entry that changed the members; 0 if it is covered by the snapshot.
+    pub fn last_member_change(&self) -> Index {
+        self.member_changes.last().copied().unwrap_or(0)
     }
 
-    /// Entries in memory.
+    /// The number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether a log that ends so is at least as complete as this one.
+    /// Whether a log that ends with this entry is at least as up to date as this one.
     pub fn is_covered_by(&self, last_term: Term, last_index: Index) -> bool {
         (last_term, last_index) >= (self.last_term(), self.last_index())
     }
--- a/components/consensus/src/message.rs
+++ b/components/consensus/src/message.rs
@@ -1,4 +1,5 @@
-//! What replicas say to each other.
+//! Messages between replicas. Fields and variants are encoded by position, so their order must not
+//! change.
 
 use model::{NodeName, Time};
 use serde::{Deserialize, Serialize};
@@ -8,98 +9,100 @@
 /// A message between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether a vote would be granted.
+    /// Asks whether the receiver would vote for the sender.
     PreVote {
-        /// The term that the sender would stand in.
+        /// The term that the candidate would start.
         term: Term,
-        /// Its last entry.
+        /// The index of the candidate's last entry.
         last_index: Index,
-        /// That entry's term.
+        /// The term of the candidate's last entry.
         last_term: Term,
     },
-    /// Whether a vote would be granted.
+    /// The reply to [`Message::PreVote`].
     PreVoteReply {
-        /// The term that was asked for, or the receiver's where it is higher.
+        /// The proposed term if granted, the receiver's term otherwise.
         term: Term,
-        /// Whether it would.
+        /// Whether the receiver would vote for the candidate.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Asks for the receiver's vote.
     Vote {
-        /// The term that the sender stands in.
+        /// The candidate's term.
         term: Term,
-        /// Its last entry.
+        /// The index of the candidate's last entry.
         last_index: Index,
-        /// That entry's term.
+        /// The term of the candidate's last entry.
         last_term: Term,
-        /// The leader itself asked the sender to stand: its lease holds up no vote.
+        /// The leader transferred leadership to the candidate, so its lease does not prevent the
+        /// vote.
         transfer: bool,
     },
-    /// Whether a vote is granted.
+    /// The reply to [`Message::Vote`].
     VoteReply {
         /// The receiver's term.
         term: Term,
-        /// Whether it is.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// A replica that is no member asks to be brought up to date: the leader does so, and any other
-    /// tells it who leads.
+    /// A replica outside the member list asks to be replicated to. The leader starts to do so; any
+    /// other replica replies with [`Message::Refer`].
     Join,
-    /// The leader resigns, and asks the receiver to stand at once.
+    /// The leader resigns and asks the receiver to start an election at once.
     TakeOver {
         /// The leader's term.
         term: Term,
     },
-    /// Entries from the leader; none to show that it leads.
+    /// Entries from the leader; without entries, a heartbeat.
     Append {
         /// The leader's term.
         term: Term,
-        /// The entry before these.
+        /// The index of the entry before `entries`.
         prev_index: Index,
-        /// Its term.
+        /// The term of the entry before `entries`.
         prev_term: Term,
-        /// The entries.
+        /// The entries, in log order.
         entries: Vec<Entry>,
-        /// The leader's last committed entry.
+        /// The leader's commit index.
         commit: Index,
-        /// When it was sent, by the leader's clock; comes back in the reply.
+        /// When the message was sent, by the leader's clock; returned in the reply.
         sent: Time,
-        /// Whether the leader's lease was valid then, without counting the receiver, and an entry
-        /// of its own term was committed: nothing after `commit` had been committed before.
+        /// Whether the leader held its lease when sending, not counting the receiver, and had
+        /// committed an entry of its own term. If so, no entry after `commit` was committed at that
+        /// time.
         sure: bool,
     },
-    /// Whether entries fitted.
+    /// The reply to [`Message::Append`] and [`Message::Install`].
     AppendReply {
         /// The receiver's term.
         term: Term,
-        /// Whether they did.
+        /// Whether the receiver had the preceding entry and stored the new ones.
         fitted: bool,
-        /// The last entry known to be the leader's; or, where they did not fit, the last one that
-        /// may be.
+        /// If `matched`, the last index known to agree with the leader; otherwise the last index
+        /// that may agree.
         index: Index,
-        /// The append's time of sending.
+        /// The `sent` time of the message that this replies to.
         sent: Time,
-        /// Whether the receiver has not caught up since it began on an empty disk.
+        /// Whether the receiver started on an empty disk and has not caught up yet.
         blank: bool,
     },
-    /// A snapshot from the leader, where the entries are gone.
+    /// A snapshot, sent if the leader no longer has the entries that the receiver lacks.
     Install {
         /// The leader's term.
         term: Term,
         /// The snapshot.
         snapshot: Snapshot,
-        /// When it was sent, by the leader's clock.
+        /// When the message was sent, by the leader's clock; returned in the reply.
         sent: Time,
     },
-    /// Tells a replica that is no member whom the sender takes for the leader.
+    /// Refers a replica that wants to join to the leader.
     Refer {
-        /// The leader.
+        /// The replica that the sender follows.
         leader: NodeName,
     },
 }
 
 impl Message {
-    /// The term that it carries.
+    /// The sender's term; 0 for messages that carry none.
     pub fn term(&self) -> Term {
         match self {
             Self::Join | Self::Refer { .. } => 0,
--- a/components/consensus/src/record.rs
+++ b/components/consensus/src/record.rs
@@ -1,4 +1,4 @@
-//! What a replica has to keep on its disk.
+//! The durable state of a replica: journal records and their replay.
 
 use model::NodeName;
 use serde::{Deserialize, Serialize};
@@ -6,59 +6,60 @@
 
 use crate::log::{Entry, Index, Log, Term};
 
-/// The state machine's state after an entry.
+/// The state machine's state after a committed entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it covers.
+    /// The index of the last entry that the snapshot covers.
     pub index: Index,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: Term,
-    /// Every replica.
+    /// The voting members after that entry.
     pub members: Vec<NodeName>,
-    /// The state, as the state machine writes it.
+    /// The serialized state; the format belongs to the state machine.
     pub state: Vec<u8>,
 }
 
-/// One record of a replica's journal, in the order of writing.
+/// A record of a replica's journal. Records are replayed in the order of writing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The state that everything after it builds on; the first record.
+    /// The base that later records build on; always the first record.
     Snapshot(Snapshot),
-    /// Whether the replica began on an empty disk and has not caught up: it does not vote.
+    /// Whether the replica started on an empty disk and has not caught up; such a replica does not
+    /// vote.
     Blank(bool),
-    /// The term, and whom it voted for in it.
+    /// The current term and the vote cast in it.
     Vote {
-        /// The term.
+        /// The current term.
         term: Term,
-        /// Whom it voted for, if anyone.
+        /// The replica voted for, if any.
         voted_for: Option<NodeName>,
     },
     /// Entries that follow the last one.
     Append(Vec<Entry>),
-    /// The entries from an index on are void.
+    /// Removes the entries from this index on.
     Truncate(Index),
-    /// Every entry up to an index was committed when this was written. Only written together with
-    /// other records, so that it costs no sync of its own: it may be behind.
+    /// Every entry up to this index is committed. Written only together with other records to save
+    /// a sync, so it may lag behind the real commit index.
     Commit(Index),
 }
 
-/// Why records lead to no state.
+/// Why journal records can't be replayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecoverError {
-    /// There is no snapshot to begin with.
+    /// The journal does not start with a snapshot.
     #[error("the first record is no snapshot")]
     NoSnapshot,
-    /// Entries do not follow each other.
+    /// The indexes of the entries are not consecutive.
     #[error("entry {got} follows entry {last}")]
     Gap {
-        /// The last entry.
+        /// The index of the last entry before the gap.
         last: Index,
-        /// The one that came.
+        /// The index of the entry after the gap.
         got: Index,
     },
 }
 
-/// What records lead to.
+/// The state after a replay of the journal.
 #[derive(Clone, Debug)]
 pub(crate) struct Recovered {
     pub log: Log,
@@ -68,17 +69,17 @@
     pub commit: Index,
 }
 
-/// The last entry that the state of a new cluster covers; higher than that of an empty disk, so
-/// that a replica on one is sent the state first.
+/// The index that the initial snapshot of a new cluster covers. Higher than that of an empty disk,
+/// so that a replica on an empty disk is sent the snapshot.
 const INITIAL_INDEX: Index = 1;
 
-/// The records of a replica of a new cluster.
+/// The journal records that a founding replica of a new cluster starts with.
 pub fn initial_records(members: Vec<NodeName>, state: Vec<u8>) -> Vec<Record> {
     let snapshot = Snapshot { index: INITIAL_INDEX, term: 0, members, state };
     vec![Record::Snapshot(snapshot), Record::Blank(false)]
 }
 
-/// Replays records.
+/// Replays journal records.
 pub(crate) fn recover(records: Vec<Record>) -> Result<Recovered, RecoverError> {
     let mut records = records.into_iter();
     let Some(Record::Snapshot(snapshot)) = records.next() else {
--- a/components/consensus/src/replica.rs
+++ b/components/consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: its state, and which part takes which event.
+//! The replica's state, event dispatch and timers.
 
 use std::time::Duration;
 
@@ -6,26 +6,29 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::election::Ballot;
-use crate::leader::Leading;
+use crate::election::Votes;
+use crate::leader::LeaderState;
 use crate::log::{Entry, Index, Log, Payload, Term};
 use crate::record::{RecoverError, recover};
 use crate::{Action, Event, Message, News, ProposalId, Record, Snapshot, Violation};
 
-/// The times of a cluster; the same at every replica.
+/// Timing and membership settings; all replicas of a cluster need the same values.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// From one sign of the leader to the next.
+    /// Interval between heartbeats of the leader.
     pub heartbeat: Duration,
-    /// Silence of the leader after which a replica may stand or vote; they wait up to twice this.
+    /// Minimum time without contact to the leader before a replica votes for another one or starts
+    /// an election. The election timeout is drawn at random between this and twice this.
     pub election: Duration,
-    /// How long a leader is sure to lead after it sent what a quorum acknowledged. Shorter than
-    /// `election` by more than two clocks run apart in that time.
+    /// How long a leader may rely on its leadership after sending an append that a quorum
+    /// acknowledged. Has to be shorter than `election` by more than the drift between two clocks in
+    /// that time.
     pub lease: Duration,
-    /// How many replicas are to vote. Where fewer do, or one has been silent for `replace_after`,
-    /// a replica that has caught up takes the place. `None`: the members never change.
+    /// Number of voting members to maintain: if there are fewer, or one has been silent for
+    /// `replace_after`, a replica that has caught up is added. `None` keeps the members fixed.
     pub voters: Option<usize>,
-    /// Silence after which a member is replaced by another that has caught up, if there is one.
+    /// Time without a reply after which a member is replaced, provided that another replica has
+    /// caught up.
     pub replace_after: Duration,
 }
 
@@ -41,16 +44,16 @@
     }
 }
 
-/// What a replica does in its term.
+/// The role of a replica in the current term.
 #[derive(Debug)]
 pub(crate) enum Role {
     Follower,
-    PreCandidate(Ballot),
-    Candidate(Ballot),
-    Leader(Leading),
+    PreCandidate(Votes),
+    Candidate(Votes),
+    Leader(LeaderState),
 }
 
-/// One life of one replica.
+/// A replica of the log, from one start of the process to its end.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) name: NodeName,
@@ -58,25 +61,27 @@
     pub(crate) rng: ChaCha8Rng,
     pub(crate) term: Term,
     pub(crate) voted_for: Option<NodeName>,
-    /// Began on an empty disk and has not caught up: it neither votes nor counts.
+    /// Started on an empty disk and has not caught up: it neither votes nor counts towards a
+    /// quorum.
     pub(crate) blank: bool,
     pub(crate) log: Log,
     pub(crate) commit: Index,
     pub(crate) role: Role,
     pub(crate) leader: Option<NodeName>,
-    /// No vote is granted before: the leader may count on this replica's silence.
-    pub(crate) votes_from: Time,
-    pub(crate) election_at: Time,
-    /// Replicas that may know the leader, for one that is no member.
+    /// No vote is granted before this time, as a leader may still rely on its lease.
+    pub(crate) no_vote_before: Time,
+    pub(crate) election_due_at: Time,
+    /// Replicas to ask for the leader while this replica is not a member.
     pub(crate) contacts: Vec<NodeName>,
-    /// It has asked to join, and asks whom it is told to lead.
-    pub(crate) asks_leader: bool,
+    /// A join request is outstanding, so the next referral is followed.
+    pub(crate) join_pending: bool,
 }
 
 impl Replica {
-    /// A replica from its journal's records.
+    /// Restores a replica from its journal records.
     ///
-    /// It may have acknowledged a leader just before it died, so it votes only after a while.
+    /// The replica may have acknowledged an append just before it stopped, so it grants no vote
+    /// until that leader's lease has run out.
     pub fn recover(
         name: NodeName,
         records: Vec<Record>,
@@ -96,36 +101,36 @@
             commit: recovered.commit,
             role: Role::Follower,
             leader: None,
-            votes_from: now + timing.election,
-            election_at: now,
+            no_vote_before: now + timing.election,
+            election_due_at: now,
             contacts: Vec::new(),
-            asks_leader: false,
+            join_pending: false,
         };
-        // A single replica waits for nobody.
+        // A cluster of one replica has no leader to wait for.
         if replica.members().len() > 1 {
-            replica.wait_for_leader(now);
+            replica.reset_election_timer(now);
         }
         Ok(replica)
     }
 
-    /// The records that a replica on an empty disk begins with.
+    /// The journal records that a replica on an empty disk starts with.
     pub fn blank_records(members: Vec<NodeName>) -> Vec<Record> {
         let snapshot = Snapshot { index: 0, term: 0, members, state: Vec::new() };
         vec![Record::Snapshot(snapshot), Record::Blank(true)]
     }
 
-    /// The entries after the snapshot that the journal showed to be committed, oldest first. They
-    /// are not reported by [`Action::Commit`]: the state machine applies them after
-    /// [`Replica::recover`], before it hands in the first event.
+    /// The entries after the snapshot that the journal records as committed, oldest first. They are
+    /// not reported by [`Action::Commit`]: the state machine has to apply them after
+    /// [`Replica::recover`] and before the first event.
     pub fn recovered_entries(&self) -> Vec<Entry> {
-        let entries = self.log.from(self.log.snapshot.index + 1);
+        let entries = self.log.entries_from(self.log.snapshot.index + 1);
         entries.into_iter().filter(|entry| entry.index <= self.commit).collect()
     }
 
-    /// Takes an event and adds the actions that follow.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Message { from, message } => self.message(now, &from, message, out),
+            Event::Message { from, message } => self.handle_message(now, &from, message, out),
             Event::Propose { id, command } => self.propose(now, id, command, out),
             Event::Resign => self.resign(now, out),
             Event::Tick => {}
@@ -133,71 +138,74 @@
         self.tick(now, out);
     }
 
-    /// Names replicas that a replica which is no member asks to be brought up to date by.
+    /// Sets the replicas to ask for the leader while this replica is not a member.
     pub fn set_contacts(&mut self, contacts: Vec<NodeName>) {
         self.contacts = contacts;
     }
 
-    /// The replicas that vote.
+    /// The voting members.
     pub fn voters(&self) -> &[NodeName] {
         self.members()
     }
 
-    /// When the next tick is due.
+    /// When the next [`Event::Tick`] is due.
     pub fn next_timer(&self) -> Time {
         match &self.role {
-            Role::Leader(leading) => leading.heartbeat_at,
-            _ => self.election_at,
+            Role::Leader(leader_state) => leader_state.heartbeat_at,
+            _ => self.election_due_at,
         }
     }
 
-    /// Whether it is sure to lead now: what it has committed is the newest there is.
+    /// Whether this replica leads, holds a valid lease and has committed an entry of its term, so
+    /// that its committed state is the latest.
     pub fn is_sure(&self, now: Time) -> bool {
         match &self.role {
-            Role::Leader(leading) => {
-                leading.lease_until(self, now, None).is_some_and(|until| now < until)
-                    && self.knows_all_committed()
+            Role::Leader(leader_state) => {
+                leader_state.lease_until(self, now, None).is_some_and(|until| now < until)
+                    && self.has_committed_in_term()
             }
             _ => false,
         }
     }
 
-    /// Whom it takes for the leader.
+    /// The replica believed to be the leader.
     pub fn leader(&self) -> Option<&NodeName> {
         self.leader.as_ref()
     }
 
-    /// Its term.
+    /// The current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The last committed entry.
+    /// The index of the last entry known to be committed.
     pub fn committed(&self) -> Index {
         self.commit
     }
 
-    /// Whether it does not vote because it has not caught up.
+    /// Whether this replica started on an empty disk and has not caught up; it does not vote until
+    /// then.
     pub fn is_blank(&self) -> bool {
         self.blank
     }
 
-    /// The snapshot that the log begins with.
+    /// The snapshot at the start of the log.
     pub fn snapshot(&self) -> &Snapshot {
         &self.log.snapshot
     }
 
-    /// Entries in memory after the snapshot.
+    /// The number of entries after the snapshot.
     pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
-    /// Bytes of the commands in memory that are committed.
+    /// The total size of the committed commands after the snapshot, in bytes.
     pub fn committed_bytes(&self) -> usize {
-        self.log.bytes_to(self.commit)
+        self.log.command_bytes_to(self.commit)
     }
 
-    /// Replaces the log up to the last committed entry by the state after it.
+    /// Replaces the committed entries by a snapshot. `state` has to be the state after the last
+    /// committed entry.
     pub fn compact(&mut self, state: Vec<u8>, out: &mut Vec<Action>) {
         let Some(term) = self.log.term(self.commit) else { return };
         let members = self.log.members_at(self.commit).to_vec();
@@ -205,9 +213,9 @@
         out.push(Action::Rewrite(self.records()));
     }
 
-    /// Everything that has to be on the disk.
+    /// The complete durable state, for a rewrite of the journal.
     pub(crate) fn records(&self) -> Vec<Record> {
-        let entries = self.log.from(self.log.snapshot.index + 1);
+        let entries = self.log.entries_from(self.log.snapshot.index + 1);
         vec![
             Record::Snapshot(self.log.snapshot.clone()),
             Record::Blank(self.blank),
@@ -229,26 +237,34 @@
         self.members().len() / 2 + 1
     }
 
-    fn message(&mut self, now: Time, from: &NodeName, message: Message, out: &mut Vec<Action>) {
+    fn handle_message(
+        &mut self,
+        now: Time,
+        from: &NodeName,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         match message {
             Message::PreVote { term, last_index, last_term } => {
-                self.pre_vote(now, from, term, (last_term, last_index), out);
+                self.handle_pre_vote(now, from, term, (last_term, last_index), out);
             }
             Message::PreVoteReply { term, granted } => {
-                self.pre_vote_reply(now, from, term, granted, out);
+                self.handle_pre_vote_reply(now, from, term, granted, out);
             }
-            Message::Join => self.join(now, from, out),
-            Message::Refer { leader } => self.referred(leader, out),
-            Message::TakeOver { term } => self.take_over(now, term, out),
+            Message::Join => self.handle_join(now, from, out),
+            Message::Refer { leader } => self.handle_referral(leader, out),
+            Message::TakeOver { term } => self.handle_take_over(now, term, out),
             Message::Vote { term, last_index, last_term, transfer } => {
-                self.vote(now, from, (term, transfer), (last_term, last_index), out);
+                self.handle_vote(now, from, (term, transfer), (last_term, last_index), out);
+            }
+            Message::VoteReply { term, granted } => {
+                self.handle_vote_reply(now, from, term, granted, out)
             }
-            Message::VoteReply { term, granted } => self.vote_reply(now, from, term, granted, out),
             message @ (Message::Append { .. } | Message::Install { .. }) => {
-                self.follow_leader(now, from, message, out);
+                self.handle_leader_message(now, from, message, out);
             }
             Message::AppendReply { term, fitted, index, sent, blank } => {
-                self.append_reply(now, from, term, (fitted, index, sent, blank), out);
+                self.handle_append_reply(now, from, term, (fitted, index, sent, blank), out);
             }
         }
     }
@@ -257,13 +273,13 @@
         if !matches!(self.role, Role::Leader(_)) {
             return out.push(Action::Refused(id));
         }
-        let index = self.append_own(Payload::Command(command), out);
+        let index = self.append_entry(Payload::Command(command), out);
         out.push(Action::Proposed(id, index));
         self.replicate(now, out);
     }
 
-    /// Adds an entry of this leader's term.
-    pub(crate) fn append_own(&mut self, payload: Payload, out: &mut Vec<Action>) -> Index {
+    /// Appends an entry of the current term to the leader's log.
+    pub(crate) fn append_entry(&mut self, payload: Payload, out: &mut Vec<Action>) -> Index {
         let index = self.log.last_index() + 1;
         let entry = Entry { index, term: self.term, payload };
         let records = vec![Record::Commit(self.commit), Record::Append(vec![entry.clone()])];
@@ -274,14 +290,14 @@
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
         match &self.role {
-            Role::Leader(_) => self.lead_on(now, out),
-            _ if self.election_at <= now => self.stand(now, out),
+            Role::Leader(_) => self.leader_tick(now, out),
+            _ if self.election_due_at <= now => self.start_pre_vote(now, out),
             _ => {}
         }
     }
 
-    /// Takes a higher term, as a follower of nobody yet.
-    pub(crate) fn take_term(&mut self, term: Term, out: &mut Vec<Action>) {
+    /// Adopts a higher term as a follower without a known leader.
+    pub(crate) fn adopt_term(&mut self, term: Term, out: &mut Vec<Action>) {
         if term <= self.term {
             return;
         }
@@ -292,7 +308,7 @@
         out.push(Action::Store(vec![Record::Vote { term, voted_for: None }]));
     }
 
-    /// Leads, or stands, no longer.
+    /// Returns to the follower role.
     pub(crate) fn step_down(&mut self, out: &mut Vec<Action>) {
         if matches!(self.role, Role::Leader(_)) {
             out.push(Action::News(News::StepsDown(self.term)));
@@ -301,14 +317,14 @@
         self.role = Role::Follower;
     }
 
-    /// Waits a random while for a sign of a leader.
-    pub(crate) fn wait_for_leader(&mut self, now: Time) {
-        let least = self.timing.election.as_micros() as u64;
-        let wait = self.rng.random_range(least..=least * 2);
-        self.election_at = now + Duration::from_micros(wait);
+    /// Restarts the election timer with a random timeout, to avoid split votes.
+    pub(crate) fn reset_election_timer(&mut self, now: Time) {
+        let shortest = self.timing.election.as_micros() as u64;
+        let wait = self.rng.random_range(shortest..=shortest * 2);
+        self.election_due_at = now + Duration::from_micros(wait);
     }
 
-    /// Commits up to an index.
+    /// Commits all entries up to and including `index`.
     pub(crate) fn commit_to(&mut self, index: Index, out: &mut Vec<Action>) {
         while self.commit < index {
             let Some(entry) = self.log.get(self.commit + 1) else { return };
@@ -320,7 +336,7 @@
         }
     }
 
-    pub(crate) fn violation(&self, violation: Violation, out: &mut Vec<Action>) {
+    pub(crate) fn report_violation(&self, violation: Violation, out: &mut Vec<Action>) {
         out.push(Action::News(News::Violation(violation)));
     }
 }
--- a/components/consensus/src/replication.rs
+++ b/components/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! The follower: takes entries and snapshots from the leader.
+//! The follower: accepts entries and snapshots from the leader.
 
 use model::{NodeName, Time};
 
@@ -7,8 +7,8 @@
 use crate::{Action, Message, News, Record, Snapshot, Violation};
 
 impl Replica {
-    /// Takes an append or a snapshot, unless its sender no longer leads.
-    pub(crate) fn follow_leader(
+    /// Handles an append or a snapshot; rejects it if the sender's term is outdated.
+    pub(crate) fn handle_leader_message(
         &mut self,
         now: Time,
         from: &NodeName,
@@ -16,46 +16,59 @@
         out: &mut Vec<Action>,
     ) {
         if message.term() < self.term {
-            return self.reply(from, false, self.log.last_index(), Time::default(), out);
+            return self.send_append_reply(
+                from,
+                false,
+                self.log.last_index(),
+                Time::default(),
+                out,
+            );
         }
-        self.take_term(message.term(), out);
+        self.adopt_term(message.term(), out);
         if matches!(self.role, Role::Leader(_)) {
-            return self.violation(Violation::TwoLeaders(self.term), out);
+            return self.report_violation(Violation::TwoLeaders(self.term), out);
         }
         self.role = Role::Follower;
-        self.follow(now, from, out);
+        self.record_leader_contact(now, from, out);
         match message {
             Message::Append { prev_index, prev_term, entries, commit, sent, sure, .. } => {
-                let before = (prev_index, prev_term);
-                let Some(last) = self.take_entries(before, entries, commit, out) else {
+                let previous = (prev_index, prev_term);
+                let Some(last) = self.append_entries(previous, entries, commit, out) else {
                     let hint = self.log.last_index().min(prev_index.saturating_sub(1));
-                    return self.reply(from, false, hint, sent, out);
+                    return self.send_append_reply(from, false, hint, sent, out);
                 };
                 self.commit_to(commit.min(last), out);
                 if sure && last >= commit {
-                    self.caught_up(out);
+                    self.finish_catch_up(out);
                 }
-                self.reply(from, true, last, sent, out);
+                self.send_append_reply(from, true, last, sent, out);
             }
             Message::Install { snapshot, sent, .. } => {
                 let index = snapshot.index;
-                self.install(snapshot, out);
-                self.reply(from, true, index, sent, out);
+                self.install_snapshot(snapshot, out);
+                self.send_append_reply(from, true, index, sent, out);
             }
             _ => {}
         }
     }
 
-    fn follow(&mut self, now: Time, leader: &NodeName, out: &mut Vec<Action>) {
+    fn record_leader_contact(&mut self, now: Time, leader: &NodeName, out: &mut Vec<Action>) {
         if self.leader.as_ref() != Some(leader) {
             self.leader = Some(leader.clone());
             out.push(Action::News(News::Follows(leader.clone(), self.term)));
         }
-        self.votes_from = now + self.timing.election;
-        self.wait_for_leader(now);
+        self.no_vote_before = now + self.timing.election;
+        self.reset_election_timer(now);
     }
 
-    fn reply(&self, to: &NodeName, fitted: bool, index: Index, sent: Time, out: &mut Vec<Action>) {
+    fn send_append_reply(
+        &self,
+        to: &NodeName,
+        fitted: bool,
+        index: Index,
+        sent: Time,
+        out: &mut Vec<Action>,
+    ) {
         let (term, blank) = (self.term, self.blank);
         out.push(Action::Send(
             to.clone(),
@@ -63,9 +76,10 @@
         ));
     }
 
-    /// Adds entries behind the one before them; returns the last entry known to be the leader's,
-    /// or `None` where the one before them is missing or another.
-    fn take_entries(
+    /// Appends the leader's entries after the entry at `prev_index`. Returns the last index known
+    /// to agree with the leader, or `None` if the entry at `prev_index` is missing or has another
+    /// term.
+    fn append_entries(
         &mut self,
         (prev_index, prev_term): (Index, Term),
         entries: Vec<Entry>,
@@ -77,15 +91,15 @@
             return None;
         }
         let last = prev_index + entries.len() as Index;
-        // Committed entries, which a snapshot covers, are the leader's too.
+        // Entries that the snapshot covers are committed and therefore agree with the leader's.
         let last = last.max(self.log.snapshot.index);
-        let known = |entry: &Entry| {
+        let is_present = |entry: &Entry| {
             entry.index <= self.log.snapshot.index || self.log.term(entry.index) == Some(entry.term)
         };
-        let fresh: Vec<Entry> = entries.into_iter().skip_while(known).collect();
-        let Some(first) = fresh.first().map(|entry| entry.index) else { return Some(last) };
+        let new_entries: Vec<Entry> = entries.into_iter().skip_while(is_present).collect();
+        let Some(first) = new_entries.first().map(|entry| entry.index) else { return Some(last) };
         if first <= self.commit {
-            self.violation(Violation::CommittedLost(first), out);
+            self.report_violation(Violation::CommittedLost(first), out);
             return None;
         }
         let mut records = Vec::new();
@@ -93,14 +107,14 @@
             self.log.truncate(first);
             records.push(Record::Truncate(first));
         }
-        records.push(Record::Append(fresh.clone()));
+        records.push(Record::Append(new_entries.clone()));
         records.push(Record::Commit(commit.min(last)));
-        fresh.into_iter().for_each(|entry| self.log.push(entry));
+        new_entries.into_iter().for_each(|entry| self.log.push(entry));
         out.push(Action::Store(records));
         Some(last)
     }
 
-    fn install(&mut self, snapshot: Snapshot, out: &mut Vec<Action>) {
+    fn install_snapshot(&mut self, snapshot: Snapshot, out: &mut Vec<Action>) {
         if snapshot.index <= self.commit && !self.log.snapshot.state.is_empty() {
             return;
         }
@@ -110,8 +124,8 @@
         out.push(Action::Install(snapshot));
     }
 
-    /// Has every entry that a sure leader had committed: votes again.
-    fn caught_up(&mut self, out: &mut Vec<Action>) {
+    /// Marks a blank replica as caught up, so that it votes again.
+    fn finish_catch_up(&mut self, out: &mut Vec<Action>) {
         if self.blank {
             self.blank = false;
             out.push(Action::Store(vec![Record::Blank(false)]));
