--- a/components/consensus/tests/cluster/mod.rs
+++ b/components/consensus/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! Replicas that exchange messages in virtual time, each with a disk.
+//! A simulated cluster: replicas with journals that exchange messages in virtual time.
 
-// Each test file uses a part of it.
+// Not every test file uses all helpers.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -16,19 +16,19 @@
 const START: Time = Time::from_millis(1_000_000);
 const HOP: Duration = Duration::from_millis(2);
 
-/// One replica with its disk.
+/// A replica with its journal.
 pub struct Node {
     pub replica: Option<Replica>,
     pub disk: Vec<Record>,
     pub committed: Vec<Entry>,
 }
 
-/// Replicas, and which of them can't be reached.
+/// The replicas, and the network between them.
 pub struct Cluster {
     pub now: Time,
     pub nodes: BTreeMap<NodeName, Node>,
     pub cut: BTreeSet<NodeName>,
-    /// Whom replicas know that are no members; all where there is none.
+    /// The replicas that a non-member asks; all if `None`.
     pub contacts: Option<Vec<NodeName>>,
     timing: Timing,
     frames: BinaryHeap<Reverse<(Time, u64)>>,
@@ -36,7 +36,7 @@
     sequence: u64,
     proposals: u64,
     lives: u64,
-    /// The most bytes of commands that one message had.
+    /// The largest total size of commands in one message, in bytes.
     pub largest: usize,
 }
 
@@ -54,13 +54,13 @@
 }
 
 impl Cluster {
-    /// Replicas whose members never change.
+    /// A cluster whose members never change.
     pub fn new(count: usize) -> Self {
         Self::with_timing(count, Timing::default())
     }
 
-    /// Replicas of which so many found the cluster and so many are to vote; a replica without a
-    /// journal knows the founders only.
+    /// `founders` replicas found the cluster and the others join; up to `voters` replicas vote.
+    /// Joining replicas know only the founders.
     pub fn founded(founders: usize, voters: usize, count: usize) -> Self {
         let timing = Timing { voters: Some(voters), ..Timing::default() };
         let mut cluster = Self::with_timing(founders, timing);
@@ -69,7 +69,7 @@
         cluster
     }
 
-    /// Replicas of which so many are to vote.
+    /// A cluster that maintains `count` voters.
     pub fn with_voters(count: usize) -> Self {
         Self::with_timing(count, Timing { voters: Some(count), ..Timing::default() })
     }
@@ -112,7 +112,7 @@
         node.replica = Some(replica);
     }
 
-    /// Starts a replica on an empty disk that knows nothing but whom to ask.
+    /// Starts a replica on an empty disk.
     pub fn add(&mut self, name: &NodeName) {
         let disk = Replica::blank_records(Vec::new());
         let node = Node { replica: None, disk, committed: Vec::new() };
@@ -124,8 +124,8 @@
         self.nodes.get_mut(name).unwrap().replica = None;
     }
 
-    /// Loses power, perhaps while the next message to it is being stored: of what was not synced,
-    /// the first `kept` records are there, and nothing that was to follow them is done.
+    /// Cuts the power while the next message is processed: only the first `kept` unsynced records
+    /// are stored, and no later action is performed.
     pub fn lose_power(&mut self, name: &NodeName, kept: usize) {
         let now = self.now;
         let to_it = self.contents.iter().filter(|(_, (_, to, _))| to == name);
@@ -166,7 +166,7 @@
 
     pub fn handle(&mut self, name: &NodeName, event: Event) -> Vec<Action> {
         let now = self.now;
-        // One that is gone for good takes nothing.
+        // The replica was removed for good.
         let Some(node) = self.nodes.get_mut(name) else { return Vec::new() };
         let Some(replica) = &mut node.replica else { return Vec::new() };
         let mut actions = Vec::new();
@@ -188,7 +188,7 @@
         actions
     }
 
-    /// Drops what is on its way: the hosts at both ends have lost power.
+    /// Drops all messages in transit.
     pub fn drop_frames(&mut self) {
         self.contents.clear();
     }
@@ -207,7 +207,7 @@
         self.nodes[name].replica.as_ref().expect("it lives")
     }
 
-    /// The replica that is sure to lead; at most one is.
+    /// The confirmed leader; asserts that there is at most one.
     pub fn leader(&self) -> Option<NodeName> {
         let sure = |(_, node): &(&NodeName, &Node)| {
             node.replica.as_ref().is_some_and(|replica| replica.is_sure(self.now))
@@ -218,7 +218,7 @@
         leaders.into_iter().next()
     }
 
-    /// Proposes a command at the leader and waits until it is committed there.
+    /// Proposes a command; returns whether the leader commits it within 50 ms.
     pub fn propose(&mut self, command: &[u8]) -> bool {
         let Some(leader) = self.leader() else { return false };
         self.proposals += 1;
--- a/components/consensus/tests/halls_lost.rs
+++ b/components/consensus/tests/halls_lost.rs
@@ -1,5 +1,5 @@
-//! Six replicas, two in each of three data halls, of which five vote: the loss and the cut of each hall, alone and
-//! while changes are under way.
+//! Loss and network isolation of each hall in turn, while changes are in progress: six replicas in
+//! three halls, five of which vote.
 
 mod cluster;
 
@@ -9,21 +9,21 @@
 use consensus::{Event, ProposalId};
 use model::NodeName;
 
-/// The replicas of each hall. The first three found the cluster, one in each.
+/// The replicas of each hall. The first three, one in each hall, found the cluster.
 const HALLS: [[usize; 2]; 3] = [[1, 4], [2, 5], [3, 6]];
-/// All orders in which the halls may go.
+/// All orders in which the halls fail.
 const ORDERS: [[usize; 3]; 6] = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
-/// Without its leader a cluster leads again within this; changes are unanswered until then.
+/// Maximum time without a leader.
 const LEADS_AGAIN: Duration = Duration::from_millis(1_500);
-/// How long users have a hall that came back count as lost.
+/// Time for the replicas of a recovered hall to catch up.
 const CATCH_UP: Duration = Duration::from_secs(6);
 
-/// How a hall goes.
+/// How a hall fails.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
-    /// Its replicas lose power, and come back with their disks.
+    /// The replicas lose power and restart with their disks.
     Power,
-    /// Nobody reaches them; they run on.
+    /// The replicas keep running but are unreachable.
     Cut,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// A cluster of which five of six replicas vote.
+/// A cluster in which five of six replicas vote.
 fn settled() -> Cluster {
     let mut cluster = Cluster::founded(3, 5, 6);
     cluster.run_for(ELECTION + CATCH_UP);
@@ -58,7 +58,7 @@
     cluster
 }
 
-/// Runs until one leads outside of the lost hall; returns how long that took.
+/// Runs until a replica outside the failed hall leads; returns the elapsed time.
 fn until_led(cluster: &mut Cluster, lost: &[NodeName]) -> Duration {
     let began = cluster.now;
     while cluster.leader().is_none_or(|leader| lost.contains(&leader)) {
@@ -68,7 +68,7 @@
     cluster.now.since(began)
 }
 
-/// Loses the halls one after the other, a change under way at each loss.
+/// Fails the halls in turn, each with a change in progress.
 fn lose_in_turn(order: [usize; 3], loss: Loss) -> Duration {
     let mut cluster = settled();
     let mut acknowledged: Vec<Vec<u8>> = Vec::new();
@@ -78,7 +78,7 @@
         let before = format!("before {turn}").into_bytes();
         assert!(cluster.propose(&before), "{order:?} {loss:?}, turn {turn}");
         acknowledged.push(before);
-        // Taken by the leader, sent to nobody's answer yet: it may last or not, and nobody is told that it does.
+        // Not acknowledged, so it may or may not survive.
         if let Some(leader) = cluster.leader() {
             let (id, command) = (ProposalId(1_000 + turn as u64), b"under way".to_vec());
             cluster.handle(&leader, Event::Propose { id, command });
--- a/components/consensus/tests/members.rs
+++ b/components/consensus/tests/members.rs
@@ -1,4 +1,4 @@
-//! Replicas whose members change.
+//! Clusters whose members change.
 
 mod cluster;
 
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A replaced replica's successor has so long to catch up and to vote.
+/// Time for a new replica to catch up and become a voter.
 const CATCH_UP: Duration = Duration::from_secs(4);
 
 fn voters(cluster: &Cluster, at: &NodeName) -> Vec<NodeName> {
@@ -22,7 +22,7 @@
     numbers.iter().copied().map(name).collect()
 }
 
-/// Three voters of which the first was lost and replaced by a fourth; and who leads.
+/// Three voters, the first of which was replaced by a fourth, and the leader.
 fn with_first_replaced() -> (Cluster, NodeName) {
     let mut cluster = Cluster::with_voters(3);
     cluster.run_for(ELECTION);
@@ -45,7 +45,7 @@
     let leader = cluster.leader().expect("one leads");
     assert_eq!(voters(&cluster, &leader), names(&[2, 3, 4]));
     assert!(!cluster.replica(&name(4)).is_blank());
-    // The next loss is borne by the new members.
+    // The new members must tolerate another loss.
     let second = [2, 3].map(name).into_iter().find(|name| *name != leader).expect("another");
     cluster.kill(&second);
     cluster.run_for(ELECTION);
@@ -158,8 +158,8 @@
     assert_eq!(cluster.replica(&name(4)).term(), 0);
 }
 
-/// One random run: kills, restarts, cuts, replicas gone for good and new ones, one disk lost at a
-/// time with all others up. What was committed has to be there at the end.
+/// Random faults: stops, restarts, isolation, replaced replicas, and one lost disk at a time. All
+/// committed entries must be present at the end.
 fn random_run(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut cluster = Cluster::with_voters(3);
@@ -180,7 +180,7 @@
                 cluster.cut.insert(up[rng.random_range(0..up.len())].clone());
             }
             2 if whole => {
-                // Gone for good; an empty one comes at another address.
+                // A replica is removed for good and replaced by a new one with an empty disk.
                 let gone = up[rng.random_range(0..up.len())].clone();
                 cluster.kill(&gone);
                 cluster.nodes.remove(&gone);
@@ -197,7 +197,7 @@
                 cluster.run_for(CATCH_UP + ELECTION);
             }
             4 => {
-                // All lose power, and come back.
+                // All replicas restart at once.
                 up.iter().for_each(|name| cluster.kill(name));
                 up.iter().for_each(|name| cluster.start(name));
             }
--- a/components/consensus/tests/power_loss.rs
+++ b/components/consensus/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! As many disks as the cluster bears are lost, and in the same moment all others lose power.
+//! As many disks as the cluster tolerates are lost while all other replicas lose power.
 
 mod cluster;
 
@@ -11,14 +11,15 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// After the last restart somebody leads within this: four rounds of an election at its longest.
+/// Maximum time until a replica leads after the last restart: four election timeouts at their
+/// longest.
 const LEADER_DUE: Duration = Duration::from_millis(4 * 2 * 400);
-/// Replicas that begin on empty disks vote again within this.
+/// Maximum time until replicas that started on empty disks vote again.
 const CAUGHT_UP_DUE: Duration = Duration::from_secs(6);
-/// Longest time between two restarts after a loss of power.
+/// Maximum delay between two restarts after a power loss.
 const LONGEST_STAGGER: Duration = Duration::from_millis(1_500);
 
-/// Whether an entry is in what a replica has on its disk.
+/// Whether the command is in a replica's journal.
 fn on_disk(cluster: &Cluster, at: &NodeName, command: &[u8]) -> bool {
     let is = |payload: &Payload| *payload == Payload::Command(command.to_vec());
     cluster.nodes[at].disk.iter().any(|record| match record {
@@ -27,7 +28,7 @@
     })
 }
 
-/// Runs until something holds, for a while at most; returns whether it does.
+/// Runs until the condition holds or the time is over; returns whether it holds.
 fn run_until(cluster: &mut Cluster, most: Duration, done: impl Fn(&Cluster) -> bool) -> bool {
     let end = cluster.now + most;
     while !done(cluster) && cluster.now < end {
@@ -36,20 +37,15 @@
     done(cluster)
 }
 
-/// What users saw: a configuration that had been acknowledged was gone after a disk had been lost and
-/// power had failed twice. Order of events: two of three replicas have the last entry; the disk of
-/// one is lost as all lose power; the other leads, by the vote of the third, which is 65 entries
-/// behind; before the third has all of them, it and the leader lose power again. Cause: the new
-/// leader did not know yet that the last entry is committed, so that the empty disk, which had
-/// all up to the one before, was told that it had caught up, and voted for the third. Evidence: the
-/// replica on the empty disk votes while the last entry is on no disk but the leader's.
+/// A replica on an empty disk must not count as caught up with a leader that has not yet committed
+/// an entry of its term. Otherwise it could vote for a replica that lacks a committed entry.
 #[test]
 fn an_empty_disk_has_not_caught_up_with_a_leader_that_does_not_know_what_is_committed() {
     let mut cluster = Cluster::with_voters(3);
     let behind = name(3);
     cluster.cut.insert(behind.clone());
     cluster.run_for(ELECTION);
-    // Entries 3 to 66; one message carries 64, and what follows the snapshot begins at 2.
+    // One more than fits into a single message, so that the lagging replica needs two messages.
     for number in 0..64_u8 {
         assert!(cluster.propose(&[number]));
     }
@@ -82,7 +78,7 @@
     assert!(!cluster.replica(&wiped).is_blank());
 }
 
-/// Proposes at the leader and runs until it is committed there, not a moment longer.
+/// Proposes a command and runs just until the leader has committed it.
 fn propose_now(cluster: &mut Cluster, id: u64, command: &[u8]) -> bool {
     let Some(leader) = cluster.leader() else { return false };
     let event = Event::Propose { id: ProposalId(id), command: command.to_vec() };
@@ -90,7 +86,8 @@
     run_until(cluster, Duration::from_millis(200), |cluster| cluster.has(&leader, command))
 }
 
-/// Whose disks are lost: the leader's and those of others that have the entry first, or any.
+/// Chooses the replicas that lose their disks: any, those that have the command first, or the
+/// leader first.
 fn disks_to_lose(
     cluster: &Cluster,
     rng: &mut ChaCha8Rng,
@@ -110,7 +107,7 @@
     all
 }
 
-/// All lose power, some of them their disks; all come back in any order.
+/// All replicas lose power, some also their disks, and restart in random order.
 fn lose_all_power(cluster: &mut Cluster, rng: &mut ChaCha8Rng, wiped: &[NodeName]) {
     let mut all: Vec<NodeName> = cluster.nodes.keys().cloned().collect();
     for name in &all {
@@ -129,8 +126,8 @@
     }
 }
 
-/// One run: changes, and after each acknowledgement a loss of as many disks as the cluster bears and
-/// of all power; a change may be under way.
+/// Repeats: acknowledged changes, then a loss of disks and power. Acknowledged changes must
+/// survive.
 fn run(seed: u64, founders: usize, voters: usize, count: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut cluster = Cluster::founded(founders, voters, count);
@@ -145,7 +142,7 @@
         let newest = kept.last().cloned().expect("one was committed");
         let wiped = disks_to_lose(&cluster, &mut rng, voters / 2, &newest);
         if rng.random_bool(0.5) {
-            // Another change is under way when the power fails.
+            // Another change is in progress when the power fails.
             let leader = cluster.leader().expect("one leads");
             let event = Event::Propose { id: ProposalId(1_000), command: vec![round, 99] };
             cluster.handle(&leader, event);
@@ -190,16 +187,13 @@
     (0..50).for_each(|seed| run(seed, 3, 5, 5));
 }
 
-/// What users saw: a host of the core that had been replaced by a new one counted for good as lost,
-/// since the new one never voted; the next lost disk was one too many. Order of events: five vote, and
-/// one that is no seed leads; another goes for good; the new one, on an empty disk, knows the
-/// three seeds and asks them. Cause: only the leader acts on its question, and no other told it who
-/// leads. Evidence: the new one has no members, and asks the same three for ever.
+/// A new replica must be able to join even if no replica that it knows leads: the others refer it
+/// to the leader.
 #[test]
 fn a_new_replica_joins_though_it_knows_none_that_leads() {
     let mut cluster = Cluster::founded(3, 5, 5);
     cluster.run_for(ELECTION + ELECTION);
-    // Leadership is handed on until one leads that is no seed.
+    // Transfers leadership until a replica leads that the new one does not know.
     for _ in 0..60 {
         let leader = cluster.leader().expect("one leads");
         if [4, 5].map(name).contains(&leader) {
--- a/components/consensus/tests/replicas.rs
+++ b/components/consensus/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas whose members never change.
+//! Clusters whose members never change.
 
 mod cluster;
 
@@ -76,10 +76,11 @@
     cluster.run_for(ELECTION);
     let leader = cluster.leader().unwrap();
     let others: Vec<NodeName> = (1..=3).map(name).filter(|name| *name != leader).collect();
-    // Only the leader and the first other have the entry.
+    // Only the leader and the first follower have the entry.
     cluster.cut.insert(others[1].clone());
     assert!(cluster.propose(b"kept"));
-    // The first other loses its disk, the leader dies, the one without the entry comes back.
+    // The first follower loses its disk and the leader stops; the follower without the entry
+    // returns.
     cluster.kill(&others[0]);
     cluster.lose_disk(&others[0]);
     cluster.kill(&leader);
@@ -111,7 +112,7 @@
     cluster.kill(&name(3));
     cluster.run_for(ELECTION);
     assert!(cluster.propose(b"next"));
-    // Followers learn of the commit with the next sign of the leader.
+    // Followers receive the new commit index with the next heartbeat.
     cluster.run_for(Duration::from_millis(300));
     assert!(cluster.has(&name(1), b"next") && cluster.has(&name(2), b"next"));
     let snapshot_or_entry = |number: usize| {
@@ -183,9 +184,8 @@
     assert!(!cluster.has(&leader, b"lonely"));
 }
 
-/// What operators would see: a keeper that was down while configurations of 845 kB changed 40 times never takes part
-/// again. The cause, found by reading after links of entries had been filled by whole configurations: what it lacks was
-/// counted in entries, 64 to a message, and no frame takes 34 MB. Before: 4,000,000 bytes in one message of this run.
+/// A replica that missed many large entries must receive them in messages of limited size; a limit
+/// on the number of entries alone exceeded the longest frame.
 #[test]
 fn a_replica_that_missed_many_large_entries_is_sent_them_in_bounded_messages() {
     let mut cluster = Cluster::new(3);
@@ -201,7 +201,7 @@
     cluster.run_for(ELECTION);
     assert!(cluster.has(&behind, &large(39)));
     assert!(cluster.largest <= 1_100_000, "{} bytes in one message", cluster.largest);
-    // An entry that is larger than a message is to be is sent alone.
+    // An entry that exceeds the limit is sent on its own.
     let huge = vec![7; 3_000_000];
     assert!(cluster.propose(&huge));
     cluster.run_for(ELECTION);
--- a/components/keeper/src/committed.rs
+++ b/components/keeper/src/committed.rs
@@ -1,5 +1,5 @@
-//! What the replicated log commits: it is applied to the state, whoever waits for it is answered, nodes are told, and a
-//! long log is replaced by the state.
+//! Applies what the replicated log commits to the state, answers the pending calls, notifies the
+//! watching nodes and compacts the log.
 
 use consensus::{Entry, Payload, Snapshot};
 use model::Time;
@@ -8,16 +8,16 @@
 use crate::registry::Watcher;
 use crate::{Action, Keeper, KeeperError, LogCommand, News, Reply, State};
 
-/// Entries after which the log is replaced by a snapshot.
+/// Number of log entries above which the log is compacted to a snapshot.
 const COMPACT_AT: usize = 1_000;
-/// Bytes of committed commands after which it is so as well: a small part of the smallest disk.
-/// A bound by entries alone would let large configurations fill the disk of each keeper at once.
+/// Size of the committed commands above which the log is compacted as well. A limit on the number
+/// of entries alone would let large documents fill the disk.
 const COMPACT_AT_BYTES: usize = 8_000_000;
-/// Replaced documents that are still sent. While versions follow each other faster than a slow link carries one, a node
-/// that had to begin anew with each would get none: it finishes one that is at most so many versions old.
+/// Number of replaced documents that nodes can still fetch. A node on a slow link can finish a
+/// transfer even if newer versions arrive faster than it fetches them.
 const REPLACED_KEPT: usize = 3;
 
-/// What of the state lasts, in a snapshot.
+/// Serializes the state for a snapshot.
 pub(crate) fn encode(state: &State) -> Vec<u8> {
     serde_json::to_vec(state).expect("plain structs become JSON")
 }
@@ -30,7 +30,7 @@
 }
 
 impl Keeper {
-    /// Hands an event to the replica and acts on what follows.
+    /// Passes an event to the replica and performs the resulting actions.
     pub(crate) fn drive(&mut self, now: Time, event: consensus::Event, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         self.replica.handle(now, event, &mut actions);
@@ -117,7 +117,7 @@
         self.answer_watchers(ended, out);
     }
 
-    /// Keeps a document for nodes that are in the middle of fetching it.
+    /// Keeps a replaced document for nodes that are still fetching it.
     fn remember_replaced(&mut self, document: Option<Document>) {
         self.replaced.extend(document);
         if self.replaced.len() > REPLACED_KEPT {
@@ -139,8 +139,7 @@
         }
     }
 
-    /// Replaces the log by the state. The replica takes the last committed entry for its end, and
-    /// the state has every committed entry.
+    /// Replaces the log by a snapshot of the state. Both end at the last committed entry.
     fn compact(&mut self, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         self.replica.compact(encode(&self.state), &mut actions);
@@ -156,8 +155,8 @@
         self.answer_watchers(ended, out);
     }
 
-    /// What is committed here is told whether or not this keeper leads: a node takes the highest
-    /// version that it is told.
+    /// Answers watching nodes, whether or not this keeper leads: what is committed here is final,
+    /// and nodes keep the highest version that they receive.
     pub(crate) fn answer_watchers(&self, ended: Vec<Watcher>, out: &mut Vec<Action>) {
         if ended.is_empty() {
             return;
@@ -176,7 +175,7 @@
         }
     }
 
-    /// The halls that are emptied, for a node that was told of a revision here.
+    /// The emptied halls, if they are newer than the revision that a node has.
     fn halls_news(&self, told: u64) -> Option<EmptiedHalls> {
         let halls = self.state.halls();
         (halls.revision > told).then(|| halls.clone())
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches a keeper and what it does.
+//! Inputs and outputs of a keeper.
 
 use consensus::{Message, Record};
 use model::NodeName;
@@ -10,104 +10,106 @@
 
 use crate::Version;
 
-/// Someone who waits for a reply, numbered by the daemon.
+/// Identifies a call that waits for a reply; assigned by the caller of [`crate::Keeper::handle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket(pub u64);
 
-/// What reaches a keeper.
+/// An input of a keeper.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An operator's change.
+    /// An operator changes the settings tree.
     Change(Ticket, ChangeRequest),
-    /// An operator reads the tree.
+    /// An operator reads the settings tree.
     Read(Ticket),
-    /// An operator reads the last versions.
+    /// An operator reads the recent versions of the settings tree.
     History(Ticket),
-    /// An operator replaces the whole document.
+    /// An operator replaces the document.
     Replace(Ticket, Document),
     /// An operator reads the document.
     Fetch(Ticket),
-    /// An operator has a hall emptied or refilled.
+    /// An operator empties or refills a hall.
     OrderHall(Ticket, HallOrder),
-    /// An operator reads which halls are emptied.
+    /// An operator reads the emptied halls.
     ReadHalls(Ticket),
-    /// A node registers and waits for news.
+    /// A node registers and waits for updates (long poll).
     Watch(Ticket, WatchRequest),
-    /// A node asks for a part of a document.
+    /// A node requests a part of a document.
     Part(Ticket, PartRequest),
-    /// The process is about to stop.
+    /// The process is about to stop; a leader transfers leadership.
     Resign,
-    /// A node asks for newer settings.
+    /// A node requests newer settings and waits for them (long poll).
     Pull(Ticket, PullRequest),
-    /// Another keeper's message.
+    /// A message from another keeper.
     Peer(NodeName, Message),
-    /// Time has passed.
+    /// Checks the timers.
     Tick,
 }
 
-/// A version of the tree, for operators.
+/// The settings tree at one version, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TreeReply {
-    /// The version.
+    /// The version of the tree.
     pub version: u64,
-    /// The tree as INI.
+    /// The tree in INI format.
     pub tree: String,
 }
 
-/// A reply to one who waits.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To a change: its first answer.
+    /// The result of a change. A repeated change gets its first result.
     Change(ChangeResult),
-    /// To a read.
+    /// The settings tree.
     Tree(TreeReply),
-    /// To a question for the last versions.
+    /// The recent versions, oldest first.
     History(Vec<Version>),
-    /// To a document: it lasts, or a higher version does.
+    /// The document, or one with a higher version, is committed.
     Replaced,
-    /// To a read of the document; none where there never was one.
+    /// The current document; `None` if there has never been one.
     Document(Option<Document>),
-    /// To an order for a hall, which lasts, and to a read of the halls that are emptied.
+    /// The emptied halls, for a read or after a committed hall command.
     Halls(EmptiedHalls),
-    /// To a node that is registered.
+    /// Updates for a registered node.
     Watch(WatchReply),
-    /// To a node that asks for a part; none where this keeper has not that version.
+    /// A part of a document; `None` if this keeper does not have that version.
     Part(Option<DocumentPart>),
-    /// To a node.
+    /// Newer settings for a node.
     Pull(PullReply),
-    /// This keeper is not sure to lead: nothing is known from it. Of a change, not even whether
-    /// it was taken.
+    /// This keeper is not the confirmed leader; holds the leader it follows, if known. A change
+    /// that was already sent may still be committed.
     Unsure(Option<NodeName>),
 }
 
-/// What a keeper does. Stores come before what depends on them.
+/// An output of a keeper. Actions have to be performed in order, as later ones may depend on
+/// earlier stores.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Writes records; they have to be synced before any later action is done.
+    /// Appends records to the journal; they have to be synced before any later action is performed.
     Store(Vec<Record>),
-    /// Replaces all records by these, in one step, synced.
+    /// Atomically replaces all records of the journal by these and syncs it.
     Rewrite(Vec<Record>),
-    /// Sends a message to another keeper; it may be lost.
+    /// Sends a message to another keeper; delivery is not guaranteed.
     Send(NodeName, Message),
-    /// Replies to one who waits.
+    /// Replies to a call.
     Respond(Ticket, Reply),
-    /// Reports a change of state.
+    /// Reports a change of state for the operator's log.
     News(News),
 }
 
-/// A change of a keeper's state, for the log.
+/// A change of a keeper's state, reported to the operator's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum News {
-    /// Of the replicated log.
+    /// An event of the replicated log.
     Log(consensus::News),
-    /// A version was accepted.
+    /// This version of the settings tree was committed.
     Version(u64),
-    /// A document came into force.
+    /// This version of the document was committed.
     Document(u64),
-    /// Other halls are emptied than before.
+    /// The set of emptied halls changed.
     Halls(EmptiedHalls),
-    /// The list of registered nodes is another one.
+    /// The number of registered nodes changed.
     Nodes(usize),
-    /// An entry of the log can't be read: written by a newer program, or a bug.
+    /// The log entry at this index can't be decoded: it was written by a newer release, or there is
+    /// a bug.
     Unreadable(u64),
 }
--- a/components/keeper/src/fetch.rs
+++ b/components/keeper/src/fetch.rs
@@ -1,9 +1,9 @@
-//! The node's side of a new document: whom it asks for the next part.
+//! The node's side of a document transfer: chooses the source of the next part.
 //!
-//! Keepers and agents tell a node which version they have. It fetches the newest, one part at a time and each from the
-//! next of those that have it: a document comes to a node once, however many have it, and each of them sends its share. What
-//! has come stays, whoever sent it: a source that goes silent costs a part, and a link that is slow costs time, but never
-//! the whole document again. Asking for a whole one with a time-out would never end where the document takes longer than that.
+//! Keepers and agents advertise the version that they have. A node fetches the newest one part by
+//! part, taking turns between the sources that have it, so that it receives the document once and
+//! the load is shared. Received parts are kept whichever source sent them: a silent source delays
+//! one part, and a slow link delays the transfer but does not restart it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 use model::Time;
 use wire::{Document, DocumentPart, PartRequest};
 
-/// A part that has not come for so long is asked for elsewhere; it still counts when it comes. Twice what a part
-/// takes alone on the slowest link so far (2 Mbit/s), and a sixth of the time in which a document is to be in force.
+/// Time after which a part is requested from another source. A part that arrives later is still
+/// accepted.
 pub const PART_WITHIN: Duration = Duration::from_millis(300);
 
-/// Who can send parts of a document. Agents come last: what they have may be older than what keepers are about
-/// to tell of.
+/// A source of document parts. Agents are ordered last, as their version may be older than that of
+/// the keepers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DocumentSource {
     /// A keeper, by its address.
     Keeper(SocketAddr),
-    /// An agent, by the number of its session.
+    /// An agent, by its session number.
     Agent(u64),
 }
 
 impl DocumentSource {
-    /// What it is, as a word for the log.
+    /// The kind of the source, as a value for log lines.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Keeper(_) => "keeper",
@@ -36,50 +36,53 @@
     }
 }
 
-/// What follows from an event.
+/// What the caller has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchStep {
-    /// Ask a source for a part, and call [`DocumentFetch::next`] after [`PART_WITHIN`].
+    /// Send the request to the source, and call [`DocumentFetch::next_step`] again after
+    /// [`PART_TIMEOUT`].
     Ask(DocumentSource, PartRequest),
-    /// A document has come whole; this source sent the last part. Call [`DocumentFetch::next`] after it is taken.
+    /// The document is complete; the source sent the last part. Call [`DocumentFetch::next_step`]
+    /// once the document is in force.
     Whole(Document, DocumentSource),
 }
 
-/// A document of which parts are still to come.
+/// A document that is partly received.
 #[derive(Debug)]
 struct Transfer {
     version: u64,
     bytes: Vec<u8>,
-    /// Of the whole that the parts so far belong to; none before the first.
+    /// The digest of the packed document that the received parts belong to; `None` before the first
+    /// part.
     digest: Option<u64>,
-    /// Whom the next part was asked of, and when.
+    /// The source of the outstanding request and when it was sent.
     asked: Option<(DocumentSource, Time)>,
 }
 
-/// A node's fetching of documents.
+/// The state of a node's document transfers.
 #[derive(Debug, Default)]
 pub struct DocumentFetch {
-    /// The newest version that has come whole.
+    /// The newest version that was completely received.
     have: u64,
-    /// The version that each source has told of, where it is newer.
+    /// The version that each source advertises, if newer than `version`.
     offers: BTreeMap<DocumentSource, u64>,
     transfer: Option<Transfer>,
-    /// Who was asked last: the next part is asked of the source after it.
+    /// The source of the latest request; the next one goes to the source after it.
     last: Option<DocumentSource>,
 }
 
 impl DocumentFetch {
-    /// The newest version that has come whole; 0 for none.
+    /// The newest version that was completely received; 0 if none.
     pub fn version(&self) -> u64 {
         self.have
     }
 
-    /// Whether someone has told of a version that has not come yet.
+    /// Whether a source advertises a newer version than the one received.
     pub fn is_behind(&self) -> bool {
         !self.offers.is_empty()
     }
 
-    /// A source tells the version that it has.
+    /// Handles a source's advertisement of its version.
     pub fn offered(
         &mut self,
         now: Time,
@@ -94,7 +97,7 @@
         self.next(now)
     }
 
-    /// A source answers; `None` where it has no such version any more.
+    /// Handles a source's answer; `None` means that it no longer has the requested version.
     pub fn answered(
         &mut self,
         now: Time,
@@ -107,15 +110,15 @@
         }
     }
 
-    /// A source can't be asked any more.
+    /// Handles the loss of the connection to a source.
     pub fn gone(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
         self.offers.remove(&source);
         self.ask_again_if_asked(source);
         self.next(now)
     }
 
-    /// What to ask for next, and of whom. A source that has let its time pass is not asked before it tells of a
-    /// version again.
+    /// The next request to send, if any. A source that timed out is not asked again until it
+    /// advertises a version again.
     pub fn next(&mut self, now: Time) -> Option<FetchStep> {
         if let Some((source, at)) = self.transfer.as_ref().and_then(|transfer| transfer.asked) {
             if now.since(at) < PART_WITHIN {
@@ -125,7 +128,7 @@
             self.ask_again_if_asked(source);
         }
         let newest = self.offers.values().copied().max()?;
-        // Nobody is left who has what was being fetched.
+        // No source has the version of the current transfer any more.
         self.transfer.take_if(|transfer| transfer.version > newest);
         let begin = || Transfer { version: newest, bytes: Vec::new(), digest: None, asked: None };
         let version = self.transfer.get_or_insert_with(begin).version;
@@ -137,7 +140,8 @@
         Some(FetchStep::Ask(source, request))
     }
 
-    /// The source after the last one that has a version, or a newer one: keepers remember some that were replaced.
+    /// The next source in turn that has this version or a newer one, as keepers keep some replaced
+    /// versions. Agents are used only if no keeper qualifies.
     fn next_source(&self, version: u64) -> Option<DocumentSource> {
         let has = |(_, offer): &(&DocumentSource, &u64)| **offer >= version;
         let have: Vec<DocumentSource> =
@@ -156,7 +160,7 @@
         part: DocumentPart,
     ) -> Option<FetchStep> {
         let transfer = self.transfer.as_mut()?;
-        // A part that was asked for elsewhere as well comes twice.
+        // A part that was requested from two sources arrives twice.
         if part.version != transfer.version || part.offset != transfer.bytes.len() {
             return None;
         }
@@ -166,7 +170,7 @@
         transfer.digest = Some(part.digest);
         transfer.bytes.extend_from_slice(&part.bytes);
         transfer.asked = None;
-        // One that was given up as late is there after all.
+        // The source may have been removed after a timeout.
         self.offers.entry(source).or_insert(part.version);
         if transfer.bytes.len() < part.total && !part.bytes.is_empty() {
             return self.next(now);
@@ -175,8 +179,8 @@
         let is_whole = bytes.len() == part.total;
         let document = Document::unpack(version, bytes).filter(|_| is_whole);
         let Some(document) = document else {
-            // It says of itself that it is longer than all that there is, or is no document: not asked before it tells
-            // again.
+            // The parts do not add up to the announced length or can't be unpacked; the source is
+            // not asked again until it advertises a version again.
             self.offers.remove(&source);
             return self.next(now);
         };
@@ -185,8 +189,9 @@
         Some(FetchStep::Whole(document, source))
     }
 
-    /// A source packs the text in another way than the one before, as another release may: the others go on with what has
-    /// come, and where there are none, all of it is asked for again.
+    /// Handles a part whose digest differs from that of the earlier parts, as when another release
+    /// packs the document differently. Other sources continue the transfer; if there are none, it
+    /// restarts from this source.
     fn take_other(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
         self.ask_again_if_asked(source);
         let offer = self.offers.remove(&source);
@@ -197,7 +202,8 @@
         self.next(now)
     }
 
-    /// A source has not the version that is being fetched: it has a newer one by now, or it is another life of it.
+    /// Handles a source that does not have the requested version, because it has a newer one or was
+    /// restarted.
     fn refused(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
         let (asked, version) =
             self.transfer.as_ref().map(|transfer| (transfer.asked, transfer.version))?;
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -1,13 +1,12 @@
-//! A keeper whose disk takes nothing more.
+//! Operation of a keeper whose disk is full.
 //!
-//! It is to the other keepers as one that stands still: nothing that follows from what could not be stored is
-//! sent, and nothing more is handed to the replica until all of it is on the disk. A leader asks another to lead
-//! first, so that changes are taken again after a message and an election rather than after a silence of
-//! 0.4 to 0.8 s. Nodes are served on from memory with what is committed here and with the list of nodes:
-//! a keeper that ended instead was started again every second or two, for as long as its disk was full,
-//! and knew no node each time.
+//! The keeper neither handles messages of other keepers nor sends anything that depends on the
+//! rejected records until these are stored. A leader first hands over leadership, so that changes
+//! are accepted again without waiting for an election timeout. Nodes are still served from memory
+//! with the committed state and the list of nodes, which a restart would lose.
 //!
-//! What is committed here lasts without this disk, since others have it: a keeper that votes alone can't say so.
+//! What is committed here is also on the disks of other keepers, so the keeper can serve it; this
+//! does not hold for a sole voter.
 
 use consensus::Action as LogAction;
 use model::Time;
@@ -15,8 +14,9 @@
 use crate::{Action, Event, Keeper, Reply};
 
 impl Keeper {
-    /// The disk has refused the records of these actions, or what the journal was to begin with. The
-    /// records stay the caller's to store, who tells by [`Keeper::disk_has_room`] once they are.
+    /// Handles a full disk. `refused` are the actions whose records could not be stored; it is
+    /// empty if the first records of the journal could not be written. The caller keeps these
+    /// records and calls [`Keeper::disk_is_writable`] once they are stored.
     pub fn disk_is_full(&mut self, now: Time, refused: Vec<Action>, out: &mut Vec<Action>) {
         self.disk_full = true;
         out.extend(refused.into_iter().filter_map(without_store));
@@ -29,12 +29,13 @@
         }));
     }
 
-    /// All that the disk had refused is stored.
+    /// Resumes normal operation after all rejected records have been stored.
     pub fn disk_has_room(&mut self) {
         self.disk_full = false;
     }
 
-    /// Whether no other keeper votes, so that nothing is certain that isn't on this one's disk.
+    /// Whether this keeper is the only voter, so that nothing is committed unless its own disk has
+    /// it.
     pub fn votes_alone(&self) -> bool {
         self.replica.voters().len() == 1
     }
@@ -51,14 +52,14 @@
             | Event::OrderHall(ticket, _)
             | Event::ReadHalls(ticket)
             | Event::Pull(ticket, _) => self.unsure(ticket, out),
-            // A message that is not taken is as one that is lost.
+            // Dropping a message is safe, as messages may be lost anyway.
             Event::Resign | Event::Peer(..) | Event::Tick => {}
         }
     }
 }
 
-/// What is done of an action whose stores were refused: a message counts as lost, and whoever waits for what
-/// would have lasted is told to ask another keeper.
+/// Reduces an action that followed a rejected store: messages are dropped, and callers whose result
+/// would depend on the store are referred to another keeper.
 fn without_store(action: Action) -> Option<Action> {
     match action {
         Action::Store(_) | Action::Rewrite(_) | Action::Send(..) => None,
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper's state machine: the replicated log with the settings tree on it.
+//! The keeper's state machine: the replicated log with the settings state on top.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -13,45 +13,45 @@
 use crate::waits::{Puller, Waiter};
 use crate::{Action, Command, Event, LogCommand, Reply, State, Ticket, TreeReply};
 
-/// Versions shown to operators.
+/// Maximum number of versions in a history reply.
 const HISTORY: usize = 100;
 
 /// Why a keeper can't start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeeperError {
-    /// The journal's records lead to no log.
+    /// The journal's records can't be replayed.
     #[error("{0}")]
     Log(#[from] RecoverError),
-    /// The snapshot can't be read.
+    /// The state in the journal's snapshot can't be decoded.
     #[error("the snapshot can't be read")]
     Snapshot,
 }
 
-/// One life of one keeper.
+/// A keeper, from one start of the process to its end.
 #[derive(Debug)]
 pub struct Keeper {
     pub(crate) replica: Replica,
     pub(crate) state: State,
-    /// Operators by the entry that holds their change, in its order: what follows from an event is the
-    /// same in each run.
+    /// Pending changes by log index. Ordered, so that the order of replies is deterministic.
     pub(crate) waiters: BTreeMap<Index, Waiter>,
     pub(crate) pullers: Vec<Puller>,
     pub(crate) proposals: HashMap<ProposalId, Waiter>,
     next_proposal: u64,
     pub(crate) registry: Registry,
-    /// The last documents that were replaced, the newest last.
+    /// Recently replaced documents, oldest first.
     pub(crate) replaced: VecDeque<Document>,
-    /// The disk takes nothing more: the replica is handed nothing, as if it stood still.
+    /// Whether the disk is full; the replica then receives no events.
     pub(crate) disk_full: bool,
 }
 
-/// The records of a keeper of a new cluster, with the tree that it begins with.
+/// The journal records that a founding keeper of a new cluster starts with.
 pub fn initial_records(members: Vec<NodeName>, tree: Tree) -> Vec<Record> {
     consensus::initial_records(members, encode(&State::new(tree)))
 }
 
 impl Keeper {
-    /// A keeper from its journal's records; `seed` is any number.
+    /// Restores a keeper from its journal records. `seed` randomizes the election timer and the
+    /// revisions of the list of nodes.
     pub fn recover(
         name: NodeName,
         records: Vec<Record>,
@@ -76,9 +76,8 @@
         Ok(keeper)
     }
 
-    /// Applies what the journal showed to be committed, so that nodes are told of it at once, and
-    /// not only after an election. Nobody waits yet, and it was reported when it was committed first:
-    /// the actions that follow are dropped.
+    /// Applies the entries that the journal records as committed, so that nodes are served before
+    /// an election. There are no callers yet, so the resulting actions are dropped.
     fn apply_recovered(&mut self, now: Time) {
         self.registry.document_is(self.state.document_version());
         self.registry.halls_are(self.state.halls().revision);
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Takes an event and adds the actions that follow.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if self.disk_full {
             self.handle_without_disk(now, event, out);
@@ -138,39 +137,40 @@
         self.answer_watchers(ended, out);
     }
 
-    /// What is committed here is sent whether or not this keeper leads.
+    /// Replies with a part of a committed document, whether or not this keeper leads.
     pub(crate) fn part(&self, ticket: Ticket, request: PartRequest, out: &mut Vec<Action>) {
         let documents = self.state.document().into_iter().chain(&self.replaced);
         let part = documents.filter_map(|document| document.part(request)).next();
         out.push(Action::Respond(ticket, Reply::Part(part)));
     }
 
-    /// The version in force here.
+    /// The committed version of the settings tree.
     pub fn version(&self) -> u64 {
         self.state.version()
     }
 
-    /// The state machine's state.
+    /// The committed state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// How many nodes are registered here.
+    /// The number of nodes registered at this keeper.
     pub fn registered(&self) -> usize {
         self.registry.len()
     }
 
-    /// Names keepers that one which is no member asks to be brought up to date by.
+    /// Sets the keepers to ask for the leader while this keeper is not a member.
     pub fn set_contacts(&mut self, contacts: Vec<NodeName>) {
         self.replica.set_contacts(contacts);
     }
 
-    /// Whether it is sure to lead now, and takes changes.
+    /// Whether this keeper is the confirmed leader and its disk is not full, so that it accepts
+    /// changes.
     pub fn is_sure(&self, now: Time) -> bool {
         !self.disk_full && self.replica.is_sure(now)
     }
 
-    /// The replica below.
+    /// The replica of the log.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
@@ -186,8 +186,8 @@
         self.propose(now, ticket, &command, out);
     }
 
-    /// A version that is not above the one in force changes nothing and is acknowledged: what is
-    /// in force lasts.
+    /// Replaces the document. A version that is not above the committed one changes nothing and is
+    /// acknowledged at once.
     fn replace(&mut self, now: Time, ticket: Ticket, document: Document, out: &mut Vec<Action>) {
         if !self.is_sure(now) {
             return self.unsure(ticket, out);
@@ -198,8 +198,9 @@
         self.propose(now, ticket, &LogCommand::Replace(document), out);
     }
 
-    /// Orders have no version: the log's order is theirs. Each goes through the log, also one that what is
-    /// committed fulfils already, as the opposite order may be under way before it.
+    /// Empties or refills a hall. Hall commands carry no version and take effect in log order. A
+    /// command that the committed state already satisfies is proposed as well, as the opposite
+    /// command may still be uncommitted in the log before it.
     fn order_hall(&mut self, now: Time, ticket: Ticket, order: HallOrder, out: &mut Vec<Action>) {
         if !self.is_sure(now) {
             return self.unsure(ticket, out);
@@ -221,7 +222,8 @@
         self.if_sure(now, ticket, reply, out);
     }
 
-    /// Replies where this keeper is sure to lead, so that what it has is the newest there is.
+    /// Sends the reply only if this keeper is the confirmed leader, so that callers never read an
+    /// outdated state.
     pub(crate) fn if_sure(&self, now: Time, ticket: Ticket, reply: Reply, out: &mut Vec<Action>) {
         if self.is_sure(now) {
             out.push(Action::Respond(ticket, reply));
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -1,10 +1,10 @@
-//! The settings tree as keepers keep it: a replicated log of changes, versions, deltas for nodes.
+//! The settings store of the keepers: a replicated log of changes with versions and deltas.
 //!
-//! Beside the tree they keep one document, which operators replace as a whole, and a list of the
-//! nodes that are registered, which is not replicated.
+//! Besides the settings tree it holds one document, which operators replace as a whole, the emptied
+//! halls, and a list of registered nodes, which is not replicated.
 //!
-//! No clock, socket or disk in here: [`Keeper::handle`] takes a time and an event and gives the
-//! actions that follow.
+//! The crate does no I/O and reads no clock: [`Keeper::handle`] takes the current time and an event
+//! and returns the actions to perform.
 
 mod committed;
 mod event;
--- a/components/keeper/src/registry.rs
+++ b/components/keeper/src/registry.rs
@@ -1,10 +1,10 @@
-//! The nodes that are registered at this keeper, and those of them that wait for news.
+//! The nodes registered at this keeper, and those of them that wait for updates.
 //!
-//! The list is soft state: every node registers at every keeper it knows, again and again, so that
-//! a keeper which has just started has the whole list within a second.
+//! The list is soft state: every node registers repeatedly at every keeper it knows, so a keeper
+//! that has just started soon has the complete list.
 //!
-//! Only entries are told of, and only when they change: most changes are of agents, which nobody looks for. A node that has an
-//! earlier list is told what has changed since, as rows and nodes both grow with the fleet.
+//! Only entries are listed, as no node looks up agents. A node that has an earlier revision of the
+//! list receives the changes since then instead of the whole list.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -15,56 +15,56 @@
 
 use crate::Ticket;
 
-/// How long a node waits for news; it asks again at once.
+/// Maximum time until a waiting node is answered; it then asks again at once.
 const WATCH_TIME: Duration = Duration::from_millis(1_000);
-/// A node that has not asked for so long is no longer listed.
+/// Time without a request after which a node is removed.
 const EXPIRY: Duration = Duration::from_millis(4_000);
-/// A changed list is told this long after the first change, so that nodes which start together
-/// are told of together.
+/// Delay between the first change of the list and its notification, so that nodes which start
+/// together cause one notification.
 const GATHER: Duration = Duration::from_millis(50);
-/// Changes of the list that are remembered for each entry in it: a restart is two. A node that has missed more is told
-/// the whole list.
+/// Number of changes kept per listed entry. A node that has missed more receives the whole list.
 const CHANGES_KEPT_PER_ENTRY: usize = 5;
-/// Bits of a revision that count up; the others tell the keeper's lives apart.
+/// Number of low bits of a revision that count changes; the high bits hold the seed and so differ
+/// between starts of the keeper.
 const REVISION_BITS: u32 = 24;
 
-/// Nodes that do the same.
+/// Nodes with the same role and service.
 type Group = (NodeRole, Arc<str>);
 
-/// A node that waits.
+/// A node that waits for updates.
 #[derive(Clone, Debug)]
 pub(crate) struct Watcher {
     pub ticket: Ticket,
-    /// The nodes that it is one of.
+    /// The group of the node.
     pub group: Group,
-    /// The document that it was told of.
+    /// The document version that the node has.
     document: u64,
-    /// The emptied halls that it was told of.
+    /// The revision of the emptied halls that the node has.
     pub halls: u64,
-    /// The list that it has; `None` where it takes those of other keepers.
+    /// The revision of the list that the node has; `None` if it takes the list from other keepers.
     pub revision: Option<u64>,
-    /// The digest of the keepers that it was told of.
+    /// The digest of the keeper names that the node has.
     pub keepers: u64,
 }
 
-/// The list and who waits.
+/// The registered nodes and the waiting ones.
 #[derive(Debug)]
 pub(crate) struct Registry {
     nodes: BTreeMap<NodeName, (NodeInfo, Time)>,
-    /// How many nodes each group has.
+    /// The number of nodes in each group.
     sizes: BTreeMap<Group, u32>,
     revision: u64,
-    /// The entries that the last revisions changed, the newest last.
+    /// The entry that each of the last revisions changed, oldest first.
     changes: VecDeque<NodeName>,
-    /// The document in force.
+    /// The version of the committed document.
     document: u64,
     /// The revision of the emptied halls.
     halls: u64,
-    /// Who waits, by when they are answered at the latest: at each event only those are looked at whose time is over.
+    /// The waiting nodes, ordered by deadline so that expired ones are found without a scan.
     watchers: BTreeMap<(Time, Ticket), Watcher>,
-    /// No node is silent for too long before: until then none is looked at.
+    /// No node expires before this time; `None` if no node is registered.
     expires_from: Option<Time>,
-    /// When a changed list is told.
+    /// When the watchers are notified of a changed list.
     tell_at: Option<Time>,
 }
 
@@ -88,7 +88,7 @@
         self.nodes.len()
     }
 
-    /// Registers a node; returns it as one to answer where there is news already.
+    /// Registers a node. Returns it as a watcher to answer at once if it is outdated.
     pub fn watch(&mut self, now: Time, ticket: Ticket, request: WatchRequest) -> Vec<Watcher> {
         let WatchRequest { node, document, revision, halls, keepers } = request;
         let group = group_of(&node);
@@ -110,19 +110,19 @@
         Vec::new()
     }
 
-    /// A document came into force; returns who has to be told.
+    /// Sets the document version; returns the watchers to answer.
     pub fn document_is(&mut self, version: u64) -> Vec<Watcher> {
         self.document = version;
         self.take(|watcher| watcher.document < version)
     }
 
-    /// Other halls are emptied; returns who has to be told.
+    /// Sets the revision of the emptied halls; returns the watchers to answer.
     pub fn halls_are(&mut self, revision: u64) -> Vec<Watcher> {
         self.halls = revision;
         self.take(|watcher| watcher.halls < revision)
     }
 
-    /// Lets time pass; returns who has to be answered.
+    /// Checks the timers; returns the watchers to answer.
     pub fn tick(&mut self, now: Time) -> Vec<Watcher> {
         self.expire(now);
         let mut over = self.take_over(now);
@@ -134,7 +134,7 @@
         over
     }
 
-    /// Nodes that have been silent for too long are no longer listed.
+    /// Removes nodes that have been silent for too long.
     fn expire(&mut self, now: Time) {
         if self.expires_from.is_none_or(|from| now < from) {
             return;
@@ -155,7 +155,7 @@
         self.expires_from = longest_silent.map(|heard| heard + EXPIRY);
     }
 
-    /// Takes out those who have waited as long as they may.
+    /// Removes and returns the watchers whose deadline has passed.
     fn take_over(&mut self, now: Time) -> Vec<Watcher> {
         let mut over = Vec::new();
         while let Some(first) = self.watchers.first_entry()
@@ -166,16 +166,18 @@
         over
     }
 
-    /// When the next tick is due.
+    /// When the next tick is due; `None` if nothing is scheduled.
     pub fn next_timer(&self) -> Option<Time> {
         let first = self.watchers.first_key_value().map(|((until, _), _)| *until);
         first.into_iter().chain(self.tell_at).min()
     }
 
-    /// What a node is told that has a list of this keeper, or none.
+    /// The update of the list for a node that has this revision; `None` if the node is up to date
+    /// or takes the list from other keepers.
     pub fn list_news(&self, revision: Option<u64>) -> Option<ListNews> {
         let revision = revision.filter(|revision| *revision != self.revision)?;
-        // A revision of an earlier life of this keeper is far away from the present ones.
+        // A revision from an earlier start of this keeper differs in the high bits, so the
+        // difference exceeds the number of kept changes.
         let missed = self.revision.checked_sub(revision).and_then(|by| usize::try_from(by).ok());
         let known = missed.filter(|missed| *missed <= self.changes.len());
         Some(known.map_or_else(|| ListNews::Whole(self.list()), |missed| self.last_changes(missed)))
@@ -199,18 +201,18 @@
         ListNews::Change(change)
     }
 
-    /// How many nodes do the same as one that waits.
+    /// The number of nodes in the watcher's group.
     pub fn peers(&self, watcher: &Watcher) -> u32 {
         self.sizes.get(&watcher.group).copied().unwrap_or(0)
     }
 
-    /// How many entries are listed.
+    /// The number of listed entries.
     fn entries(&self) -> usize {
         let of_entries = self.sizes.iter().filter(|((role, _), _)| *role == NodeRole::Entry);
         of_entries.map(|(_, size)| *size as usize).sum()
     }
 
-    /// A node is no longer what it was; returns whether it was an entry.
+    /// Removes a node from its group; returns whether it was an entry.
     fn leave_group(&mut self, node: &NodeInfo) -> bool {
         if let Some(size) = self.sizes.get_mut(&group_of(node)) {
             *size = size.saturating_sub(1);
@@ -235,7 +237,8 @@
     }
 }
 
-/// Whether a node that has a revision of the list, or takes none, has to be told of a newer one.
+/// Whether a node that has this revision of the list needs an update; a node with `None` never
+/// does.
 fn lacks_list(has: Option<u64>, newest: u64) -> bool {
     has.is_some_and(|revision| revision != newest)
 }
--- a/components/keeper/src/roster.rs
+++ b/components/keeper/src/roster.rs
@@ -1,11 +1,11 @@
-//! The nodes that a keeper remembers across its lives, and which of them it calls when it is back.
+//! The nodes that a keeper knows across restarts, and which of them it calls after a start.
 //!
-//! Nodes without a disk know of keepers only what their settings name, three addresses. Where everything has
-//! lost power, other keepers may be up first, and nobody asks them. So a keeper that starts calls the nodes that it knew before,
-//! and they ask it.
+//! Nodes without a disk know only the keepers that their settings name. After a power loss of the
+//! whole fleet, other keepers may start first and would be unknown to the nodes. A starting keeper
+//! therefore calls the nodes that it knew before, and they then register.
 //!
-//! A call is a hint and may be lost: a node that does not ask is called again for some seconds. What is remembered is a hint
-//! as well, and neither replicated nor part of the journal.
+//! A call may be lost and is repeated for a few seconds. The stored list is only a hint; it is
+//! neither replicated nor part of the journal.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -15,58 +15,59 @@
 use serde::{Deserialize, Serialize};
 use wire::NodeInfo;
 
-/// From one call to the next. Hosts that lost power together start within some 0.3 s of each other.
+/// Interval between calls.
 const CALL_EVERY: Duration = Duration::from_millis(60);
-/// A node that has not asked for so long after the keeper's start is called no more: the hosts of a hall are
-/// back within seconds, and nodes ask the keepers that their settings name by themselves.
+/// Time after the start for which nodes that have not registered are called. Later, nodes find the
+/// keeper through their settings.
 const CALLED_FOR: Duration = Duration::from_secs(5);
-/// A keeper that starts remembers what it knew before for so long, as nodes ask it one after the other.
+/// Delay of the first store after a start, so that the nodes that register one after another are
+/// stored together.
 const SETTLED: Duration = Duration::from_secs(2);
-/// From one store to the next, at least: a store is three syncs of a disk, some 30 ms.
+/// Minimum interval between two stores, as each store syncs the disk several times.
 const STORE_EVERY: Duration = Duration::from_secs(1);
-/// A node that has not asked for so long is forgotten at the next store.
+/// Time without contact after which a node is removed at the next store.
 const FORGOTTEN: Duration = Duration::from_secs(60);
 
-/// A node as it is remembered.
+/// A node as stored on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RememberedNode {
-    /// Its name.
+    /// The node's name.
     pub name: NodeName,
-    /// Its host; nodes listen for calls at one port.
+    /// The node's host. All nodes listen for calls on the same port.
     pub host: IpAddr,
 }
 
-/// What is to be done.
+/// The work that is due.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RosterWork {
     /// Hosts to call.
     pub call: Vec<IpAddr>,
-    /// What to remember from now on, where it is something else than before.
+    /// The nodes to store on disk; `None` if the stored list is up to date.
     pub store: Option<Vec<RememberedNode>>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Known {
     host: IpAddr,
-    /// When it asked last; none where it has not since the keeper's start.
+    /// When the node last registered; `None` if it has not since the keeper's start.
     heard: Option<Time>,
 }
 
-/// The nodes that one life of a keeper knows, and knew before.
+/// The nodes known to a keeper, including those stored before its start.
 #[derive(Debug)]
 pub struct Roster {
     began: Time,
     nodes: BTreeMap<NodeName, Known>,
-    /// When nodes that have not asked are called next.
+    /// When the nodes that have not registered are called next.
     call_at: Option<Time>,
-    /// When something else is to be remembered than before.
+    /// When the changed list is stored.
     store_at: Option<Time>,
-    /// Nothing is stored before.
+    /// Earliest time of the next store.
     store_from: Time,
 }
 
 impl Roster {
-    /// A keeper starts that remembers these nodes.
+    /// Creates the roster of a starting keeper from the nodes stored on disk.
     pub fn new(now: Time, remembered: Vec<RememberedNode>) -> Self {
         let known = |node: RememberedNode| (node.name, Known { host: node.host, heard: None });
         let nodes: BTreeMap<NodeName, Known> = remembered.into_iter().map(known).collect();
@@ -74,7 +75,7 @@
         Self { began: now, nodes, call_at, store_at: None, store_from: now + SETTLED }
     }
 
-    /// A node asks this keeper.
+    /// Records that a node registered at this keeper.
     pub fn heard(&mut self, now: Time, node: &NodeInfo) {
         let host = node.address.ip();
         let known = Known { host, heard: Some(now) };
@@ -84,12 +85,12 @@
         }
     }
 
-    /// What is due.
+    /// Returns the work that is due.
     pub fn tick(&mut self, now: Time) -> RosterWork {
         RosterWork { call: self.due_calls(now), store: self.due_store(now) }
     }
 
-    /// When something is due next.
+    /// When work is due next.
     pub fn next_timer(&self) -> Option<Time> {
         self.call_at.into_iter().chain(self.store_at).min()
     }
--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -1,4 +1,5 @@
-//! The state that every replica reaches by applying the same commands in the same order.
+//! The replicated state machine: every replica reaches the same state by applying the same commands
+//! in log order.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -8,82 +9,84 @@
 use settings::{Catalog, Edit, SectionPath, Tree};
 use wire::{ChangeRequest, ChangeResult, Document, EmptiedHalls, HallOrder, PullReply};
 
-/// Changes whose first answers are remembered: over a week at 1,200 a day.
+/// Number of changes whose results are kept, to answer repeated requests with the first result.
 const RESULTS_KEPT: usize = 10_000;
-/// Versions whose edits are kept for nodes that lag; a longer lag gets the whole tree.
+/// Number of versions whose edits are kept; a node that is further behind receives the whole tree.
 const VERSIONS_KEPT: usize = 2_000;
 
-/// What an entry of the log holds.
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum LogCommand {
     /// A change of the settings tree.
     Change(Command),
-    /// A whole document.
+    /// A replacement of the whole document.
     Replace(Document),
-    /// A hall is to be emptied or refilled.
+    /// A command to empty or refill a hall.
     Hall(HallOrder),
 }
 
-/// A change as it stands in the log, with the leader's time when it took it.
+/// A change of the settings tree with the leader's time, so that every replica applies it with the
+/// same time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The change.
+    /// The change as the operator sent it.
     pub request: ChangeRequest,
-    /// When the leader took it.
+    /// When the leader accepted the request.
     pub taken: Time,
 }
 
-/// The edits of one version.
+/// One version of the settings tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// The version.
+    /// The number of the version.
     pub version: u64,
-    /// When the leader took the change.
+    /// When the leader accepted the change.
     pub taken: Time,
-    /// What it changed.
+    /// The edits since the previous version.
     pub edits: Vec<Edit>,
 }
 
-/// The settings tree with what is remembered of its changes.
+/// The committed state: the settings tree with its recent history, the document and the emptied
+/// halls.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
     version: u64,
     tree: Tree,
     recent: VecDeque<Version>,
     results: HashMap<String, ChangeResult>,
-    /// Ids of remembered changes, oldest first.
+    /// The ids of the changes in `results`, oldest first.
     order: VecDeque<String>,
-    /// The operators' document of the highest version.
+    /// The document with the highest version.
     #[serde(default)]
     document: Option<Document>,
-    /// The halls that get no new work.
+    /// The emptied halls.
     #[serde(default)]
     halls: EmptiedHalls,
 }
 
 impl State {
-    /// Version 1 of a fleet: the tree that a new keeper starts from.
+    /// The initial state of a new cluster, with the tree as version 1.
     pub fn new(tree: Tree) -> Self {
         Self { version: 1, tree, ..Self::default() }
     }
 
-    /// The version in force.
+    /// The current version of the settings tree.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The document in force.
+    /// The current document.
     pub fn document(&self) -> Option<&Document> {
         self.document.as_ref()
     }
 
-    /// The version of the document in force; 0 where there is none.
+    /// The version of the current document; 0 if there is none.
     pub fn document_version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// Takes a document, unless its version is not above the one in force.
+    /// Replaces the document if the new version is higher; returns whether it did.
     pub fn replace(&mut self, document: Document) -> bool {
         let higher = document.version > self.document_version();
         if higher {
@@ -92,22 +95,22 @@
         higher
     }
 
-    /// The halls that get no new work.
+    /// The emptied halls.
     pub fn halls(&self) -> &EmptiedHalls {
         &self.halls
     }
 
-    /// Carries an order for a hall out; returns whether it changes anything.
+    /// Applies a hall command; returns whether it changes anything.
     pub fn order_hall(&mut self, order: HallOrder) -> bool {
         self.halls.apply(order)
     }
 
-    /// The tree in force.
+    /// The current settings tree.
     pub fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// Applies a command. The result depends on nothing but the state and the command.
+    /// Applies a change. Deterministic: the result depends only on the state and the change.
     pub fn apply(&mut self, command: &Command) -> ChangeResult {
         let request = &command.request;
         if let Some(first) = self.results.get(&request.change) {
@@ -124,7 +127,7 @@
         result
     }
 
-    /// The first answer of a change, while it is remembered.
+    /// The result of an earlier change with this id, if it is still kept.
     pub fn result(&self, change: &str) -> Option<&ChangeResult> {
         self.results.get(change)
     }
@@ -158,7 +161,8 @@
         ChangeResult::Accepted { version: self.version }
     }
 
-    /// Sections that both the change and others since its base version touch.
+    /// Reports a conflict if the base version is unknown, or if a later version changed one of the
+    /// same sections.
     fn conflict(&self, request: &ChangeRequest) -> Option<ChangeResult> {
         let conflict = |sections| Some(ChangeResult::Conflict { version: self.version, sections });
         if request.base_version > self.version {
@@ -177,8 +181,9 @@
         if both.is_empty() { None } else { conflict(both) }
     }
 
-    /// Adds to a change of the claim view the view before, which must agree as well until no
-    /// claim made under it alone can count any more.
+    /// The edits of a change, with the previous claim view added if the change replaces the claim
+    /// view. Both views have to agree until claims that only the previous view granted have
+    /// expired.
     fn with_previous_view(&self, command: &Command) -> Result<Vec<Edit>, String> {
         let mut edits = command.request.edits.clone();
         let fleet = SectionPath::fleet();
@@ -214,13 +219,13 @@
         Ok(edits)
     }
 
-    /// The last versions, oldest first.
+    /// The last `count` versions, oldest first.
     pub fn history(&self, count: usize) -> Vec<Version> {
         let skipped = self.recent.len().saturating_sub(count);
         self.recent.iter().skip(skipped).cloned().collect()
     }
 
-    /// What a node needs that has a version, or none.
+    /// The update for a node that has version `have`, or no version at all.
     pub fn since(&self, have: Option<u64>) -> PullReply {
         let snapshot = || PullReply::Snapshot { version: self.version, tree: self.tree.clone() };
         let Some(have) = have else { return snapshot() };
--- a/components/keeper/src/waits.rs
+++ b/components/keeper/src/waits.rs
@@ -1,4 +1,5 @@
-//! Operators and nodes that wait: for a change to be committed, for a newer version.
+//! Pending calls of operators, which wait for a commit, and of nodes, which wait for a newer
+//! version.
 
 use std::time::Duration;
 
@@ -8,19 +9,19 @@
 
 use crate::{Action, Keeper, News, Reply, Ticket};
 
-/// How long a node that has the version in force waits for the next.
+/// Maximum wait of a node that already has the current version.
 const PULL_TIME: Duration = Duration::from_secs(2);
-/// Longest wait of an operator for a change; after it the outcome is unknown.
+/// Maximum wait of an operator for a commit; afterwards the outcome of the change is unknown.
 const CHANGE_TIME: Duration = Duration::from_secs(4);
 
-/// An operator that waits for a change.
+/// An operator's call that waits for a commit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Waiter {
     ticket: Ticket,
     until: Time,
 }
 
-/// A node that waits for a newer version.
+/// A node's call that waits for a newer version of the settings.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Puller {
     ticket: Ticket,
@@ -29,19 +30,19 @@
 }
 
 impl Waiter {
-    /// One that begins to wait now.
+    /// A call that starts to wait now.
     pub fn new(now: Time, ticket: Ticket) -> Self {
         Self { ticket, until: now + CHANGE_TIME }
     }
 
-    /// Whom to answer.
+    /// The call to answer.
     pub fn ticket(self) -> Ticket {
         self.ticket
     }
 }
 
 impl Keeper {
-    /// When the next tick is due; none where nothing waits for one.
+    /// When the next tick is due; `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Time> {
         let replica = (!self.disk_full).then(|| self.replica.next_timer());
         let pulls = self.pullers.iter().map(|puller| puller.until);
@@ -66,14 +67,15 @@
         }
     }
 
-    /// No longer the leader: what becomes of the changes in hand is for the next one to say.
+    /// Answers the pending changes without a result after this keeper stopped leading; the next
+    /// leader decides whether they are committed.
     pub(crate) fn give_up_waiters(&mut self, out: &mut Vec<Action>) {
         for waiter in std::mem::take(&mut self.waiters).into_values() {
             self.unsure(waiter.ticket, out);
         }
     }
 
-    /// Answers nodes for which there is a newer version, or whose time is over.
+    /// Answers the nodes for which there is a newer version or whose deadline has passed.
     pub(crate) fn answer_pullers(&mut self, now: Time, out: &mut Vec<Action>) {
         for puller in std::mem::take(&mut self.pullers) {
             let newer = self.state.since(puller.have);
--- a/components/keeper/tests/document.rs
+++ b/components/keeper/tests/document.rs
@@ -1,4 +1,4 @@
-//! The operators' document and the registry of nodes, at one keeper that leads alone.
+//! The document and the list of nodes, served by a single keeper.
 
 mod support;
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The whole text that a node gets that asks for the one part of a document.
+    /// Fetches a document that consists of one part, and returns its text.
     fn part(&mut self, version: u64) -> Option<String> {
         let ticket = self.ticket();
         let request = PartRequest { version, offset: 0 };
@@ -50,7 +50,7 @@
         ticket
     }
 
-    /// A node asks, and is answered at once or within a time.
+    /// Registers a node and returns its reply, waiting for up to `within`.
     fn ask(&mut self, node: NodeInfo, revision: u64, within: Duration) -> Option<WatchReply> {
         let ticket = self.ticket();
         let request =
@@ -62,7 +62,7 @@
         watch_reply(replies, ticket)
     }
 
-    /// A node registers; whatever it is told.
+    /// Registers a node and ignores the reply.
     fn register(&mut self, node: NodeInfo, revision: u64) {
         let ticket = self.ticket();
         let request =
@@ -82,7 +82,7 @@
     })
 }
 
-/// The list that a node is told whole, as it had none.
+/// The whole list from an update.
 fn whole(news: Option<ListNews>) -> NodeList {
     match news {
         Some(ListNews::Whole(list)) => list,
@@ -90,7 +90,7 @@
     }
 }
 
-/// What a node that has a list is told.
+/// The changes from an update.
 fn change(news: Option<ListNews>) -> ListChange {
     match news {
         Some(ListNews::Change(change)) => change,
@@ -98,7 +98,7 @@
     }
 }
 
-/// What node 1, which knows a list of nodes, is told as the document of version 7 is replaced.
+/// Replaces the document while node 1 waits with the list at `revision`; returns its reply.
 fn replaced_while_it_waits(one: &mut One, revision: u64) -> WatchReply {
     let waits = one.watch(node(1), 0, revision);
     let ticket = one.ticket();
@@ -173,7 +173,8 @@
     assert_eq!((told.nodes, told.version), (None, 0), "no news");
 }
 
-/// A node takes the lists of a few keepers; the others are asked for the configuration, and count the node all the same.
+/// A node takes the list from a few keepers only; the others must not send it, but still count the
+/// node.
 #[test]
 fn a_node_that_takes_the_list_of_other_keepers_is_told_none() {
     let mut one = One::new();
@@ -189,7 +190,7 @@
     assert_eq!((reply.nodes, reply.peers), (None, 1));
 }
 
-/// All entries of a large fleet restart in turn: whoever has the list is told what has changed, and not all of it again.
+/// After a restart of every entry a node must receive the changes, not the whole list.
 #[test]
 fn a_node_that_missed_the_restart_of_every_entry_is_told_what_has_changed() {
     const ENTRIES: u16 = 800;
@@ -226,7 +227,7 @@
     let mut one = One::new();
     one.replace(7, "seven");
     for number in 0..1_001_u64 {
-        // Enough for a snapshot.
+        // Exceeds the compaction limit, so that a snapshot is written.
         one.replace(8 + number, "later");
     }
     let mut again = One::from_records(one.records.clone());
@@ -250,7 +251,7 @@
         WatchRequest { node: node(1), document: 0, revision: Some(0), halls: 0, keepers: 0 };
     let replies = again.handle(Event::Watch(ticket, request));
     let reply = watch_reply(replies, ticket).expect("it is answered at once");
-    // The last commit may not be on the disk yet, the one before it is.
+    // The commit record of the last entry may not be stored yet; that of the one before is.
     assert!(reply.version >= 7, "{}", reply.version);
     assert!(again.part(reply.version).is_some());
     let ticket = again.ticket();
@@ -258,11 +259,8 @@
     assert_eq!(unsure, [(ticket, Reply::Unsure(None))], "operators are not told before it leads");
 }
 
-/// Agents would not connect to an entry that has moved. The entry's earlier life asks for news, its
-/// call is held up, it crashes, its next life registers under the same name at another address, and
-/// then the call arrives. Lives of a node have no order, so the keeper can't tell; what it lists is
-/// soft state. This holds how long that lasts: until the life that is there asks again, which it does
-/// within the time that a keeper lets it wait.
+/// A delayed registration of an earlier instance replaces the running one, as instances of a node
+/// have no order. The running instance must be listed again after its next registration.
 #[test]
 fn a_late_call_of_an_earlier_life_hides_the_present_one_only_until_it_asks_again() {
     let mut one = One::new();
@@ -282,9 +280,7 @@
     assert_eq!(whole(told.nodes).nodes, [node(1), present]);
 }
 
-/// With 240 agents beside 51 entries, lists of all nodes are most of what keepers send while nodes start.
-/// Entries alone are listed, agents that come and go wake nobody, and each node learns how many do the
-/// same as it does.
+/// Agents are counted by service but not listed, and a new agent must not wake the watchers.
 #[test]
 fn agents_are_counted_by_service_and_not_listed() {
     let mut one = One::new();
@@ -306,7 +302,7 @@
     let told = watch_reply(one.run_for(Duration::from_millis(600)), asks).expect("in a second");
     assert_eq!((told.nodes, told.peers), (None, 4));
 
-    // All but the entry and one agent are silent for longer than a node is listed.
+    // All nodes but one entry and one agent stay silent until they expire.
     for _ in 0..5 {
         one.watch(node(1), 0, list.revision);
         one.watch(agent(3, "booking"), 0, list.revision);
@@ -317,7 +313,7 @@
     assert_eq!((told.nodes, told.peers), (None, 1), "the list of entries is the same");
 }
 
-/// A node that restarts as something else is counted as what it is.
+/// A node that restarts with another role or service must not be counted twice.
 #[test]
 fn a_node_counts_once() {
     let mut one = One::new();
@@ -330,8 +326,7 @@
     assert_eq!(told.peers, 1);
 }
 
-/// Each change of the entries sent 51 rows to each of 291 nodes: at 300 hosts 1,009 kB a second at a keeper, 955 where
-/// a node is told the rows that have changed. What it makes of them is the list.
+/// Applying the changes to an earlier list must give the current list.
 #[test]
 fn a_node_is_told_what_has_changed_since_the_list_that_it_has() {
     let mut one = One::new();
@@ -354,7 +349,8 @@
     assert_eq!(list, whole(told.nodes));
 }
 
-/// A node that has missed more than is remembered, or has a list of the keeper's earlier life, is told all.
+/// A node whose revision is older than the kept changes, or from an earlier start of the keeper,
+/// must receive the whole list.
 #[test]
 fn a_list_that_is_too_old_is_told_whole() {
     let mut one = One::new();
@@ -371,8 +367,7 @@
     }
 }
 
-/// Every keeper sent a new document to every node: 1,455 times 10 kB at 300 hosts. A node is told of its version, and
-/// gets the document when it asks for it.
+/// A watching node receives only the version of a new document, and the text on request.
 #[test]
 fn a_document_is_sent_to_a_node_that_asks_for_it() {
     let mut one = One::new();
@@ -387,7 +382,8 @@
     one.watch(node(1), 7, revision);
 }
 
-/// Nodes begin to fetch a version while the next ones come: where it is gone they begin anew, again and again.
+/// Recently replaced versions stay available, so that a node can finish a transfer that it has
+/// started.
 #[test]
 fn the_last_versions_are_sent_on_after_they_are_replaced() {
     let mut one = One::new();
@@ -400,9 +396,8 @@
     }
 }
 
-/// What operators would see: after 220 changes of a configuration of 845 kB on disks of 192 MB, no change is taken any
-/// more, by any keeper. The cause, found by reading after links of entries had been filled by whole configurations: a log
-/// was replaced by its state after 1,000 entries, however large they were. Before: 24 MB after the 60 changes of this run.
+/// Large documents must trigger compaction by size; a limit on the number of entries alone let the
+/// journal fill the disk.
 #[test]
 fn a_journal_stays_small_however_large_configurations_are() {
     let mut one = One::new();
@@ -417,7 +412,7 @@
     assert_eq!(again.keeper.state().document_version(), 60);
 }
 
-/// Bytes of all commands and of the snapshot.
+/// The size of all commands and of the snapshot.
 fn stored_bytes(records: &[consensus::Record]) -> usize {
     let bytes = |record: &consensus::Record| match record {
         consensus::Record::Append(entries) => entries.iter().map(command_bytes).sum(),
--- a/components/keeper/tests/fetch.rs
+++ b/components/keeper/tests/fetch.rs
@@ -1,4 +1,4 @@
-//! A node's fetching of a document in parts, where several sources tell of it.
+//! Document transfers of a node from several sources.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use wire::{Document, DocumentPart, PART_BYTES_MAX, PartRequest};
 
 const START: Time = Time::from_millis(1_000_000);
-/// Parts of the documents of these tests; the last is short.
+/// Number of parts of the test documents; the last part is shorter than the others.
 const PARTS: usize = 5;
 
 fn keeper(number: u8) -> DocumentSource {
@@ -19,25 +19,25 @@
     DocumentSource::Agent(number)
 }
 
-/// A document that is packed to parts of which the last is short, whatever its version.
+/// A document that is packed into [`PARTS`] parts.
 fn document(version: u64) -> Document {
     let mut dice = version;
     let mut letter = || {
         dice = dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         char::from(b'!' + (dice >> 33) as u8 % 94)
     };
-    // Six and a half bits of each letter are left when it is packed.
+    // Each random letter takes about 6.5 bits when packed.
     let count = (PARTS - 1) * PART_BYTES_MAX * 8 / 6;
     let text: String = (0..count).map(|_| letter()).collect();
     Document::new(version, format!("ü€{text}"))
 }
 
-/// A node, and what its sources have.
+/// A node and its requests.
 struct Node {
     fetch: DocumentFetch,
     now: Time,
     step: Option<FetchStep>,
-    /// Whom it asked, and for what.
+    /// The requests sent so far, with their sources.
     asked: Vec<(DocumentSource, PartRequest)>,
 }
 
@@ -66,7 +66,7 @@
         self.follow(step);
     }
 
-    /// Whom it waits for.
+    /// The outstanding request and its source.
     fn waits_for(&self) -> (DocumentSource, PartRequest) {
         match &self.step {
             Some(FetchStep::Ask(source, request)) => (*source, *request),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The source that is asked answers from what it has.
+    /// Answers the outstanding request from the given documents.
     fn answered_from(&mut self, documents: &[Document]) {
         let (source, request) = self.waits_for();
         let part = documents.iter().find_map(|document| document.part(request));
@@ -94,7 +94,7 @@
     }
 }
 
-/// Five keepers each sent a node of 291 a document of 10 kB: 15 MB a change. In parts each keeper sends its share.
+/// Each part must be requested once, and the sources must take turns.
 #[test]
 fn a_document_comes_once_and_from_all_that_have_it() {
     let mut node = Node::new();
@@ -113,8 +113,7 @@
     assert!(!node.fetch.is_behind());
 }
 
-/// A keeper that was asked and does not answer must not hold up a configuration that others have, nor cost what has
-/// come already.
+/// A silent or lost source must not block the transfer or discard the parts received so far.
 #[test]
 fn another_keeper_is_asked_for_the_part_where_the_first_is_silent_or_gone() {
     let mut node = Node::new();
@@ -135,7 +134,8 @@
     assert!(node.asked.iter().skip(2).all(|(source, _)| *source != keeper(1)), "not asked again");
 }
 
-/// Over a busy link every part comes late. All of it was asked for again, and none of it ever came whole.
+/// On a slow link every part arrives after its timeout; the transfer must still complete instead of
+/// restarting.
 #[test]
 fn a_part_that_comes_late_counts_once() {
     let mut node = Node::new();
@@ -145,7 +145,7 @@
         let before = node.waits_for();
         node.pass(PART_WITHIN);
         late += usize::from(node.waits_for() != before);
-        // The answer to the first of the two questions, then that to the second.
+        // The answer to the first request, then the answer to the second.
         for (source, request) in [before, node.waits_for()] {
             let step = node.fetch.answered(node.now, source, document(8).part(request));
             node.follow(step);
@@ -156,7 +156,7 @@
     assert_eq!(node.fetch_from(&[]), document(8));
 }
 
-/// Configurations come in quick succession: the one that is on its way is finished, then the newest is fetched.
+/// A newer version must not discard a transfer in progress; it is fetched afterwards.
 #[test]
 fn a_newer_version_does_not_cost_what_has_come_of_an_older_one() {
     let mut node = Node::new();
@@ -170,7 +170,7 @@
     assert_eq!(node.fetch_from(&[document(11), document(9)]), document(11));
 }
 
-/// A version that nobody has any more is given up for one that somebody has.
+/// A transfer is abandoned if no source has its version any more.
 #[test]
 fn the_newest_version_is_fetched_where_the_older_one_is_gone() {
     let mut node = Node::new();
@@ -188,7 +188,8 @@
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
 }
 
-/// A keeper's next life, with an empty disk, has nothing of what the life before told of.
+/// A source that was restarted without the advertised version must not be asked again until it
+/// advertises one.
 #[test]
 fn a_source_that_has_nothing_is_not_asked_before_it_tells_again() {
     let mut node = Node::new();
@@ -200,7 +201,7 @@
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
 }
 
-/// An entry that restarts while no keeper can be reached gets the configuration from agents; what keepers have is newer.
+/// Agents serve as sources only while no keeper is available.
 #[test]
 fn agents_are_asked_where_no_keeper_is() {
     let mut node = Node::new();
@@ -217,7 +218,7 @@
     assert!(node.asked.iter().skip(3).all(|(source, _)| *source == keeper(1)));
 }
 
-/// A document may be larger than what a node's link carries before a connection over it is taken for dead.
+/// No part may exceed the size limit, and the parts must add up to the document.
 #[test]
 fn no_part_is_longer_than_a_link_carries_at_once() {
     let document = document(8);
@@ -237,7 +238,7 @@
     assert_eq!(document.part(PartRequest { version: 7, offset: 0 }), None);
 }
 
-/// A source whose text ends before the length that it tells does not hold up the others.
+/// A source that sends less than the announced length must not block the transfer from others.
 #[test]
 fn a_text_that_is_not_as_long_as_told_is_fetched_anew() {
     let mut node = Node::new();
@@ -252,7 +253,7 @@
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
 }
 
-/// The keepers are of two releases, which pack one text in two ways: parts of both don't make a whole.
+/// Sources of different releases may pack a document differently; their parts must not be combined.
 #[test]
 fn parts_of_two_ways_of_packing_are_not_mixed() {
     let other_way = |request| {
@@ -268,7 +269,7 @@
     let asked = node.asked.iter().filter(|(source, _)| *source == odd);
     assert_eq!(asked.count(), 1);
 
-    // Whoever had sent the first part is gone: the other one's are fetched from the first on.
+    // If the source of the first part is gone, the transfer restarts from the remaining source.
     let mut node = Node::new();
     (1..=2).for_each(|number| node.offered(keeper(number), 8));
     let first = node.waits_for().0;
@@ -287,7 +288,7 @@
     panic!("it has not come whole: {:?}", node.step);
 }
 
-/// What comes can't be unpacked: the source that sent it last is not asked again before it tells of a version anew.
+/// A source whose parts can't be unpacked must not be asked again until it advertises a version.
 #[test]
 fn bytes_that_are_no_document_are_fetched_anew() {
     let mut node = Node::new();
--- a/components/keeper/tests/full_disk.rs
+++ b/components/keeper/tests/full_disk.rs
@@ -1,4 +1,4 @@
-//! Three keepers in virtual time, of which one's disk fills.
+//! Three keepers in virtual time, one of which has a full disk.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 const START: Time = Time::from_millis(1_000_000);
 const STEP: Duration = Duration::from_millis(1);
 
-/// Three keepers whose messages take a step each.
+/// Three keepers that deliver their messages in the next step.
 struct Three {
     keepers: Vec<Keeper>,
     now: Time,
     messages: VecDeque<(NodeName, NodeName, Message)>,
     replies: Vec<(Ticket, Reply)>,
-    /// The keeper whose disk refuses every record, and how often it was asked to store.
+    /// The keeper whose disk rejects every record, and the number of rejected stores.
     full: Option<(usize, u32)>,
 }
 
@@ -45,7 +45,7 @@
         self.keepers.iter().position(|keeper| keeper.is_sure(self.now))
     }
 
-    /// Lets time pass until something is so; returns how much passed.
+    /// Advances the time until the condition holds; returns the elapsed time.
     fn until(&mut self, longest: Duration, is_so: impl Fn(&Self) -> bool) -> Duration {
         let began = self.now;
         while !is_so(self) {
@@ -105,8 +105,8 @@
     }
 }
 
-/// An operator's change at a leader whose disk is full got no answer, and the keepers had no leader until the
-/// others had noticed its silence: 400 to 800 ms. It hands over: 5 ms here, with links of 1 ms.
+/// A leader whose disk is full must hand over at once and refer the operator to another keeper,
+/// instead of leaving the others to detect its silence.
 #[test]
 fn a_leader_whose_disk_is_full_hands_over_and_tells_the_operator_to_ask_elsewhere() {
     let mut three = Three::new();
@@ -126,7 +126,7 @@
     assert_eq!(three.full, Some((leads, 1)), "it asked its disk for nothing more");
 }
 
-/// Nodes that watched a keeper whose disk was full lost its list and its configuration with its process.
+/// A keeper whose disk is full must still serve nodes with the committed document.
 #[test]
 fn a_keeper_whose_disk_is_full_tells_nodes_what_it_knows_and_nothing_else() {
     let mut three = Three::new();
@@ -158,7 +158,7 @@
         three.handle(other, event);
         assert!(matches!(three.reply(ticket), Some(Reply::Unsure(_))), "{ticket}");
     }
-    // The records that its disk refused are stored by whoever has the disk; then it catches up.
+    // Once the rejected records are stored, the keeper catches up.
     three.full = None;
     three.keepers[other].disk_has_room();
     three.until(Duration::from_secs(1), |three| {
--- a/components/keeper/tests/halls.rs
+++ b/components/keeper/tests/halls.rs
@@ -1,4 +1,4 @@
-//! Halls that operators empty and refill: at one keeper that leads alone, by its journal.
+//! Emptying and refilling halls, at a single keeper.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::{One, node};
 
 impl One {
-    /// Orders, and returns the halls that are emptied then.
+    /// Sends a hall command and returns the emptied halls after it.
     fn order(&mut self, hall: &str, takes_work: bool) -> EmptiedHalls {
         match self.reply_to(|ticket| Event::OrderHall(ticket, order(hall, takes_work))) {
             Some(Reply::Halls(halls)) => halls,
@@ -53,7 +53,7 @@
         (ticket, replies)
     }
 
-    /// The revision of the list of nodes, once the node is on it.
+    /// The revision of the list of nodes after the node has registered.
     fn list_revision(&mut self) -> u64 {
         let request = WatchRequest {
             node: node(1),
@@ -98,9 +98,8 @@
     assert_eq!(one.refill("never-emptied"), refilled, "a hall that nobody emptied takes work");
 }
 
-/// An operator's call gets no answer in time, and it sends the order again while the first copy waits for the disk
-/// or the other keepers; then it orders the opposite. Whatever copies wait together, the order in which the leader took
-/// them is the order in which they are carried out, so that the last one that an operator sent holds.
+/// Commands that wait for the same commit must be applied in the order of their arrival, so that
+/// the last one takes effect even after retries.
 #[test]
 fn copies_that_wait_together_are_carried_out_in_the_order_in_which_they_came() {
     for kinds in 0..16u32 {
--- a/components/keeper/tests/roster.rs
+++ b/components/keeper/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The nodes that a keeper remembers across its lives, and calls when it is back.
+//! The nodes that a keeper stores across restarts and calls after a start.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -32,14 +32,14 @@
     START + Duration::from_millis(millis)
 }
 
-/// Lets time pass in steps of 10 ms; returns what was due, with its time in ms.
+/// Advances the time in steps of 10 ms; returns the work that was due, with its time in ms.
 fn run(roster: &mut Roster, from: u64, to: u64) -> Vec<(u64, RosterWork)> {
     let due = |millis| (millis, roster.tick(after(millis)));
     let all = (from..to).step_by(10).map(due);
     all.filter(|(_, work)| *work != RosterWork::default()).collect()
 }
 
-/// After a loss of all power a keeper that no settings name was up first, and nobody asked it.
+/// After a power loss of the fleet, a keeper that no settings name must become known to the nodes.
 #[test]
 fn a_keeper_that_starts_calls_the_nodes_it_knew_until_they_ask() {
     let mut roster = Roster::new(START, vec![remembered(1), remembered(2)]);
@@ -77,7 +77,7 @@
     assert_eq!(run(&mut roster, 10_000, 12_000), [], "nothing else than before");
 }
 
-/// What a keeper knew in its last life is not lost where it starts again and is lost at once.
+/// A keeper that stops again soon after its start must not lose the nodes that it had stored.
 #[test]
 fn nodes_that_have_not_asked_again_yet_stay_remembered() {
     let mut roster = Roster::new(START, vec![remembered(1)]);
--- a/components/keeper/tests/spread.rs
+++ b/components/keeper/tests/spread.rs
@@ -1,9 +1,8 @@
-//! How a change reaches every node: keepers that each take a time for what they read and write, and nodes that watch all of them.
+//! Propagation of a document from the keepers to all watching nodes, with simulated processing
+//! times.
 //!
-//! Operators would see a change in force late at a part of the hosts, and one keeper with the load of all: told of by the leader
-//! alone, each node fetched the document from it.
-//!
-//! `DOCKPASS_NODES` sets how many nodes there are, for runs by hand (with `--nocapture`).
+//! Guards against slow propagation and against one keeper serving all nodes. `DOCKPASS_NODES` sets
+//! the number of nodes for manual runs (with `--nocapture`).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,15 +19,15 @@
 const START: Time = Time::from_millis(1_000_000);
 const KEEPERS: usize = 9;
 const NODES: usize = 300;
-/// One way between two hosts.
+/// One-way latency between two hosts.
 const WAY: Duration = Duration::from_micros(1_400);
-/// What a keeper takes to read a message, and to write one.
+/// Time that a keeper needs to read or write a message.
 const MESSAGE_TIME: Duration = Duration::from_micros(40);
-/// What it takes besides for each 10 kB of a message.
+/// Additional time for each 10 kB of a message.
 const TEN_KB_TIME: Duration = Duration::from_micros(60);
 const SYNC: Duration = Duration::from_millis(9);
 const TICK: Duration = Duration::from_millis(10);
-/// The text of a document, a few dozen routes.
+/// Size of the document.
 const DOCUMENT_BYTES: usize = 10_000;
 
 enum Happening {
@@ -41,11 +40,11 @@
 struct Node {
     fetch: DocumentFetch,
     has_since: Option<Time>,
-    /// The revision of each keeper's list that it has.
+    /// The revision of the list that the node has from each keeper.
     revisions: [u64; KEEPERS],
 }
 
-/// What a keeper has sent.
+/// Numbers of messages that a keeper has sent.
 #[derive(Clone, Copy, Default, Debug)]
 struct Sent {
     answers: u64,
@@ -58,11 +57,11 @@
     happenings: BTreeMap<(Time, u64), Happening>,
     sequence: u64,
     keepers: Vec<Keeper>,
-    /// When each keeper is done with what it has read so far.
+    /// When each keeper has processed its input so far.
     busy: Vec<Time>,
     sent: Vec<Sent>,
     nodes: Vec<Node>,
-    /// Who asked with a ticket: a node, or none for the operator.
+    /// The node that made each call; `None` for the operator.
     asked: BTreeMap<Ticket, Option<usize>>,
     acknowledged: Option<Time>,
 }
@@ -108,7 +107,8 @@
         (0..KEEPERS).for_each(|keeper| world.at(Duration::ZERO, Happening::Tick(keeper)));
         for node in 0..nodes {
             for keeper in 0..KEEPERS {
-                // Nodes start one after the other within the first second, each in its own order.
+                // Nodes start within the first second, and each contacts the keepers in a different
+                // order.
                 let after = (node * 7 + keeper * 131) % 1_000;
                 world.ask(Duration::from_millis(after as u64), node, keeper, 0, 0);
             }
@@ -241,7 +241,8 @@
         self.keepers.iter().position(leads).expect("one leads")
     }
 
-    /// An operator replaces the document; how long each node took to have it, in order.
+    /// Replaces the document; returns the time from the acknowledgement to its arrival at each
+    /// node, sorted.
     fn replace(&mut self, version: u64) -> Vec<Duration> {
         self.sent = vec![Sent::default(); KEEPERS];
         self.nodes.iter_mut().for_each(|node| node.has_since = None);
@@ -263,8 +264,8 @@
     std::env::var("DOCKPASS_NODES").ok().and_then(|text| text.parse().ok()).unwrap_or(NODES)
 }
 
-/// A change is to be in force at 99 of 100 hosts within 150 ms of its acknowledgement, and no keeper is to send more than
-/// twice its share of the documents.
+/// A new document must reach 99 % of the nodes within 150 ms of the acknowledgement, and no keeper
+/// may send more than twice its share of the parts.
 #[test]
 fn a_change_reaches_every_node_from_all_keepers_alike() {
     let nodes = nodes();
--- a/components/keeper/tests/state.rs
+++ b/components/keeper/tests/state.rs
@@ -1,4 +1,4 @@
-//! Changes of the tree: compare-and-set, resends, deltas, claim views.
+//! Changes of the settings tree: conflicts, retries, deltas and claim views.
 
 use keeper::{Command, State};
 use model::Time;
--- a/components/keeper/tests/support/mod.rs
+++ b/components/keeper/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! One keeper that leads alone, with the records that it stored.
+//! A single keeper with its journal records.
 
-// Each test file uses a part of it.
+// Not every test file uses all helpers.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 pub const START: Time = Time::from_millis(1_000_000);
 
-/// A keeper with the records that it stored.
+/// A keeper that is the only voter, with the records that it stored.
 pub struct One {
     pub keeper: Keeper,
     pub records: Vec<Record>,
@@ -22,7 +22,7 @@
 }
 
 impl One {
-    /// One that leads.
+    /// A new keeper that leads.
     pub fn new() -> Self {
         let name = NodeName::new("k1");
         let records = initial_records(vec![name], Tree::default());
@@ -31,14 +31,14 @@
         one
     }
 
-    /// One that has just started with what its disk holds.
+    /// A keeper just restored from these records.
     pub fn from_records(records: Vec<Record>) -> Self {
         let name = NodeName::new("k1");
         let keeper = Keeper::recover(name, records.clone(), Timing::default(), 1, START);
         Self { keeper: keeper.expect("the records are sound"), records, now: START, tickets: 0 }
     }
 
-    /// Its next life, once it leads.
+    /// The keeper after a restart, once it leads again.
     pub fn restart(&self) -> Self {
         let mut again = Self::from_records(self.records.clone());
         again.run_for(Duration::from_secs(2));
@@ -75,7 +75,7 @@
         Ticket(self.tickets)
     }
 
-    /// Asks, and returns the reply that comes at once or a moment later.
+    /// Makes a call and returns its reply, if it arrives within 50 ms.
     pub fn reply_to(&mut self, event: impl FnOnce(Ticket) -> Event) -> Option<Reply> {
         let ticket = self.ticket();
         let mut replies = self.handle(event(ticket));
