--- a/components/consensus/src/event.rs
+++ b/components/consensus/src/event.rs
@@ -48,27 +48,27 @@
     /// is committed.
     Proposed(ProposalId, Index),
     /// A proposal was rejected because this replica is not the leader.
-    Refused(ProposalId),
+    Rejected(ProposalId),
     /// An entry was committed and has to be applied. Entries are reported in log order, once per
     /// start of the replica.
     Commit(Entry),
     /// The state machine has to replace its state by that of the snapshot.
     Install(Snapshot),
     /// Reports a change of state for the operator's log.
-    News(News),
+    Log(LogEvent),
 }
 
 /// A change of a replica's state, reported to the operator's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum LogEvent {
     /// The replica became leader in this term.
-    Leads(Term),
+    BecameLeader(Term),
     /// The replica stepped down as leader of this term.
-    StepsDown(Term),
+    SteppedDown(Term),
     /// The replica accepted a leader in this term.
-    Follows(NodeName, Term),
+    FollowsLeader(NodeName, Term),
     /// A change of the member list was committed; these replicas vote.
-    Members(Vec<NodeName>),
+    MembersChanged(Vec<NodeName>),
     /// The replica started on an empty disk and now has all committed entries up to this index; it
     /// votes from now on.
     CaughtUp(Index),
@@ -82,14 +82,16 @@
     /// Two replicas lead in the same term.
     TwoLeaders(Term),
     /// A leader's entries conflict with the committed entry at this index.
-    CommittedLost(Index),
+    CommittedEntryConflict(Index),
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TwoLeaders(term) => write!(f, "two leaders in term {term}"),
-            Self::CommittedLost(index) => write!(f, "committed entry {index} was to be dropped"),
+            Self::CommittedEntryConflict(index) => {
+                write!(f, "committed entry {index} was to be dropped")
+            }
         }
     }
 }
--- a/components/consensus/src/leader.rs
+++ b/components/consensus/src/leader.rs
@@ -7,7 +7,7 @@
 
 use crate::log::{Index, Payload, Term};
 use crate::replica::{Replica, Role};
-use crate::{Action, Message, News};
+use crate::{Action, LogEvent, Message};
 
 /// Maximum number of entries in one message.
 const BATCH_ENTRIES_MAX: usize = 64;
@@ -128,7 +128,7 @@
             LeaderState { followers, heartbeat_at: now, elected_at: now, resigned: false };
         self.role = Role::Leader(leader_state);
         self.leader = Some(self.name.clone());
-        out.push(Action::News(News::Leads(self.term)));
+        out.push(Action::Log(LogEvent::BecameLeader(self.term)));
         self.append_entry(Payload::Empty, out);
         self.replicate(now, out);
     }
@@ -161,12 +161,12 @@
     /// Sends all outstanding entries and then hands over leadership.
     pub(crate) fn resign(&mut self, now: Time, out: &mut Vec<Action>) {
         self.replicate(now, out);
-        self.hand_over(now, out);
+        self.transfer_leadership(now, out);
     }
 
     /// Asks the most up-to-date recent follower to start an election and stops relying on the
     /// lease. Stores, appends and commits nothing, so that it also works when the disk is full.
-    pub fn hand_over(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub fn transfer_leadership(&mut self, now: Time, out: &mut Vec<Action>) {
         let term = self.term;
         let members = self.members().to_vec();
         let Role::Leader(leader_state) = &mut self.role else { return };
@@ -186,7 +186,7 @@
     /// a time, and only after an entry of the current term has been committed.
     fn adjust_members(&mut self, now: Time, out: &mut Vec<Action>) {
         let ready = self.has_committed_in_term() && self.log.last_member_change() <= self.commit;
-        if !ready || !self.is_sure(now) {
+        if !ready || !self.is_confirmed_leader(now) {
             return;
         }
         let Some(members) = self.next_members(now) else { return };
@@ -248,7 +248,7 @@
     fn send_append(&mut self, now: Time, to: &NodeName, out: &mut Vec<Action>) {
         let Role::Leader(leader_state) = &self.role else { return };
         let Some(progress) = leader_state.followers.get(to).copied() else { return };
-        let sure = self.has_committed_in_term()
+        let leader_confirmed = self.has_committed_in_term()
             && leader_state.lease_until(self, now, Some(to)).is_some_and(|until| now < until);
         let prev_index = progress.next_index - 1;
         let Some(prev_term) = self.log.term(prev_index) else {
@@ -263,7 +263,7 @@
             entries,
             commit: self.commit,
             sent: now,
-            sure,
+            leader_confirmed,
         };
         out.push(Action::Send(to.clone(), message));
         // Assumes delivery; after a loss the follower rejects the next append and reports its last
@@ -300,7 +300,7 @@
         now: Time,
         from: &NodeName,
         term: Term,
-        (fitted, index, sent, blank): (bool, Index, Time, bool),
+        (matched, index, sent, blank): (bool, Index, Time, bool),
         out: &mut Vec<Action>,
     ) {
         self.adopt_term(term, out);
@@ -316,7 +316,7 @@
             progress.match_index = 0;
         }
         progress.blank = blank;
-        if fitted {
+        if matched {
             progress.match_index = progress.match_index.max(index);
             progress.next_index = progress.next_index.max(progress.match_index + 1);
         } else {
--- a/components/consensus/src/lib.rs
+++ b/components/consensus/src/lib.rs
@@ -18,7 +18,7 @@
 mod replica;
 mod replication;
 
-pub use event::{Action, Event, News, ProposalId, Violation};
+pub use event::{Action, Event, LogEvent, ProposalId, Violation};
 pub use log::{Entry, Index, Payload, Term};
 pub use message::Message;
 pub use record::{Record, RecoverError, Snapshot, initial_records};
--- a/components/consensus/src/message.rs
+++ b/components/consensus/src/message.rs
@@ -69,14 +69,16 @@
         /// Whether the leader held its lease when sending, not counting the receiver, and had
         /// committed an entry of its own term. If so, no entry after `commit` was committed at that
         /// time.
-        sure: bool,
+        #[serde(rename = "sure")]
+        leader_confirmed: bool,
     },
     /// The reply to [`Message::Append`] and [`Message::Install`].
     AppendReply {
         /// The receiver's term.
         term: Term,
         /// Whether the receiver had the preceding entry and stored the new ones.
-        fitted: bool,
+        #[serde(rename = "fitted")]
+        matched: bool,
         /// If `matched`, the last index known to agree with the leader; otherwise the last index
         /// that may agree.
         index: Index,
--- a/components/consensus/src/record.rs
+++ b/components/consensus/src/record.rs
@@ -47,15 +47,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecoverError {
     /// The journal does not start with a snapshot.
-    #[error("the first record is no snapshot")]
+    #[error("the first journal record is not a snapshot")]
     NoSnapshot,
     /// The indexes of the entries are not consecutive.
-    #[error("entry {got} follows entry {last}")]
+    #[error("log entry {found} follows entry {last}; entries must be consecutive")]
     Gap {
         /// The index of the last entry before the gap.
         last: Index,
         /// The index of the entry after the gap.
-        got: Index,
+        found: Index,
     },
 }
 
@@ -110,7 +110,7 @@
     for entry in entries {
         let last = log.last_index();
         if entry.index != last + 1 {
-            return Err(RecoverError::Gap { last, got: entry.index });
+            return Err(RecoverError::Gap { last, found: entry.index });
         }
         log.push(entry);
     }
--- a/components/consensus/src/replica.rs
+++ b/components/consensus/src/replica.rs
@@ -10,7 +10,7 @@
 use crate::leader::LeaderState;
 use crate::log::{Entry, Index, Log, Payload, Term};
 use crate::record::{RecoverError, recover};
-use crate::{Action, Event, Message, News, ProposalId, Record, Snapshot, Violation};
+use crate::{Action, Event, LogEvent, Message, ProposalId, Record, Snapshot, Violation};
 
 /// Timing and membership settings; all replicas of a cluster need the same values.
 #[derive(Clone, Copy, Debug)]
@@ -158,7 +158,7 @@
 
     /// Whether this replica leads, holds a valid lease and has committed an entry of its term, so
     /// that its committed state is the latest.
-    pub fn is_sure(&self, now: Time) -> bool {
+    pub fn is_confirmed_leader(&self, now: Time) -> bool {
         match &self.role {
             Role::Leader(leader_state) => {
                 leader_state.lease_until(self, now, None).is_some_and(|until| now < until)
@@ -263,15 +263,15 @@
             message @ (Message::Append { .. } | Message::Install { .. }) => {
                 self.handle_leader_message(now, from, message, out);
             }
-            Message::AppendReply { term, fitted, index, sent, blank } => {
-                self.handle_append_reply(now, from, term, (fitted, index, sent, blank), out);
+            Message::AppendReply { term, matched, index, sent, blank } => {
+                self.handle_append_reply(now, from, term, (matched, index, sent, blank), out);
             }
         }
     }
 
     fn propose(&mut self, now: Time, id: ProposalId, command: Vec<u8>, out: &mut Vec<Action>) {
         if !matches!(self.role, Role::Leader(_)) {
-            return out.push(Action::Refused(id));
+            return out.push(Action::Rejected(id));
         }
         let index = self.append_entry(Payload::Command(command), out);
         out.push(Action::Proposed(id, index));
@@ -311,7 +311,7 @@
     /// Returns to the follower role.
     pub(crate) fn step_down(&mut self, out: &mut Vec<Action>) {
         if matches!(self.role, Role::Leader(_)) {
-            out.push(Action::News(News::StepsDown(self.term)));
+            out.push(Action::Log(LogEvent::SteppedDown(self.term)));
             self.leader = None;
         }
         self.role = Role::Follower;
@@ -329,7 +329,7 @@
         while self.commit < index {
             let Some(entry) = self.log.get(self.commit + 1) else { return };
             if let Payload::Members(members) = &entry.payload {
-                out.push(Action::News(News::Members(members.clone())));
+                out.push(Action::Log(LogEvent::MembersChanged(members.clone())));
             }
             out.push(Action::Commit(entry.clone()));
             self.commit += 1;
@@ -337,6 +337,6 @@
     }
 
     pub(crate) fn report_violation(&self, violation: Violation, out: &mut Vec<Action>) {
-        out.push(Action::News(News::Violation(violation)));
+        out.push(Action::Log(LogEvent::Violation(violation)));
     }
 }
--- a/components/consensus/src/replication.rs
+++ b/components/consensus/src/replication.rs
@@ -4,7 +4,7 @@
 
 use crate::log::{Entry, Index, Term};
 use crate::replica::{Replica, Role};
-use crate::{Action, Message, News, Record, Snapshot, Violation};
+use crate::{Action, LogEvent, Message, Record, Snapshot, Violation};
 
 impl Replica {
     /// Handles an append or a snapshot; rejects it if the sender's term is outdated.
@@ -31,14 +31,22 @@
         self.role = Role::Follower;
         self.record_leader_contact(now, from, out);
         match message {
-            Message::Append { prev_index, prev_term, entries, commit, sent, sure, .. } => {
+            Message::Append {
+                prev_index,
+                prev_term,
+                entries,
+                commit,
+                sent,
+                leader_confirmed,
+                ..
+            } => {
                 let previous = (prev_index, prev_term);
                 let Some(last) = self.append_entries(previous, entries, commit, out) else {
                     let hint = self.log.last_index().min(prev_index.saturating_sub(1));
                     return self.send_append_reply(from, false, hint, sent, out);
                 };
                 self.commit_to(commit.min(last), out);
-                if sure && last >= commit {
+                if leader_confirmed && last >= commit {
                     self.finish_catch_up(out);
                 }
                 self.send_append_reply(from, true, last, sent, out);
@@ -55,7 +63,7 @@
     fn record_leader_contact(&mut self, now: Time, leader: &NodeName, out: &mut Vec<Action>) {
         if self.leader.as_ref() != Some(leader) {
             self.leader = Some(leader.clone());
-            out.push(Action::News(News::Follows(leader.clone(), self.term)));
+            out.push(Action::Log(LogEvent::FollowsLeader(leader.clone(), self.term)));
         }
         self.no_vote_before = now + self.timing.election;
         self.reset_election_timer(now);
@@ -64,7 +72,7 @@
     fn send_append_reply(
         &self,
         to: &NodeName,
-        fitted: bool,
+        matched: bool,
         index: Index,
         sent: Time,
         out: &mut Vec<Action>,
@@ -72,7 +80,7 @@
         let (term, blank) = (self.term, self.blank);
         out.push(Action::Send(
             to.clone(),
-            Message::AppendReply { term, fitted, index, sent, blank },
+            Message::AppendReply { term, matched, index, sent, blank },
         ));
     }
 
@@ -99,7 +107,7 @@
         let new_entries: Vec<Entry> = entries.into_iter().skip_while(is_present).collect();
         let Some(first) = new_entries.first().map(|entry| entry.index) else { return Some(last) };
         if first <= self.commit {
-            self.report_violation(Violation::CommittedLost(first), out);
+            self.report_violation(Violation::CommittedEntryConflict(first), out);
             return None;
         }
         let mut records = Vec::new();
@@ -129,7 +137,7 @@
         if self.blank {
             self.blank = false;
             out.push(Action::Store(vec![Record::Blank(false)]));
-            out.push(Action::News(News::CaughtUp(self.commit)));
+            out.push(Action::Log(LogEvent::CaughtUp(self.commit)));
         }
     }
 }
--- a/components/consensus/tests/cluster/mod.rs
+++ b/components/consensus/tests/cluster/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use consensus::{
-    Action, Entry, Event, Message, News, Payload, ProposalId, Record, Replica, Timing,
+    Action, Entry, Event, LogEvent, Message, Payload, ProposalId, Record, Replica, Timing,
     initial_records,
 };
 use model::{NodeName, Time};
@@ -176,7 +176,7 @@
                 Action::Store(records) => node.disk.extend(records.clone()),
                 Action::Rewrite(records) => node.disk = records.clone(),
                 Action::Commit(entry) => node.committed.push(entry.clone()),
-                Action::News(News::Violation(violation)) => panic!("{name}: {violation}"),
+                Action::Log(LogEvent::Violation(violation)) => panic!("{name}: {violation}"),
                 _ => {}
             }
         }
@@ -210,7 +210,7 @@
     /// The confirmed leader; asserts that there is at most one.
     pub fn leader(&self) -> Option<NodeName> {
         let sure = |(_, node): &(&NodeName, &Node)| {
-            node.replica.as_ref().is_some_and(|replica| replica.is_sure(self.now))
+            node.replica.as_ref().is_some_and(|replica| replica.is_confirmed_leader(self.now))
         };
         let leaders: Vec<NodeName> =
             self.nodes.iter().filter(sure).map(|(name, _)| name.clone()).collect();
--- a/components/consensus/tests/replicas.rs
+++ b/components/consensus/tests/replicas.rs
@@ -67,7 +67,7 @@
     cluster.run_for(ELECTION);
     let old = cluster.leader().unwrap();
     let later = cluster.now + Duration::from_secs(600);
-    assert!(!cluster.replica(&old).is_sure(later));
+    assert!(!cluster.replica(&old).is_confirmed_leader(later));
 }
 
 #[test]
--- a/components/keeper/src/committed.rs
+++ b/components/keeper/src/committed.rs
@@ -58,15 +58,15 @@
                     self.waiters.insert(index, waiter);
                 }
             }
-            Log::Refused(id) => {
+            Log::Rejected(id) => {
                 if let Some(waiter) = self.proposals.remove(&id) {
                     self.unsure(waiter.ticket(), out);
                 }
             }
             Log::Commit(entry) => self.commit(now, &entry, out),
             Log::Install(snapshot) => self.install(&snapshot, out),
-            Log::News(news) => {
-                if matches!(news, consensus::News::StepsDown(_)) {
+            Log::Log(news) => {
+                if matches!(news, consensus::LogEvent::SteppedDown(_)) {
                     self.give_up_waiters(out);
                 }
                 out.push(Action::News(News::Log(news)));
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum News {
     /// An event of the replicated log.
-    Log(consensus::News),
+    Log(consensus::LogEvent),
     /// This version of the settings tree was committed.
     Version(u64),
     /// This version of the document was committed.
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -22,7 +22,7 @@
         out.extend(refused.into_iter().filter_map(without_store));
         self.give_up_waiters(out);
         let mut actions = Vec::new();
-        self.replica.hand_over(now, &mut actions);
+        self.replica.transfer_leadership(now, &mut actions);
         out.extend(actions.into_iter().filter_map(|action| match action {
             LogAction::Send(to, message) => Some(Action::Send(to, message)),
             _ => None,
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -167,7 +167,7 @@
     /// Whether this keeper is the confirmed leader and its disk is not full, so that it accepts
     /// changes.
     pub fn is_sure(&self, now: Time) -> bool {
-        !self.disk_full && self.replica.is_sure(now)
+        !self.disk_full && self.replica.is_confirmed_leader(now)
     }
 
     /// The replica of the log.
--- a/daemon/src/keeper_role/news_lines.rs
+++ b/daemon/src/keeper_role/news_lines.rs
@@ -74,16 +74,18 @@
 }
 
 fn write_line(log: &EventLog, news: &News) {
-    use consensus::News as Log;
+    use consensus::LogEvent as Log;
     match news {
-        News::Log(Log::Leads(term)) => log.line("leads", Budget::Full, || json!({"term": term})),
-        News::Log(Log::StepsDown(term)) => {
+        News::Log(Log::BecameLeader(term)) => {
+            log.line("leads", Budget::Full, || json!({"term": term}))
+        }
+        News::Log(Log::SteppedDown(term)) => {
             log.line("steps-down", Budget::Full, || json!({"term": term}));
         }
-        News::Log(Log::Follows(leader, term)) => {
+        News::Log(Log::FollowsLeader(leader, term)) => {
             log.line("follows", Budget::Full, || json!({"leader": leader.as_str(), "term": term}))
         }
-        News::Log(Log::Members(members)) => log.line("members", Budget::Full, || {
+        News::Log(Log::MembersChanged(members)) => log.line("members", Budget::Full, || {
             let members: Vec<&str> = members.iter().map(NodeName::as_str).collect();
             json!({"members": members})
         }),
@@ -112,13 +114,13 @@
 }
 
 fn write_plain(name: &NodeName, news: &News) {
-    use consensus::News as Log;
+    use consensus::LogEvent as Log;
     match news {
-        News::Log(Log::Leads(term)) => info!("keeper {}: leads in term {}", name, term),
-        News::Log(Log::StepsDown(term)) => {
+        News::Log(Log::BecameLeader(term)) => info!("keeper {}: leads in term {}", name, term),
+        News::Log(Log::SteppedDown(term)) => {
             warn!("keeper {}: steps down in term {}", name, term);
         }
-        News::Log(Log::Follows(leader, term)) => {
+        News::Log(Log::FollowsLeader(leader, term)) => {
             info!("keeper {}: follows {} in term {}", name, leader, term);
         }
         News::Log(Log::CaughtUp(index)) => {
@@ -127,7 +129,7 @@
         News::Log(Log::Violation(violation)) => {
             error!("keeper {}: BREACH: {}", name, violation);
         }
-        News::Log(Log::Members(members)) => {
+        News::Log(Log::MembersChanged(members)) => {
             info!("keeper {}: {} keepers vote", name, members.len());
         }
         News::Document(version) => info!("keeper {}: document {} accepted", name, version),
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -205,7 +205,7 @@
         entries: vec![entry],
         commit: 0,
         sent: model::Time::default(),
-        sure: false,
+        leader_confirmed: false,
     };
     inputs.send_blocking(ToPeers::Message(to, append)).expect("the sender runs");
     let (mut stream, _) = listener.accept().expect("a connection");
--- a/soak/src/keepers/faults.rs
+++ b/soak/src/keepers/faults.rs
@@ -104,7 +104,8 @@
         let living = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
         let mut replicas = living.map(|keeper| keeper.replica());
         replicas.any(|replica| {
-            replica.is_sure(self.now) && replica.voters().len() >= self.arrangement.voters
+            replica.is_confirmed_leader(self.now)
+                && replica.voters().len() >= self.arrangement.voters
         })
     }
 
@@ -147,7 +148,7 @@
         numbers.shuffle(&mut self.rng);
         let leads = |number: usize| {
             let keeper = self.keepers[number].keeper.as_ref();
-            keeper.is_some_and(|keeper| keeper.replica().is_sure(self.now))
+            keeper.is_some_and(|keeper| keeper.replica().is_confirmed_leader(self.now))
         };
         let newest_first = |number: usize| u64::MAX - self.keepers[number].last_entry();
         match self.rng.random_range(0..3) {
--- a/soak/src/keepers/halls.rs
+++ b/soak/src/keepers/halls.rs
@@ -220,7 +220,7 @@
         let Some(halls) = &self.halls else { return };
         let leader = self.keepers.iter().find_map(|keeper| {
             let keeper = keeper.keeper.as_ref()?;
-            keeper.replica().is_sure(self.now).then(|| keeper.state().halls().clone())
+            keeper.replica().is_confirmed_leader(self.now).then(|| keeper.state().halls().clone())
         });
         let Some(told) = leader else { return };
         let wrong: Vec<String> = halls
--- a/soak/src/keepers/moves.rs
+++ b/soak/src/keepers/moves.rs
@@ -142,7 +142,8 @@
     /// only the leader has removed votes again where that entry is lost with the leader's disk.
     pub(super) fn gone_voters(&self, now: Time) -> usize {
         let living = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
-        let leader = living.map(|keeper| keeper.replica()).find(|replica| replica.is_sure(now));
+        let leader =
+            living.map(|keeper| keeper.replica()).find(|replica| replica.is_confirmed_leader(now));
         let gone = self.keepers.iter().filter(|keeper| keeper.gone);
         gone.filter(|keeper| !leader.is_some_and(|leader| self.have_removed(leader, &keeper.name)))
             .count()
--- a/soak/src/keepers/world.rs
+++ b/soak/src/keepers/world.rs
@@ -315,7 +315,7 @@
     /// Whether a keeper is sure to lead.
     pub fn someone_leads(&self) -> bool {
         let keepers = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
-        keepers.into_iter().any(|keeper| keeper.replica().is_sure(self.now))
+        keepers.into_iter().any(|keeper| keeper.replica().is_confirmed_leader(self.now))
     }
 
     fn deliver(&mut self, number: usize, event: Event) {
@@ -356,10 +356,10 @@
                 }
                 self.after(way, Happening::Reply { ticket, reply });
             }
-            Action::News(News::Log(consensus::News::Leads(term))) => {
+            Action::News(News::Log(consensus::LogEvent::BecameLeader(term))) => {
                 self.checks.leads(self.now, &name, term);
             }
-            Action::News(News::Log(consensus::News::Violation(violation))) => {
+            Action::News(News::Log(consensus::LogEvent::Violation(violation))) => {
                 self.checks.violation(self.now, format!("breach at {name}: {violation}"));
             }
             Action::News(News::Unreadable(index)) => {
@@ -424,7 +424,7 @@
     fn check_end(&mut self) {
         let leader = self.keepers.iter().find_map(|keeper| {
             let keeper = keeper.keeper.as_ref()?;
-            keeper.replica().is_sure(self.now).then(|| keeper.state().version())
+            keeper.replica().is_confirmed_leader(self.now).then(|| keeper.state().version())
         });
         let Some(version) = leader else {
             return self.checks.violation(self.end, "nobody is sure to lead after the calm");
