--- /dev/null
+++ b/components/keeper/src/apply.rs
@@ -0,0 +1,189 @@
+//! Applies what the replicated log commits to the state, answers the pending calls, notifies the
+//! watching nodes and compacts the log.
+
+use consensus::{Entry, Payload, Snapshot};
+use model::Time;
+use wire::{Document, EmptiedHalls, KeeperNames, WatchReply};
+
+use crate::registry::Watcher;
+use crate::{Action, Keeper, KeeperError, LogCommand, News, Reply, State};
+
+/// Number of log entries above which the log is compacted to a snapshot.
+const COMPACT_AT_ENTRIES: usize = 1_000;
+/// Size of the committed commands above which the log is compacted as well. A limit on the number
+/// of entries alone would let large documents fill the disk.
+const COMPACT_AT_BYTES: usize = 8_000_000;
+/// Number of replaced documents that nodes can still fetch. A node on a slow link can finish a
+/// transfer even if newer versions arrive faster than it fetches them.
+const REPLACED_DOCUMENTS_KEPT: usize = 3;
+
+/// Serializes the state for a snapshot.
+pub(crate) fn encode_state(state: &State) -> Vec<u8> {
+    serde_json::to_vec(state).expect("plain structs become JSON")
+}
+
+pub(crate) fn decode_state(snapshot: &Snapshot) -> Result<State, KeeperError> {
+    if snapshot.state.is_empty() {
+        return Ok(State::default());
+    }
+    serde_json::from_slice(&snapshot.state).map_err(|_| KeeperError::Snapshot)
+}
+
+impl Keeper {
+    /// Passes an event to the replica and performs the resulting actions.
+    pub(crate) fn step_replica(
+        &mut self,
+        now: Time,
+        event: consensus::Event,
+        out: &mut Vec<Action>,
+    ) {
+        let mut actions = Vec::new();
+        self.replica.handle(now, event, &mut actions);
+        for action in actions {
+            self.perform(now, action, out);
+        }
+        if self.needs_compaction() {
+            self.compact(out);
+        }
+    }
+
+    fn needs_compaction(&self) -> bool {
+        let many_entries =
+            self.replica.log_len() > COMPACT_AT_ENTRIES && self.replica.committed() > 0;
+        many_entries || self.replica.committed_bytes() > COMPACT_AT_BYTES
+    }
+
+    fn perform(&mut self, now: Time, action: consensus::Action, out: &mut Vec<Action>) {
+        use consensus::Action as ReplicaAction;
+        match action {
+            ReplicaAction::Store(records) => out.push(Action::Store(records)),
+            ReplicaAction::Rewrite(records) => out.push(Action::Rewrite(records)),
+            ReplicaAction::Send(to, message) => out.push(Action::Send(to, message)),
+            ReplicaAction::Proposed(id, index) => {
+                if let Some(pending) = self.proposals.remove(&id) {
+                    self.pending_changes.insert(index, pending);
+                }
+            }
+            ReplicaAction::Rejected(id) => {
+                if let Some(pending) = self.proposals.remove(&id) {
+                    self.reply_not_leader(pending.ticket(), out);
+                }
+            }
+            ReplicaAction::Commit(entry) => self.apply_entry(now, &entry, out),
+            ReplicaAction::Install(snapshot) => self.install_snapshot(&snapshot, out),
+            ReplicaAction::Log(news) => {
+                if matches!(news, consensus::LogEvent::SteppedDown(_)) {
+                    self.fail_pending_changes(out);
+                }
+                out.push(Action::News(News::Log(news)));
+            }
+        }
+    }
+
+    pub(crate) fn apply_entry(&mut self, now: Time, entry: &Entry, out: &mut Vec<Action>) {
+        let Payload::Command(bytes) = &entry.payload else { return };
+        let previous = self.state.version();
+        let reply = match serde_json::from_slice::<LogCommand>(bytes) {
+            Ok(LogCommand::Change(command)) => Reply::Change(self.state.apply(&command)),
+            Ok(LogCommand::Replace(document)) => {
+                self.apply_document(document, out);
+                Reply::Replaced
+            }
+            Ok(LogCommand::Hall(order)) => {
+                if self.state.order_hall(order) {
+                    self.publish_halls(out);
+                }
+                Reply::Halls(self.state.halls().clone())
+            }
+            Err(_) => return out.push(Action::News(News::Unreadable(entry.index))),
+        };
+        if let Some(pending) = self.pending_changes.remove(&entry.index) {
+            out.push(Action::Respond(pending.ticket(), reply));
+        }
+        if self.state.version() > previous {
+            out.push(Action::News(News::Version(self.state.version())));
+            self.answer_pending_pulls(now, out);
+        }
+    }
+
+    fn apply_document(&mut self, document: Document, out: &mut Vec<Action>) {
+        let version = document.version;
+        let previous = self.state.document().cloned();
+        if self.state.replace(document) {
+            self.keep_replaced(previous);
+            out.push(Action::News(News::Document(version)));
+            self.notify_document_watchers(out);
+        }
+    }
+
+    fn publish_halls(&mut self, out: &mut Vec<Action>) {
+        let halls = self.state.halls();
+        out.push(Action::News(News::Halls(halls.clone())));
+        let watchers = self.registry.set_halls_revision(halls.revision);
+        self.answer_watchers(watchers, out);
+    }
+
+    /// Keeps a replaced document for nodes that are still fetching it.
+    fn keep_replaced(&mut self, document: Option<Document>) {
+        self.replaced_documents.extend(document);
+        if self.replaced_documents.len() > REPLACED_DOCUMENTS_KEPT {
+            self.replaced_documents.pop_front();
+        }
+    }
+
+    fn install_snapshot(&mut self, snapshot: &Snapshot, out: &mut Vec<Action>) {
+        match decode_state(snapshot) {
+            Ok(state) => {
+                let previous = std::mem::replace(&mut self.state, state);
+                self.keep_replaced(previous.document().cloned());
+                self.notify_document_watchers(out);
+                if previous.halls() != self.state.halls() {
+                    self.publish_halls(out);
+                }
+            }
+            Err(_) => out.push(Action::News(News::Unreadable(snapshot.index))),
+        }
+    }
+
+    /// Replaces the log by a snapshot of the state. Both end at the last committed entry.
+    fn compact(&mut self, out: &mut Vec<Action>) {
+        let mut actions = Vec::new();
+        self.replica.compact(encode_state(&self.state), &mut actions);
+        for action in actions {
+            if let consensus::Action::Rewrite(records) = action {
+                out.push(Action::Rewrite(records));
+            }
+        }
+    }
+
+    pub(crate) fn notify_document_watchers(&mut self, out: &mut Vec<Action>) {
+        let watchers = self.registry.set_document_version(self.state.document_version());
+        self.answer_watchers(watchers, out);
+    }
+
+    /// Answers watching nodes, whether or not this keeper leads: what is committed here is final,
+    /// and nodes keep the highest version that they receive.
+    pub(crate) fn answer_watchers(&self, watchers: Vec<Watcher>, out: &mut Vec<Action>) {
+        if watchers.is_empty() {
+            return;
+        }
+        let keepers = KeeperNames(self.replica.voters().to_vec());
+        let digest = keepers.digest();
+        for watcher in watchers {
+            let reply = WatchReply {
+                version: self.state.document_version(),
+                nodes: self.registry.list_update(watcher.revision),
+                halls: self.newer_halls(watcher.halls),
+                peers: self.registry.group_size(&watcher),
+                keepers: (watcher.keepers != digest).then(|| keepers.clone()),
+            };
+            out.push(Action::Respond(watcher.ticket, Reply::Watch(reply)));
+        }
+    }
+
+    /// The emptied halls, if they are newer than the revision that a node has.
+    fn newer_halls(&self, revision: u64) -> Option<EmptiedHalls> {
+        let halls = self.state.halls();
+        (halls.revision > revision).then(|| halls.clone())
+    }
+}
--- a/components/keeper/src/fetch.rs
+++ b/components/keeper/src/fetch.rs
@@ -56,25 +56,25 @@
     /// part.
     digest: Option<u64>,
     /// The source of the outstanding request and when it was sent.
-    asked: Option<(DocumentSource, Time)>,
+    request: Option<(DocumentSource, Time)>,
 }
 
 /// The state of a node's document transfers.
 #[derive(Debug, Default)]
 pub struct DocumentFetch {
     /// The newest version that was completely received.
-    have: u64,
+    version: u64,
     /// The version that each source advertises, if newer than `version`.
     offers: BTreeMap<DocumentSource, u64>,
     transfer: Option<Transfer>,
     /// The source of the latest request; the next one goes to the source after it.
-    last: Option<DocumentSource>,
+    last_source: Option<DocumentSource>,
 }
 
 impl DocumentFetch {
     /// The newest version that was completely received; 0 if none.
     pub fn version(&self) -> u64 {
-        self.have
+        self.version
     }
 
     /// Whether a source advertises a newer version than the one received.
@@ -89,7 +89,7 @@
         source: DocumentSource,
         version: u64,
     ) -> Option<FetchStep> {
-        if version > self.have {
+        if version > self.version {
             self.offers.insert(source, version);
         } else {
             self.offers.remove(&source);
@@ -105,37 +105,37 @@
         part: Option<DocumentPart>,
     ) -> Option<FetchStep> {
         match part {
-            Some(part) => self.take_part(now, source, part),
-            None => self.refused(now, source),
+            Some(part) => self.accept_part(now, source, part),
+            None => self.handle_missing_version(now, source),
         }
     }
 
     /// Handles the loss of the connection to a source.
     pub fn gone(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
         self.offers.remove(&source);
-        self.ask_again_if_asked(source);
+        self.cancel_request_to(source);
         self.next(now)
     }
 
     /// The next request to send, if any. A source that timed out is not asked again until it
     /// advertises a version again.
     pub fn next(&mut self, now: Time) -> Option<FetchStep> {
-        if let Some((source, at)) = self.transfer.as_ref().and_then(|transfer| transfer.asked) {
+        if let Some((source, at)) = self.transfer.as_ref().and_then(|transfer| transfer.request) {
             if now.since(at) < PART_WITHIN {
                 return None;
             }
             self.offers.remove(&source);
-            self.ask_again_if_asked(source);
+            self.cancel_request_to(source);
         }
         let newest = self.offers.values().copied().max()?;
         // No source has the version of the current transfer any more.
         self.transfer.take_if(|transfer| transfer.version > newest);
-        let begin = || Transfer { version: newest, bytes: Vec::new(), digest: None, asked: None };
-        let version = self.transfer.get_or_insert_with(begin).version;
+        let start = || Transfer { version: newest, bytes: Vec::new(), digest: None, request: None };
+        let version = self.transfer.get_or_insert_with(start).version;
         let source = self.next_source(version)?;
         let transfer = self.transfer.as_mut()?;
-        transfer.asked = Some((source, now));
-        self.last = Some(source);
+        transfer.request = Some((source, now));
+        self.last_source = Some(source);
         let request = PartRequest { version, offset: transfer.bytes.len() };
         Some(FetchStep::Ask(source, request))
     }
@@ -144,16 +144,16 @@
     /// versions. Agents are used only if no keeper qualifies.
     fn next_source(&self, version: u64) -> Option<DocumentSource> {
         let has = |(_, offer): &(&DocumentSource, &u64)| **offer >= version;
-        let have: Vec<DocumentSource> =
+        let available: Vec<DocumentSource> =
             self.offers.iter().filter(has).map(|(source, _)| *source).collect();
         let is_keeper = |source: &&DocumentSource| matches!(source, DocumentSource::Keeper(_));
-        let keepers = have.iter().filter(is_keeper).count();
-        let first = if keepers > 0 { &have[..keepers] } else { &have[..] };
-        let after = first.iter().find(|source| self.last.is_some_and(|last| **source > last));
-        after.or(first.first()).copied()
+        let keepers = available.iter().filter(is_keeper).count();
+        let first = if keepers > 0 { &available[..keepers] } else { &available[..] };
+        let next = first.iter().find(|source| self.last_source.is_some_and(|last| **source > last));
+        next.or(first.first()).copied()
     }
 
-    fn take_part(
+    fn accept_part(
         &mut self,
         now: Time,
         source: DocumentSource,
@@ -165,11 +165,11 @@
             return None;
         }
         if transfer.digest.is_some_and(|digest| digest != part.digest) {
-            return self.take_other(now, source);
+            return self.handle_digest_mismatch(now, source);
         }
         transfer.digest = Some(part.digest);
         transfer.bytes.extend_from_slice(&part.bytes);
-        transfer.asked = None;
+        transfer.request = None;
         // The source may have been removed after a timeout.
         self.offers.entry(source).or_insert(part.version);
         if transfer.bytes.len() < part.total && !part.bytes.is_empty() {
@@ -184,7 +184,7 @@
             self.offers.remove(&source);
             return self.next(now);
         };
-        self.have = version;
+        self.version = version;
         self.offers.retain(|_, offer| *offer > version);
         Some(FetchStep::Whole(document, source))
     }
@@ -192,8 +192,8 @@
     /// Handles a part whose digest differs from that of the earlier parts, as when another release
     /// packs the document differently. Other sources continue the transfer; if there are none, it
     /// restarts from this source.
-    fn take_other(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
-        self.ask_again_if_asked(source);
+    fn handle_digest_mismatch(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
+        self.cancel_request_to(source);
         let offer = self.offers.remove(&source);
         if self.offers.is_empty() {
             self.transfer = None;
@@ -204,26 +204,26 @@
 
     /// Handles a source that does not have the requested version, because it has a newer one or was
     /// restarted.
-    fn refused(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
-        let (asked, version) =
-            self.transfer.as_ref().map(|transfer| (transfer.asked, transfer.version))?;
-        if asked.is_none_or(|(asked, _)| asked != source) {
+    fn handle_missing_version(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
+        let (request, version) =
+            self.transfer.as_ref().map(|transfer| (transfer.request, transfer.version))?;
+        if request.is_none_or(|(asked, _)| asked != source) {
             return None;
         }
         if self.offers.get(&source).is_some_and(|offer| *offer > version) {
             self.transfer = None;
         } else {
             self.offers.remove(&source);
-            self.ask_again_if_asked(source);
+            self.cancel_request_to(source);
         }
         self.next(now)
     }
 
-    fn ask_again_if_asked(&mut self, source: DocumentSource) {
+    fn cancel_request_to(&mut self, source: DocumentSource) {
         if let Some(transfer) = &mut self.transfer
-            && transfer.asked.is_some_and(|(asked, _)| asked == source)
+            && transfer.request.is_some_and(|(asked, _)| asked == source)
         {
-            transfer.asked = None;
+            transfer.request = None;
         }
     }
 }
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -8,7 +8,7 @@
 //! What is committed here is also on the disks of other keepers, so the keeper can serve it; this
 //! does not hold for a sole voter.
 
-use consensus::Action as LogAction;
+use consensus::Action as ReplicaAction;
 use model::Time;
 
 use crate::{Action, Event, Keeper, Reply};
@@ -19,12 +19,12 @@
     /// records and calls [`Keeper::disk_is_writable`] once they are stored.
     pub fn disk_is_full(&mut self, now: Time, refused: Vec<Action>, out: &mut Vec<Action>) {
         self.disk_full = true;
-        out.extend(refused.into_iter().filter_map(without_store));
-        self.give_up_waiters(out);
+        out.extend(refused.into_iter().filter_map(reduce_to_unstored));
+        self.fail_pending_changes(out);
         let mut actions = Vec::new();
         self.replica.transfer_leadership(now, &mut actions);
         out.extend(actions.into_iter().filter_map(|action| match action {
-            LogAction::Send(to, message) => Some(Action::Send(to, message)),
+            ReplicaAction::Send(to, message) => Some(Action::Send(to, message)),
             _ => None,
         }));
     }
@@ -51,7 +51,7 @@
             | Event::Fetch(ticket)
             | Event::OrderHall(ticket, _)
             | Event::ReadHalls(ticket)
-            | Event::Pull(ticket, _) => self.unsure(ticket, out),
+            | Event::Pull(ticket, _) => self.reply_not_leader(ticket, out),
             // Dropping a message is safe, as messages may be lost anyway.
             Event::Resign | Event::Peer(..) | Event::Tick => {}
         }
@@ -60,13 +60,13 @@
 
 /// Reduces an action that followed a rejected store: messages are dropped, and callers whose result
 /// would depend on the store are referred to another keeper.
-fn without_store(action: Action) -> Option<Action> {
+fn reduce_to_unstored(action: Action) -> Option<Action> {
     match action {
         Action::Store(_) | Action::Rewrite(_) | Action::Send(..) => None,
         Action::Respond(ticket, reply @ (Reply::Watch(_) | Reply::Part(_) | Reply::Unsure(_))) => {
             Some(Action::Respond(ticket, reply))
         }
         Action::Respond(ticket, _) => Some(Action::Respond(ticket, Reply::Unsure(None))),
-        news @ Action::News(_) => Some(news),
+        event @ Action::News(_) => Some(event),
     }
 }
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -8,13 +8,13 @@
 use thiserror::Error;
 use wire::{ChangeRequest, Document, HallOrder, PartRequest, WatchRequest};
 
-use crate::committed::{decode, encode};
+use crate::apply::{decode_state, encode_state};
+use crate::pending_calls::{PendingChange, PendingPull};
 use crate::registry::Registry;
-use crate::waits::{Puller, Waiter};
 use crate::{Action, Command, Event, LogCommand, Reply, State, Ticket, TreeReply};
 
 /// Maximum number of versions in a history reply.
-const HISTORY: usize = 100;
+const HISTORY_VERSIONS_MAX: usize = 100;
 
 /// Why a keeper can't start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -23,7 +23,7 @@
     #[error("{0}")]
     Log(#[from] RecoverError),
     /// The state in the journal's snapshot can't be decoded.
-    #[error("the snapshot can't be read")]
+    #[error("the state in the journal's snapshot can't be decoded")]
     Snapshot,
 }
 
@@ -33,20 +33,20 @@
     pub(crate) replica: Replica,
     pub(crate) state: State,
     /// Pending changes by log index. Ordered, so that the order of replies is deterministic.
-    pub(crate) waiters: BTreeMap<Index, Waiter>,
-    pub(crate) pullers: Vec<Puller>,
-    pub(crate) proposals: HashMap<ProposalId, Waiter>,
+    pub(crate) pending_changes: BTreeMap<Index, PendingChange>,
+    pub(crate) pending_pulls: Vec<PendingPull>,
+    pub(crate) proposals: HashMap<ProposalId, PendingChange>,
     next_proposal: u64,
     pub(crate) registry: Registry,
     /// Recently replaced documents, oldest first.
-    pub(crate) replaced: VecDeque<Document>,
+    pub(crate) replaced_documents: VecDeque<Document>,
     /// Whether the disk is full; the replica then receives no events.
     pub(crate) disk_full: bool,
 }
 
 /// The journal records that a founding keeper of a new cluster starts with.
 pub fn initial_records(members: Vec<NodeName>, tree: Tree) -> Vec<Record> {
-    consensus::initial_records(members, encode(&State::new(tree)))
+    consensus::initial_records(members, encode_state(&State::new(tree)))
 }
 
 impl Keeper {
@@ -60,16 +60,16 @@
         now: Time,
     ) -> Result<Self, KeeperError> {
         let replica = Replica::recover(name, records, timing, seed, now)?;
-        let state = decode(replica.snapshot())?;
+        let state = decode_state(replica.snapshot())?;
         let mut keeper = Self {
             replica,
             state,
-            waiters: BTreeMap::new(),
-            pullers: Vec::new(),
+            pending_changes: BTreeMap::new(),
+            pending_pulls: Vec::new(),
             proposals: HashMap::new(),
             next_proposal: 0,
             registry: Registry::new(seed),
-            replaced: VecDeque::new(),
+            replaced_documents: VecDeque::new(),
             disk_full: false,
         };
         keeper.apply_recovered(now);
@@ -79,11 +79,11 @@
     /// Applies the entries that the journal records as committed, so that nodes are served before
     /// an election. There are no callers yet, so the resulting actions are dropped.
     fn apply_recovered(&mut self, now: Time) {
-        self.registry.document_is(self.state.document_version());
-        self.registry.halls_are(self.state.halls().revision);
-        let mut dropped = Vec::new();
+        self.registry.set_document_version(self.state.document_version());
+        self.registry.set_halls_revision(self.state.halls().revision);
+        let mut ignored = Vec::new();
         for entry in self.replica.recovered_entries() {
-            self.commit(now, &entry, &mut dropped);
+            self.apply_entry(now, &entry, &mut ignored);
         }
     }
 
@@ -94,35 +94,35 @@
         } else {
             self.handle_with_disk(now, event, out);
         }
-        self.end_waits(now, out);
+        self.expire_pending_calls(now, out);
     }
 
     fn handle_with_disk(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Change(ticket, request) => self.change(now, ticket, request, out),
-            Event::Read(ticket) => self.read(now, ticket, out),
+            Event::Change(ticket, request) => self.propose_change(now, ticket, request, out),
+            Event::Read(ticket) => self.read_tree(now, ticket, out),
             Event::History(ticket) => {
-                let history = Reply::History(self.state.history(HISTORY));
-                self.if_sure(now, ticket, history, out);
+                let history = Reply::History(self.state.history(HISTORY_VERSIONS_MAX));
+                self.reply_if_leader(now, ticket, history, out);
             }
-            Event::Replace(ticket, document) => self.replace(now, ticket, document, out),
+            Event::Replace(ticket, document) => self.propose_document(now, ticket, document, out),
             Event::Fetch(ticket) => {
                 let reply = Reply::Document(self.state.document().cloned());
-                self.if_sure(now, ticket, reply, out);
+                self.reply_if_leader(now, ticket, reply, out);
             }
-            Event::OrderHall(ticket, order) => self.order_hall(now, ticket, order, out),
+            Event::OrderHall(ticket, order) => self.propose_hall_command(now, ticket, order, out),
             Event::ReadHalls(ticket) => {
                 let halls = Reply::Halls(self.state.halls().clone());
-                self.if_sure(now, ticket, halls, out);
+                self.reply_if_leader(now, ticket, halls, out);
             }
             Event::Watch(ticket, request) => self.watch(now, ticket, request, out),
             Event::Part(ticket, request) => self.part(ticket, request, out),
-            Event::Resign => self.drive(now, consensus::Event::Resign, out),
+            Event::Resign => self.step_replica(now, consensus::Event::Resign, out),
             Event::Pull(ticket, request) => self.pull(now, ticket, &request, out),
             Event::Peer(from, message) => {
-                self.drive(now, consensus::Event::Message { from, message }, out);
+                self.step_replica(now, consensus::Event::Message { from, message }, out);
             }
-            Event::Tick => self.drive(now, consensus::Event::Tick, out),
+            Event::Tick => self.step_replica(now, consensus::Event::Tick, out),
         }
     }
 
@@ -133,13 +133,13 @@
         request: WatchRequest,
         out: &mut Vec<Action>,
     ) {
-        let ended = self.registry.watch(now, ticket, request);
-        self.answer_watchers(ended, out);
+        let watchers = self.registry.watch(now, ticket, request);
+        self.answer_watchers(watchers, out);
     }
 
     /// Replies with a part of a committed document, whether or not this keeper leads.
     pub(crate) fn part(&self, ticket: Ticket, request: PartRequest, out: &mut Vec<Action>) {
-        let documents = self.state.document().into_iter().chain(&self.replaced);
+        let documents = self.state.document().into_iter().chain(&self.replaced_documents);
         let part = documents.filter_map(|document| document.part(request)).next();
         out.push(Action::Respond(ticket, Reply::Part(part)));
     }
@@ -175,9 +175,15 @@
         &self.replica
     }
 
-    fn change(&mut self, now: Time, ticket: Ticket, request: ChangeRequest, out: &mut Vec<Action>) {
+    fn propose_change(
+        &mut self,
+        now: Time,
+        ticket: Ticket,
+        request: ChangeRequest,
+        out: &mut Vec<Action>,
+    ) {
         if !self.is_sure(now) {
-            return self.unsure(ticket, out);
+            return self.reply_not_leader(ticket, out);
         }
         if let Some(first) = self.state.result(&request.change) {
             return out.push(Action::Respond(ticket, Reply::Change(first.clone())));
@@ -188,9 +194,15 @@
 
     /// Replaces the document. A version that is not above the committed one changes nothing and is
     /// acknowledged at once.
-    fn replace(&mut self, now: Time, ticket: Ticket, document: Document, out: &mut Vec<Action>) {
+    fn propose_document(
+        &mut self,
+        now: Time,
+        ticket: Ticket,
+        document: Document,
+        out: &mut Vec<Action>,
+    ) {
         if !self.is_sure(now) {
-            return self.unsure(ticket, out);
+            return self.reply_not_leader(ticket, out);
         }
         if document.version <= self.state.document_version() {
             return out.push(Action::Respond(ticket, Reply::Replaced));
@@ -201,9 +213,15 @@
     /// Empties or refills a hall. Hall commands carry no version and take effect in log order. A
     /// command that the committed state already satisfies is proposed as well, as the opposite
     /// command may still be uncommitted in the log before it.
-    fn order_hall(&mut self, now: Time, ticket: Ticket, order: HallOrder, out: &mut Vec<Action>) {
+    fn propose_hall_command(
+        &mut self,
+        now: Time,
+        ticket: Ticket,
+        order: HallOrder,
+        out: &mut Vec<Action>,
+    ) {
         if !self.is_sure(now) {
-            return self.unsure(ticket, out);
+            return self.reply_not_leader(ticket, out);
         }
         self.propose(now, ticket, &LogCommand::Hall(order), out);
     }
@@ -212,27 +230,33 @@
         let command = serde_json::to_vec(command).expect("plain structs become JSON");
         self.next_proposal += 1;
         let id = ProposalId(self.next_proposal);
-        self.proposals.insert(id, Waiter::new(now, ticket));
-        self.drive(now, consensus::Event::Propose { id, command }, out);
+        self.proposals.insert(id, PendingChange::new(now, ticket));
+        self.step_replica(now, consensus::Event::Propose { id, command }, out);
     }
 
-    fn read(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Action>) {
+    fn read_tree(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Action>) {
         let tree = self.state.tree().to_ini();
         let reply = Reply::Tree(TreeReply { version: self.state.version(), tree });
-        self.if_sure(now, ticket, reply, out);
+        self.reply_if_leader(now, ticket, reply, out);
     }
 
     /// Sends the reply only if this keeper is the confirmed leader, so that callers never read an
     /// outdated state.
-    pub(crate) fn if_sure(&self, now: Time, ticket: Ticket, reply: Reply, out: &mut Vec<Action>) {
+    pub(crate) fn reply_if_leader(
+        &self,
+        now: Time,
+        ticket: Ticket,
+        reply: Reply,
+        out: &mut Vec<Action>,
+    ) {
         if self.is_sure(now) {
             out.push(Action::Respond(ticket, reply));
         } else {
-            self.unsure(ticket, out);
+            self.reply_not_leader(ticket, out);
         }
     }
 
-    pub(crate) fn unsure(&self, ticket: Ticket, out: &mut Vec<Action>) {
+    pub(crate) fn reply_not_leader(&self, ticket: Ticket, out: &mut Vec<Action>) {
         let leader = self.replica.leader().cloned();
         out.push(Action::Respond(ticket, Reply::Unsure(leader)));
     }
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -6,15 +6,15 @@
 //! The crate does no I/O and reads no clock: [`Keeper::handle`] takes the current time and an event
 //! and returns the actions to perform.
 
-mod committed;
+mod apply;
 mod event;
 mod fetch;
 mod full_disk;
 mod keeper;
+mod pending_calls;
 mod registry;
 mod roster;
 mod state;
-mod waits;
 
 pub use event::{Action, Event, News, Reply, Ticket, TreeReply};
 pub use fetch::{DocumentFetch, DocumentSource, FetchStep, PART_WITHIN};
--- /dev/null
+++ b/components/keeper/src/pending_calls.rs
@@ -0,0 +1,109 @@
+//! Pending calls of operators, which wait for a commit, and of nodes, which wait for a newer
+//! version.
+
+use std::time::Duration;
+
+use consensus::Index;
+use model::Time;
+use wire::{PullReply, PullRequest};
+
+use crate::{Action, Keeper, News, Reply, Ticket};
+
+/// Maximum wait of a node that already has the current version.
+const PULL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum wait of an operator for a commit; afterwards the outcome of the change is unknown.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// An operator's call that waits for a commit.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PendingChange {
+    ticket: Ticket,
+    until: Time,
+}
+
+/// A node's call that waits for a newer version of the settings.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PendingPull {
+    ticket: Ticket,
+    have: Option<u64>,
+    until: Time,
+}
+
+impl PendingChange {
+    /// A call that starts to wait now.
+    pub fn new(now: Time, ticket: Ticket) -> Self {
+        Self { ticket, until: now + CHANGE_TIMEOUT }
+    }
+
+    /// The call to answer.
+    pub fn ticket(self) -> Ticket {
+        self.ticket
+    }
+}
+
+impl Keeper {
+    /// When the next tick is due; `None` if no timer is set.
+    pub fn next_timer(&self) -> Option<Time> {
+        let replica = (!self.disk_full).then(|| self.replica.next_timer());
+        let pulls = self.pending_pulls.iter().map(|pending| pending.until);
+        let changes = self.pending_changes.values().map(|pending| pending.until);
+        let watches = self.registry.next_timer();
+        pulls.chain(changes).chain(watches).chain(replica).min()
+    }
+
+    pub(crate) fn pull(
+        &mut self,
+        now: Time,
+        ticket: Ticket,
+        request: &PullRequest,
+        out: &mut Vec<Action>,
+    ) {
+        let have = request.have;
+        match self.state.since(have) {
+            PullReply::Current if self.is_sure(now) => {
+                self.pending_pulls.push(PendingPull { ticket, have, until: now + PULL_TIMEOUT });
+            }
+            update => self.reply_if_leader(now, ticket, Reply::Pull(update), out),
+        }
+    }
+
+    /// Answers the pending changes without a result after this keeper stopped leading; the next
+    /// leader decides whether they are committed.
+    pub(crate) fn fail_pending_changes(&mut self, out: &mut Vec<Action>) {
+        for pending in std::mem::take(&mut self.pending_changes).into_values() {
+            self.reply_not_leader(pending.ticket, out);
+        }
+    }
+
+    /// Answers the nodes for which there is a newer version or whose deadline has passed.
+    pub(crate) fn answer_pending_pulls(&mut self, now: Time, out: &mut Vec<Action>) {
+        for pending in std::mem::take(&mut self.pending_pulls) {
+            let update = self.state.since(pending.have);
+            if update == PullReply::Current && now < pending.until {
+                self.pending_pulls.push(pending);
+            } else {
+                self.reply_if_leader(now, pending.ticket, Reply::Pull(update), out);
+            }
+        }
+    }
+
+    pub(crate) fn expire_pending_calls(&mut self, now: Time, out: &mut Vec<Action>) {
+        let previous_len = self.registry.len();
+        let watchers = self.registry.tick(now);
+        if self.registry.len() != previous_len {
+            out.push(Action::News(News::Nodes(self.registry.len())));
+        }
+        self.answer_watchers(watchers, out);
+        if self.pending_pulls.iter().any(|pending| pending.until <= now) {
+            self.answer_pending_pulls(now, out);
+        }
+        let expired = |(_, pending): &(&Index, &PendingChange)| pending.until <= now;
+        let expired: Vec<Index> =
+            self.pending_changes.iter().filter(expired).map(|(index, _)| *index).collect();
+        for index in expired {
+            if let Some(pending) = self.pending_changes.remove(&index) {
+                self.reply_not_leader(pending.ticket, out);
+            }
+        }
+    }
+}
--- a/components/keeper/src/registry.rs
+++ b/components/keeper/src/registry.rs
@@ -16,12 +16,12 @@
 use crate::Ticket;
 
 /// Maximum time until a waiting node is answered; it then asks again at once.
-const WATCH_TIME: Duration = Duration::from_millis(1_000);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time without a request after which a node is removed.
-const EXPIRY: Duration = Duration::from_millis(4_000);
+const NODE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Delay between the first change of the list and its notification, so that nodes which start
 /// together cause one notification.
-const GATHER: Duration = Duration::from_millis(50);
+const NOTIFY_DELAY: Duration = Duration::from_millis(50);
 /// Number of changes kept per listed entry. A node that has missed more receives the whole list.
 const CHANGES_KEPT_PER_ENTRY: usize = 5;
 /// Number of low bits of a revision that count changes; the high bits hold the seed and so differ
@@ -52,20 +52,20 @@
 pub(crate) struct Registry {
     nodes: BTreeMap<NodeName, (NodeInfo, Time)>,
     /// The number of nodes in each group.
-    sizes: BTreeMap<Group, u32>,
+    group_sizes: BTreeMap<Group, u32>,
     revision: u64,
     /// The entry that each of the last revisions changed, oldest first.
     changes: VecDeque<NodeName>,
     /// The version of the committed document.
-    document: u64,
+    document_version: u64,
     /// The revision of the emptied halls.
-    halls: u64,
+    halls_revision: u64,
     /// The waiting nodes, ordered by deadline so that expired ones are found without a scan.
     watchers: BTreeMap<(Time, Ticket), Watcher>,
     /// No node expires before this time; `None` if no node is registered.
-    expires_from: Option<Time>,
+    next_expiry_at: Option<Time>,
     /// When the watchers are notified of a changed list.
-    tell_at: Option<Time>,
+    notify_at: Option<Time>,
 }
 
 impl Registry {
@@ -73,14 +73,14 @@
         let revision = (seed << REVISION_BITS) | 1;
         Self {
             nodes: BTreeMap::new(),
-            sizes: BTreeMap::new(),
+            group_sizes: BTreeMap::new(),
             revision,
             changes: VecDeque::new(),
-            document: 0,
-            halls: 0,
+            document_version: 0,
+            halls_revision: 0,
             watchers: BTreeMap::new(),
-            expires_from: None,
-            tell_at: None,
+            next_expiry_at: None,
+            notify_at: None,
         }
     }
 
@@ -92,93 +92,95 @@
     pub fn watch(&mut self, now: Time, ticket: Ticket, request: WatchRequest) -> Vec<Watcher> {
         let WatchRequest { node, document, revision, halls, keepers } = request;
         let group = group_of(&node);
-        let known = self.nodes.insert(node.name.clone(), (node.clone(), now)).map(|(node, _)| node);
-        if known.as_ref() != Some(&node) {
-            *self.sizes.entry(group.clone()).or_default() += 1;
-            let was_entry = known.is_some_and(|before| self.leave_group(&before));
+        let previous =
+            self.nodes.insert(node.name.clone(), (node.clone(), now)).map(|(node, _)| node);
+        if previous.as_ref() != Some(&node) {
+            *self.group_sizes.entry(group.clone()).or_default() += 1;
+            let was_entry = previous.is_some_and(|node| self.leave_group(&node));
             if was_entry || node.role == NodeRole::Entry {
-                self.changed(now, node.name.clone());
+                self.record_change(now, node.name.clone());
             }
         }
-        self.expires_from.get_or_insert(now + EXPIRY);
+        self.next_expiry_at.get_or_insert(now + NODE_TIMEOUT);
         let watcher = Watcher { ticket, group, document, halls, revision, keepers };
-        let settled = self.tell_at.is_none() && lacks_list(revision, self.revision);
-        if document < self.document || halls < self.halls || settled {
+        let list_ready = self.notify_at.is_none() && is_list_outdated(revision, self.revision);
+        if document < self.document_version || halls < self.halls_revision || list_ready {
             return vec![watcher];
         }
-        self.watchers.insert((now + WATCH_TIME, ticket), watcher);
+        self.watchers.insert((now + WATCH_TIMEOUT, ticket), watcher);
         Vec::new()
     }
 
     /// Sets the document version; returns the watchers to answer.
-    pub fn document_is(&mut self, version: u64) -> Vec<Watcher> {
-        self.document = version;
-        self.take(|watcher| watcher.document < version)
+    pub fn set_document_version(&mut self, version: u64) -> Vec<Watcher> {
+        self.document_version = version;
+        self.take_matching(|watcher| watcher.document < version)
     }
 
     /// Sets the revision of the emptied halls; returns the watchers to answer.
-    pub fn halls_are(&mut self, revision: u64) -> Vec<Watcher> {
-        self.halls = revision;
-        self.take(|watcher| watcher.halls < revision)
+    pub fn set_halls_revision(&mut self, revision: u64) -> Vec<Watcher> {
+        self.halls_revision = revision;
+        self.take_matching(|watcher| watcher.halls < revision)
     }
 
     /// Checks the timers; returns the watchers to answer.
     pub fn tick(&mut self, now: Time) -> Vec<Watcher> {
         self.expire(now);
-        let mut over = self.take_over(now);
-        if self.tell_at.is_some_and(|at| at <= now) {
-            self.tell_at = None;
+        let mut expired = self.take_expired(now);
+        if self.notify_at.is_some_and(|at| at <= now) {
+            self.notify_at = None;
             let revision = self.revision;
-            over.extend(self.take(|watcher| lacks_list(watcher.revision, revision)));
+            expired
+                .extend(self.take_matching(|watcher| is_list_outdated(watcher.revision, revision)));
         }
-        over
+        expired
     }
 
     /// Removes nodes that have been silent for too long.
     fn expire(&mut self, now: Time) {
-        if self.expires_from.is_none_or(|from| now < from) {
+        if self.next_expiry_at.is_none_or(|from| now < from) {
             return;
         }
-        let over: Vec<NodeInfo> = self
+        let expired: Vec<NodeInfo> = self
             .nodes
             .values()
-            .filter(|(_, heard)| now.since(*heard) >= EXPIRY)
+            .filter(|(_, last_contact)| now.since(*last_contact) >= NODE_TIMEOUT)
             .map(|(node, _)| node.clone())
             .collect();
-        for node in over {
+        for node in expired {
             self.nodes.remove(&node.name);
             if self.leave_group(&node) {
-                self.changed(now, node.name);
+                self.record_change(now, node.name);
             }
         }
-        let longest_silent = self.nodes.values().map(|(_, heard)| *heard).min();
-        self.expires_from = longest_silent.map(|heard| heard + EXPIRY);
+        let oldest_contact = self.nodes.values().map(|(_, last_contact)| *last_contact).min();
+        self.next_expiry_at = oldest_contact.map(|last_contact| last_contact + NODE_TIMEOUT);
     }
 
     /// Removes and returns the watchers whose deadline has passed.
-    fn take_over(&mut self, now: Time) -> Vec<Watcher> {
-        let mut over = Vec::new();
+    fn take_expired(&mut self, now: Time) -> Vec<Watcher> {
+        let mut expired = Vec::new();
         while let Some(first) = self.watchers.first_entry()
             && first.key().0 <= now
         {
-            over.push(first.remove());
+            expired.push(first.remove());
         }
-        over
+        expired
     }
 
     /// When the next tick is due; `None` if nothing is scheduled.
     pub fn next_timer(&self) -> Option<Time> {
         let first = self.watchers.first_key_value().map(|((until, _), _)| *until);
-        first.into_iter().chain(self.tell_at).min()
+        first.into_iter().chain(self.notify_at).min()
     }
 
     /// The update of the list for a node that has this revision; `None` if the node is up to date
     /// or takes the list from other keepers.
-    pub fn list_news(&self, revision: Option<u64>) -> Option<ListNews> {
+    pub fn list_update(&self, revision: Option<u64>) -> Option<ListNews> {
         let revision = revision.filter(|revision| *revision != self.revision)?;
         // A revision from an earlier start of this keeper differs in the high bits, so the
         // difference exceeds the number of kept changes.
-        let missed = self.revision.checked_sub(revision).and_then(|by| usize::try_from(by).ok());
+        let missed = self.revision.checked_sub(revision).and_then(|n| usize::try_from(n).ok());
         let known = missed.filter(|missed| *missed <= self.changes.len());
         Some(known.map_or_else(|| ListNews::Whole(self.list()), |missed| self.last_changes(missed)))
     }
@@ -202,45 +204,45 @@
     }
 
     /// The number of nodes in the watcher's group.
-    pub fn peers(&self, watcher: &Watcher) -> u32 {
-        self.sizes.get(&watcher.group).copied().unwrap_or(0)
+    pub fn group_size(&self, watcher: &Watcher) -> u32 {
+        self.group_sizes.get(&watcher.group).copied().unwrap_or(0)
     }
 
     /// The number of listed entries.
-    fn entries(&self) -> usize {
-        let of_entries = self.sizes.iter().filter(|((role, _), _)| *role == NodeRole::Entry);
+    fn entry_count(&self) -> usize {
+        let of_entries = self.group_sizes.iter().filter(|((role, _), _)| *role == NodeRole::Entry);
         of_entries.map(|(_, size)| *size as usize).sum()
     }
 
     /// Removes a node from its group; returns whether it was an entry.
     fn leave_group(&mut self, node: &NodeInfo) -> bool {
-        if let Some(size) = self.sizes.get_mut(&group_of(node)) {
+        if let Some(size) = self.group_sizes.get_mut(&group_of(node)) {
             *size = size.saturating_sub(1);
         }
         node.role == NodeRole::Entry
     }
 
-    fn changed(&mut self, now: Time, entry: NodeName) {
+    fn record_change(&mut self, now: Time, entry: NodeName) {
         self.revision += 1;
         self.changes.push_back(entry);
-        let most = CHANGES_KEPT_PER_ENTRY * self.entries().max(1);
-        while self.changes.len() > most {
+        let limit = CHANGES_KEPT_PER_ENTRY * self.entry_count().max(1);
+        while self.changes.len() > limit {
             self.changes.pop_front();
         }
-        self.tell_at.get_or_insert(now + GATHER);
+        self.notify_at.get_or_insert(now + NOTIFY_DELAY);
     }
 
-    fn take(&mut self, which: impl Fn(&Watcher) -> bool) -> Vec<Watcher> {
-        let chosen = self.watchers.iter().filter(|(_, watcher)| which(watcher));
-        let chosen: Vec<(Time, Ticket)> = chosen.map(|(key, _)| *key).collect();
-        chosen.iter().filter_map(|key| self.watchers.remove(key)).collect()
+    fn take_matching(&mut self, matches: impl Fn(&Watcher) -> bool) -> Vec<Watcher> {
+        let matching = self.watchers.iter().filter(|(_, watcher)| matches(watcher));
+        let matching: Vec<(Time, Ticket)> = matching.map(|(key, _)| *key).collect();
+        matching.iter().filter_map(|key| self.watchers.remove(key)).collect()
     }
 }
 
 /// Whether a node that has this revision of the list needs an update; a node with `None` never
 /// does.
-fn lacks_list(has: Option<u64>, newest: u64) -> bool {
-    has.is_some_and(|revision| revision != newest)
+fn is_list_outdated(revision: Option<u64>, newest: u64) -> bool {
+    revision.is_some_and(|revision| revision != newest)
 }
 
 fn group_of(node: &NodeInfo) -> Group {
--- a/components/keeper/src/roster.rs
+++ b/components/keeper/src/roster.rs
@@ -16,17 +16,17 @@
 use wire::NodeInfo;
 
 /// Interval between calls.
-const CALL_EVERY: Duration = Duration::from_millis(60);
+const CALL_INTERVAL: Duration = Duration::from_millis(60);
 /// Time after the start for which nodes that have not registered are called. Later, nodes find the
 /// keeper through their settings.
-const CALLED_FOR: Duration = Duration::from_secs(5);
+const CALL_PERIOD: Duration = Duration::from_secs(5);
 /// Delay of the first store after a start, so that the nodes that register one after another are
 /// stored together.
-const SETTLED: Duration = Duration::from_secs(2);
+const FIRST_STORE_DELAY: Duration = Duration::from_secs(2);
 /// Minimum interval between two stores, as each store syncs the disk several times.
-const STORE_EVERY: Duration = Duration::from_secs(1);
+const STORE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without contact after which a node is removed at the next store.
-const FORGOTTEN: Duration = Duration::from_secs(60);
+const FORGET_AFTER: Duration = Duration::from_secs(60);
 
 /// A node as stored on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,41 +47,48 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownNode {
     host: IpAddr,
     /// When the node last registered; `None` if it has not since the keeper's start.
-    heard: Option<Time>,
+    last_contact: Option<Time>,
 }
 
 /// The nodes known to a keeper, including those stored before its start.
 #[derive(Debug)]
 pub struct Roster {
-    began: Time,
-    nodes: BTreeMap<NodeName, Known>,
+    started_at: Time,
+    nodes: BTreeMap<NodeName, KnownNode>,
     /// When the nodes that have not registered are called next.
     call_at: Option<Time>,
     /// When the changed list is stored.
     store_at: Option<Time>,
     /// Earliest time of the next store.
-    store_from: Time,
+    next_store_at: Time,
 }
 
 impl Roster {
     /// Creates the roster of a starting keeper from the nodes stored on disk.
     pub fn new(now: Time, remembered: Vec<RememberedNode>) -> Self {
-        let known = |node: RememberedNode| (node.name, Known { host: node.host, heard: None });
-        let nodes: BTreeMap<NodeName, Known> = remembered.into_iter().map(known).collect();
+        let known =
+            |node: RememberedNode| (node.name, KnownNode { host: node.host, last_contact: None });
+        let nodes: BTreeMap<NodeName, KnownNode> = remembered.into_iter().map(known).collect();
         let call_at = (!nodes.is_empty()).then_some(now);
-        Self { began: now, nodes, call_at, store_at: None, store_from: now + SETTLED }
+        Self {
+            started_at: now,
+            nodes,
+            call_at,
+            store_at: None,
+            next_store_at: now + FIRST_STORE_DELAY,
+        }
     }
 
     /// Records that a node registered at this keeper.
     pub fn heard(&mut self, now: Time, node: &NodeInfo) {
         let host = node.address.ip();
-        let known = Known { host, heard: Some(now) };
+        let known = KnownNode { host, last_contact: Some(now) };
         let before = self.nodes.insert(node.name.clone(), known);
         if before.is_none_or(|before| before.host != host) {
-            self.store_at.get_or_insert(self.store_from.max(now));
+            self.store_at.get_or_insert(self.next_store_at.max(now));
         }
     }
 
@@ -99,21 +106,22 @@
         if self.call_at.is_none_or(|at| now < at) {
             return Vec::new();
         }
-        let absent = self.nodes.values().filter(|known| known.heard.is_none());
-        let hosts: Vec<IpAddr> = absent.map(|known| known.host).collect();
-        let next = now + CALL_EVERY;
-        let goes_on = !hosts.is_empty() && next.since(self.began) < CALLED_FOR;
-        self.call_at = goes_on.then_some(next);
+        let unregistered = self.nodes.values().filter(|known| known.last_contact.is_none());
+        let hosts: Vec<IpAddr> = unregistered.map(|known| known.host).collect();
+        let next = now + CALL_INTERVAL;
+        let calls_continue = !hosts.is_empty() && next.since(self.started_at) < CALL_PERIOD;
+        self.call_at = calls_continue.then_some(next);
         hosts
     }
 
     fn due_store(&mut self, now: Time) -> Option<Vec<RememberedNode>> {
         self.store_at.filter(|at| *at <= now)?;
         self.store_at = None;
-        self.store_from = now + STORE_EVERY;
-        let began = self.began;
-        self.nodes.retain(|_, known| now.since(known.heard.unwrap_or(began)) < FORGOTTEN);
-        let node = |(name, known): (&NodeName, &Known)| RememberedNode {
+        self.next_store_at = now + STORE_INTERVAL;
+        let started_at = self.started_at;
+        self.nodes
+            .retain(|_, known| now.since(known.last_contact.unwrap_or(started_at)) < FORGET_AFTER);
+        let node = |(name, known): (&NodeName, &KnownNode)| RememberedNode {
             name: name.clone(),
             host: known.host,
         };
--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -53,10 +53,12 @@
 pub struct State {
     version: u64,
     tree: Tree,
-    recent: VecDeque<Version>,
+    #[serde(rename = "recent")]
+    recent_versions: VecDeque<Version>,
     results: HashMap<String, ChangeResult>,
     /// The ids of the changes in `results`, oldest first.
-    order: VecDeque<String>,
+    #[serde(rename = "order")]
+    result_ids: VecDeque<String>,
     /// The document with the highest version.
     #[serde(default)]
     document: Option<Document>,
@@ -116,11 +118,11 @@
         if let Some(first) = self.results.get(&request.change) {
             return first.clone();
         }
-        let result = self.decide(command);
+        let result = self.apply_new(command);
         self.results.insert(request.change.clone(), result.clone());
-        self.order.push_back(request.change.clone());
-        if self.order.len() > RESULTS_KEPT
-            && let Some(oldest) = self.order.pop_front()
+        self.result_ids.push_back(request.change.clone());
+        if self.result_ids.len() > RESULTS_KEPT
+            && let Some(oldest) = self.result_ids.pop_front()
         {
             self.results.remove(&oldest);
         }
@@ -132,16 +134,16 @@
         self.results.get(change)
     }
 
-    fn decide(&mut self, command: &Command) -> ChangeResult {
+    fn apply_new(&mut self, command: &Command) -> ChangeResult {
         let request = &command.request;
-        if let Some(conflict) = self.conflict(request) {
+        if let Some(conflict) = self.find_conflict(request) {
             return conflict;
         }
         let invalid = |reason: String| ChangeResult::Invalid { reason };
         if request.edits.is_empty() {
             return invalid("no edits".to_owned());
         }
-        let edits = match self.with_previous_view(command) {
+        let edits = match self.edits_with_previous_view(command) {
             Ok(edits) => edits,
             Err(reason) => return invalid(reason),
         };
@@ -154,37 +156,39 @@
     fn accept(&mut self, tree: Tree, edits: Vec<Edit>, taken: Time) -> ChangeResult {
         self.version += 1;
         self.tree = tree;
-        self.recent.push_back(Version { version: self.version, taken, edits });
-        if self.recent.len() > VERSIONS_KEPT {
-            self.recent.pop_front();
+        self.recent_versions.push_back(Version { version: self.version, taken, edits });
+        if self.recent_versions.len() > VERSIONS_KEPT {
+            self.recent_versions.pop_front();
         }
         ChangeResult::Accepted { version: self.version }
     }
 
     /// Reports a conflict if the base version is unknown, or if a later version changed one of the
     /// same sections.
-    fn conflict(&self, request: &ChangeRequest) -> Option<ChangeResult> {
+    fn find_conflict(&self, request: &ChangeRequest) -> Option<ChangeResult> {
         let conflict = |sections| Some(ChangeResult::Conflict { version: self.version, sections });
         if request.base_version > self.version {
             return conflict(Vec::new());
         }
         let behind = self.version - request.base_version;
-        let known = self.recent.len() as u64;
-        let own: BTreeSet<&SectionPath> = request.edits.iter().map(Edit::section).collect();
-        if behind > known {
-            return conflict(own.iter().map(|path| path.to_string()).collect());
+        let kept = self.recent_versions.len() as u64;
+        let changed_sections: BTreeSet<&SectionPath> =
+            request.edits.iter().map(Edit::section).collect();
+        if behind > kept {
+            return conflict(changed_sections.iter().map(|path| path.to_string()).collect());
         }
-        let since = self.recent.iter().filter(|v| v.version > request.base_version);
-        let others: BTreeSet<&SectionPath> =
+        let since = self.recent_versions.iter().filter(|v| v.version > request.base_version);
+        let later_sections: BTreeSet<&SectionPath> =
             since.flat_map(|version| version.edits.iter().map(Edit::section)).collect();
-        let both: Vec<String> = own.intersection(&others).map(|path| path.to_string()).collect();
-        if both.is_empty() { None } else { conflict(both) }
+        let conflicting: Vec<String> =
+            changed_sections.intersection(&later_sections).map(|path| path.to_string()).collect();
+        if conflicting.is_empty() { None } else { conflict(conflicting) }
     }
 
     /// The edits of a change, with the previous claim view added if the change replaces the claim
     /// view. Both views have to agree until claims that only the previous view granted have
     /// expired.
-    fn with_previous_view(&self, command: &Command) -> Result<Vec<Edit>, String> {
+    fn edits_with_previous_view(&self, command: &Command) -> Result<Vec<Edit>, String> {
         let mut edits = command.request.edits.clone();
         let fleet = SectionPath::fleet();
         let key_of = |edit: &Edit| match edit {
@@ -198,22 +202,22 @@
         if keys.iter().any(|key| key.starts_with("previous_claim_view")) {
             return Err("[fleet] previous_claim_view: written by the keeper only".to_owned());
         }
-        let before = Catalog::new(self.version, &self.tree).fleet().clone();
-        if !keys.iter().any(|key| key == "claim_view") || before.claim_view.is_empty() {
+        let previous = Catalog::new(self.version, &self.tree).fleet().clone();
+        if !keys.iter().any(|key| key == "claim_view") || previous.claim_view.is_empty() {
             return Ok(edits);
         }
-        if command.taken <= before.previous_claim_view_until {
-            let left = before.previous_claim_view_until.since(command.taken).as_secs();
+        if command.taken <= previous.previous_claim_view_until {
+            let left = previous.previous_claim_view_until.since(command.taken).as_secs();
             return Err(format!("[fleet] claim_view: changed before; again in {left} s"));
         }
         let until = command.taken
-            + before.retention
-            + before.settings_age_max
-            + before.clock_skew * 2
+            + previous.retention
+            + previous.settings_age_max
+            + previous.clock_skew * 2
             + Duration::from_secs(1);
         let set =
             |key: &str, value| Edit::Set { section: fleet.clone(), key: key.to_owned(), value };
-        edits.push(set("previous_claim_view", before.claim_view.join(" ")));
+        edits.push(set("previous_claim_view", previous.claim_view.join(" ")));
         let millis = (until.as_micros() / 1_000).to_string();
         edits.push(set("previous_claim_view_until_ms", millis));
         Ok(edits)
@@ -221,8 +225,8 @@
 
     /// The last `count` versions, oldest first.
     pub fn history(&self, count: usize) -> Vec<Version> {
-        let skipped = self.recent.len().saturating_sub(count);
-        self.recent.iter().skip(skipped).cloned().collect()
+        let skipped = self.recent_versions.len().saturating_sub(count);
+        self.recent_versions.iter().skip(skipped).cloned().collect()
     }
 
     /// The update for a node that has version `have`, or no version at all.
@@ -232,10 +236,10 @@
         if have >= self.version {
             return PullReply::Current;
         }
-        if self.version - have > self.recent.len() as u64 {
+        if self.version - have > self.recent_versions.len() as u64 {
             return snapshot();
         }
-        let newer = self.recent.iter().filter(|version| version.version > have);
+        let newer = self.recent_versions.iter().filter(|version| version.version > have);
         let edits: Vec<Vec<Edit>> = newer.map(|version| version.edits.clone()).collect();
         let edit_count: usize = edits.iter().map(Vec::len).sum();
         if edit_count > self.tree.paths().count() * settings::SERVICE_KEYS.len() {
