--- a/components/keeper/src/apply.rs
+++ b/components/keeper/src/apply.rs
@@ -6,7 +6,7 @@
 use wire::{Document, EmptiedHalls, KeeperNames, WatchReply};
 
 use crate::registry::Watcher;
-use crate::{Action, Keeper, KeeperError, LogCommand, News, Reply, State};
+use crate::{Action, Keeper, KeeperError, LogCommand, LogEvent, Reply, State};
 
 /// Number of log entries above which the log is compacted to a snapshot.
 const COMPACT_AT_ENTRIES: usize = 1_000;
@@ -71,11 +71,11 @@
             }
             ReplicaAction::Commit(entry) => self.apply_entry(now, &entry, out),
             ReplicaAction::Install(snapshot) => self.install_snapshot(&snapshot, out),
-            ReplicaAction::Log(news) => {
-                if matches!(news, consensus::LogEvent::SteppedDown(_)) {
+            ReplicaAction::Log(event) => {
+                if matches!(event, consensus::LogEvent::SteppedDown(_)) {
                     self.fail_pending_changes(out);
                 }
-                out.push(Action::News(News::Log(news)));
+                out.push(Action::Log(LogEvent::Replica(event)));
             }
         }
     }
@@ -95,13 +95,13 @@
                 }
                 Reply::Halls(self.state.halls().clone())
             }
-            Err(_) => return out.push(Action::News(News::Unreadable(entry.index))),
+            Err(_) => return out.push(Action::Log(LogEvent::UnreadableEntry(entry.index))),
         };
         if let Some(pending) = self.pending_changes.remove(&entry.index) {
             out.push(Action::Respond(pending.ticket(), reply));
         }
         if self.state.version() > previous {
-            out.push(Action::News(News::Version(self.state.version())));
+            out.push(Action::Log(LogEvent::SettingsVersion(self.state.version())));
             self.answer_pending_pulls(now, out);
         }
     }
@@ -111,14 +111,14 @@
         let previous = self.state.document().cloned();
         if self.state.replace(document) {
             self.keep_replaced(previous);
-            out.push(Action::News(News::Document(version)));
+            out.push(Action::Log(LogEvent::DocumentVersion(version)));
             self.notify_document_watchers(out);
         }
     }
 
     fn publish_halls(&mut self, out: &mut Vec<Action>) {
         let halls = self.state.halls();
-        out.push(Action::News(News::Halls(halls.clone())));
+        out.push(Action::Log(LogEvent::EmptiedHalls(halls.clone())));
         let watchers = self.registry.set_halls_revision(halls.revision);
         self.answer_watchers(watchers, out);
     }
@@ -141,7 +141,7 @@
                     self.publish_halls(out);
                 }
             }
-            Err(_) => out.push(Action::News(News::Unreadable(snapshot.index))),
+            Err(_) => out.push(Action::Log(LogEvent::UnreadableEntry(snapshot.index))),
         }
     }
 
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -93,23 +93,23 @@
     /// Replies to a call.
     Respond(Ticket, Reply),
     /// Reports a change of state for the operator's log.
-    News(News),
+    Log(LogEvent),
 }
 
 /// A change of a keeper's state, reported to the operator's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum LogEvent {
     /// An event of the replicated log.
-    Log(consensus::LogEvent),
+    Replica(consensus::LogEvent),
     /// This version of the settings tree was committed.
-    Version(u64),
+    SettingsVersion(u64),
     /// This version of the document was committed.
-    Document(u64),
+    DocumentVersion(u64),
     /// The set of emptied halls changed.
-    Halls(EmptiedHalls),
+    EmptiedHalls(EmptiedHalls),
     /// The number of registered nodes changed.
-    Nodes(usize),
+    RegisteredNodes(usize),
     /// The log entry at this index can't be decoded: it was written by a newer release, or there is
     /// a bug.
-    Unreadable(u64),
+    UnreadableEntry(u64),
 }
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -67,6 +67,6 @@
             Some(Action::Respond(ticket, reply))
         }
         Action::Respond(ticket, _) => Some(Action::Respond(ticket, Reply::Unsure(None))),
-        event @ Action::News(_) => Some(event),
+        event @ Action::Log(_) => Some(event),
     }
 }
--- a/components/keeper/src/pending_calls.rs
+++ b/components/keeper/src/pending_calls.rs
@@ -7,7 +7,7 @@
 use model::Time;
 use wire::{PullReply, PullRequest};
 
-use crate::{Action, Keeper, News, Reply, Ticket};
+use crate::{Action, Keeper, LogEvent, Reply, Ticket};
 
 /// Maximum wait of a node that already has the current version.
 const PULL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -91,7 +91,7 @@
         let previous_len = self.registry.len();
         let watchers = self.registry.tick(now);
         if self.registry.len() != previous_len {
-            out.push(Action::News(News::Nodes(self.registry.len())));
+            out.push(Action::Log(LogEvent::RegisteredNodes(self.registry.len())));
         }
         self.answer_watchers(watchers, out);
         if self.pending_pulls.iter().any(|pending| pending.until <= now) {
--- a/components/keeper/tests/spread.rs
+++ b/components/keeper/tests/spread.rs
@@ -193,7 +193,7 @@
                         _ => {}
                     }
                 }
-                Action::News(_) => {}
+                Action::Log(_) => {}
             }
         }
         self.busy[keeper] = done;
--- a/daemon/src/keeper_role/decide.rs
+++ b/daemon/src/keeper_role/decide.rs
@@ -258,7 +258,7 @@
                         let _ = waiting.try_send(reply);
                     }
                 }
-                Action::News(news) => news_lines::write(self.log.as_ref(), &self.name, &news),
+                Action::Log(news) => news_lines::write(self.log.as_ref(), &self.name, &news),
             }
         }
     }
--- a/daemon/src/keeper_role/news_lines.rs
+++ b/daemon/src/keeper_role/news_lines.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use keeper::{Keeper, News};
+use keeper::{Keeper, LogEvent};
 use model::NodeName;
 use serde_json::json;
 use spdlog::{error, info, warn};
@@ -66,80 +66,92 @@
 }
 
 /// Writes a change of state.
-pub(super) fn write(log: Option<&EventLog>, own: &NodeName, news: &News) {
+pub(super) fn write(log: Option<&EventLog>, own: &NodeName, news: &LogEvent) {
     match log {
         Some(log) => write_line(log, news),
         None => write_plain(own, news),
     }
 }
 
-fn write_line(log: &EventLog, news: &News) {
+fn write_line(log: &EventLog, news: &LogEvent) {
     use consensus::LogEvent as Log;
     match news {
-        News::Log(Log::BecameLeader(term)) => {
+        LogEvent::Replica(Log::BecameLeader(term)) => {
             log.line("leads", Budget::Full, || json!({"term": term}))
         }
-        News::Log(Log::SteppedDown(term)) => {
+        LogEvent::Replica(Log::SteppedDown(term)) => {
             log.line("steps-down", Budget::Full, || json!({"term": term}));
         }
-        News::Log(Log::FollowsLeader(leader, term)) => {
+        LogEvent::Replica(Log::FollowsLeader(leader, term)) => {
             log.line("follows", Budget::Full, || json!({"leader": leader.as_str(), "term": term}))
         }
-        News::Log(Log::MembersChanged(members)) => log.line("members", Budget::Full, || {
-            let members: Vec<&str> = members.iter().map(NodeName::as_str).collect();
-            json!({"members": members})
-        }),
-        News::Log(Log::CaughtUp(index)) => {
+        LogEvent::Replica(Log::MembersChanged(members)) => {
+            log.line("members", Budget::Full, || {
+                let members: Vec<&str> = members.iter().map(NodeName::as_str).collect();
+                json!({"members": members})
+            })
+        }
+        LogEvent::Replica(Log::CaughtUp(index)) => {
             log.line("caught-up", Budget::Full, || json!({"index": index}));
         }
-        News::Log(Log::Violation(violation)) => {
+        LogEvent::Replica(Log::Violation(violation)) => {
             log.line("breach", Budget::Full, || json!({"breach": violation.to_string()}));
         }
-        News::Version(version) => {
+        LogEvent::SettingsVersion(version) => {
             log.line("settings", Budget::Full, || json!({"version": version}));
         }
-        News::Document(version) => {
+        LogEvent::DocumentVersion(version) => {
             log.line("document", Budget::Full, || json!({"version": version}));
         }
-        News::Halls(halls) => log.line(
+        LogEvent::EmptiedHalls(halls) => log.line(
             "halls",
             Budget::Full,
             || json!({"revision": halls.revision, "emptied": halls.to_string()}),
         ),
-        News::Nodes(count) => log.line("nodes", Budget::Full, || json!({"count": count})),
-        News::Unreadable(index) => {
+        LogEvent::RegisteredNodes(count) => {
+            log.line("nodes", Budget::Full, || json!({"count": count}))
+        }
+        LogEvent::UnreadableEntry(index) => {
             log.line("entry-unreadable", Budget::Full, || json!({"index": index}));
         }
     }
 }
 
-fn write_plain(name: &NodeName, news: &News) {
+fn write_plain(name: &NodeName, news: &LogEvent) {
     use consensus::LogEvent as Log;
     match news {
-        News::Log(Log::BecameLeader(term)) => info!("keeper {}: leads in term {}", name, term),
-        News::Log(Log::SteppedDown(term)) => {
+        LogEvent::Replica(Log::BecameLeader(term)) => {
+            info!("keeper {}: leads in term {}", name, term)
+        }
+        LogEvent::Replica(Log::SteppedDown(term)) => {
             warn!("keeper {}: steps down in term {}", name, term);
         }
-        News::Log(Log::FollowsLeader(leader, term)) => {
+        LogEvent::Replica(Log::FollowsLeader(leader, term)) => {
             info!("keeper {}: follows {} in term {}", name, leader, term);
         }
-        News::Log(Log::CaughtUp(index)) => {
+        LogEvent::Replica(Log::CaughtUp(index)) => {
             info!("keeper {}: caught up to entry {}, votes from now on", name, index);
         }
-        News::Log(Log::Violation(violation)) => {
+        LogEvent::Replica(Log::Violation(violation)) => {
             error!("keeper {}: BREACH: {}", name, violation);
         }
-        News::Log(Log::MembersChanged(members)) => {
+        LogEvent::Replica(Log::MembersChanged(members)) => {
             info!("keeper {}: {} keepers vote", name, members.len());
         }
-        News::Document(version) => info!("keeper {}: document {} accepted", name, version),
-        News::Halls(halls) => {
+        LogEvent::DocumentVersion(version) => {
+            info!("keeper {}: document {} accepted", name, version)
+        }
+        LogEvent::EmptiedHalls(halls) => {
             let revision = halls.revision;
             info!("keeper {}: emptied halls, revision {}: [{}]", name, revision, halls);
         }
-        News::Nodes(count) => info!("keeper {}: {} nodes are registered", name, count),
-        News::Version(version) => info!("keeper {}: settings {} accepted", name, version),
-        News::Unreadable(index) => {
+        LogEvent::RegisteredNodes(count) => {
+            info!("keeper {}: {} nodes are registered", name, count)
+        }
+        LogEvent::SettingsVersion(version) => {
+            info!("keeper {}: settings {} accepted", name, version)
+        }
+        LogEvent::UnreadableEntry(index) => {
             error!("keeper {}: entry {} can't be read", name, index);
         }
     }
--- a/soak/src/keepers/world.rs
+++ b/soak/src/keepers/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use consensus::{Message, Record, Replica, Timing};
-use keeper::{Action, Event, Keeper, News, Reply, Ticket, initial_records};
+use keeper::{Action, Event, Keeper, LogEvent, Reply, Ticket, initial_records};
 use model::{NodeName, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -356,22 +356,22 @@
                 }
                 self.after(way, Happening::Reply { ticket, reply });
             }
-            Action::News(News::Log(consensus::LogEvent::BecameLeader(term))) => {
+            Action::Log(LogEvent::Replica(consensus::LogEvent::BecameLeader(term))) => {
                 self.checks.leads(self.now, &name, term);
             }
-            Action::News(News::Log(consensus::LogEvent::Violation(violation))) => {
+            Action::Log(LogEvent::Replica(consensus::LogEvent::Violation(violation))) => {
                 self.checks.violation(self.now, format!("breach at {name}: {violation}"));
             }
-            Action::News(News::Unreadable(index)) => {
+            Action::Log(LogEvent::UnreadableEntry(index)) => {
                 self.checks.violation(self.now, format!("{name} can't read entry {index}"));
             }
-            Action::News(News::Version(version)) => {
+            Action::Log(LogEvent::SettingsVersion(version)) => {
                 let state = self.keepers[number].keeper.as_ref().map(|k| k.state().clone());
                 if let Some(state) = state.filter(|state| state.version() == version) {
                     self.checks.seen(self.now, version, state.tree());
                 }
             }
-            Action::News(_) => {}
+            Action::Log(_) => {}
         }
     }
 
