--- a/components/keeper/src/apply.rs
+++ b/components/keeper/src/apply.rs
@@ -66,7 +66,7 @@
             }
             ReplicaAction::Rejected(id) => {
                 if let Some(pending) = self.proposals.remove(&id) {
-                    self.reply_not_leader(pending.ticket(), out);
+                    self.reply_not_leader(pending.call(), out);
                 }
             }
             ReplicaAction::Commit(entry) => self.apply_entry(now, &entry, out),
@@ -98,7 +98,7 @@
             Err(_) => return out.push(Action::Log(LogEvent::UnreadableEntry(entry.index))),
         };
         if let Some(pending) = self.pending_changes.remove(&entry.index) {
-            out.push(Action::Respond(pending.ticket(), reply));
+            out.push(Action::Respond(pending.call(), reply));
         }
         if self.state.version() > previous {
             out.push(Action::Log(LogEvent::SettingsVersion(self.state.version())));
@@ -177,7 +177,7 @@
                 peers: self.registry.group_size(&watcher),
                 keepers: (watcher.keepers != digest).then(|| keepers.clone()),
             };
-            out.push(Action::Respond(watcher.ticket, Reply::Watch(reply)));
+            out.push(Action::Respond(watcher.call, Reply::Watch(reply)));
         }
     }
 
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -12,33 +12,33 @@
 
 /// Identifies a call that waits for a reply; assigned by the caller of [`crate::Keeper::handle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ticket(pub u64);
+pub struct CallId(pub u64);
 
 /// An input of a keeper.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An operator changes the settings tree.
-    Change(Ticket, ChangeRequest),
+    Change(CallId, ChangeRequest),
     /// An operator reads the settings tree.
-    Read(Ticket),
+    Read(CallId),
     /// An operator reads the recent versions of the settings tree.
-    History(Ticket),
+    History(CallId),
     /// An operator replaces the document.
-    Replace(Ticket, Document),
+    Replace(CallId, Document),
     /// An operator reads the document.
-    Fetch(Ticket),
+    Fetch(CallId),
     /// An operator empties or refills a hall.
-    OrderHall(Ticket, HallOrder),
+    OrderHall(CallId, HallOrder),
     /// An operator reads the emptied halls.
-    ReadHalls(Ticket),
+    ReadHalls(CallId),
     /// A node registers and waits for updates (long poll).
-    Watch(Ticket, WatchRequest),
+    Watch(CallId, WatchRequest),
     /// A node requests a part of a document.
-    Part(Ticket, PartRequest),
+    Part(CallId, PartRequest),
     /// The process is about to stop; a leader transfers leadership.
     Resign,
     /// A node requests newer settings and waits for them (long poll).
-    Pull(Ticket, PullRequest),
+    Pull(CallId, PullRequest),
     /// A message from another keeper.
     Peer(NodeName, Message),
     /// Checks the timers.
@@ -91,7 +91,7 @@
     /// Sends a message to another keeper; delivery is not guaranteed.
     Send(NodeName, Message),
     /// Replies to a call.
-    Respond(Ticket, Reply),
+    Respond(CallId, Reply),
     /// Reports a change of state for the operator's log.
     Log(LogEvent),
 }
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -42,16 +42,16 @@
 
     pub(crate) fn handle_without_disk(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Watch(ticket, request) => self.watch(now, ticket, request, out),
-            Event::Part(ticket, request) => self.part(ticket, request, out),
-            Event::Change(ticket, _)
-            | Event::Read(ticket)
-            | Event::History(ticket)
-            | Event::Replace(ticket, _)
-            | Event::Fetch(ticket)
-            | Event::OrderHall(ticket, _)
-            | Event::ReadHalls(ticket)
-            | Event::Pull(ticket, _) => self.reply_not_leader(ticket, out),
+            Event::Watch(call, request) => self.watch(now, call, request, out),
+            Event::Part(call, request) => self.part(call, request, out),
+            Event::Change(call, _)
+            | Event::Read(call)
+            | Event::History(call)
+            | Event::Replace(call, _)
+            | Event::Fetch(call)
+            | Event::OrderHall(call, _)
+            | Event::ReadHalls(call)
+            | Event::Pull(call, _) => self.reply_not_leader(call, out),
             // Dropping a message is safe, as messages may be lost anyway.
             Event::Resign | Event::Peer(..) | Event::Tick => {}
         }
@@ -63,10 +63,10 @@
 fn reduce_to_unstored(action: Action) -> Option<Action> {
     match action {
         Action::Store(_) | Action::Rewrite(_) | Action::Send(..) => None,
-        Action::Respond(ticket, reply @ (Reply::Watch(_) | Reply::Part(_) | Reply::Unsure(_))) => {
-            Some(Action::Respond(ticket, reply))
+        Action::Respond(call, reply @ (Reply::Watch(_) | Reply::Part(_) | Reply::Unsure(_))) => {
+            Some(Action::Respond(call, reply))
         }
-        Action::Respond(ticket, _) => Some(Action::Respond(ticket, Reply::Unsure(None))),
+        Action::Respond(call, _) => Some(Action::Respond(call, Reply::Unsure(None))),
         event @ Action::Log(_) => Some(event),
     }
 }
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -11,7 +11,7 @@
 use crate::apply::{decode_state, encode_state};
 use crate::pending_calls::{PendingChange, PendingPull};
 use crate::registry::Registry;
-use crate::{Action, Command, Event, LogCommand, Reply, State, Ticket, TreeReply};
+use crate::{Action, CallId, Command, Event, LogCommand, Reply, State, TreeReply};
 
 /// Maximum number of versions in a history reply.
 const HISTORY_VERSIONS_MAX: usize = 100;
@@ -99,26 +99,26 @@
 
     fn handle_with_disk(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Change(ticket, request) => self.propose_change(now, ticket, request, out),
-            Event::Read(ticket) => self.read_tree(now, ticket, out),
-            Event::History(ticket) => {
+            Event::Change(call, request) => self.propose_change(now, call, request, out),
+            Event::Read(call) => self.read_tree(now, call, out),
+            Event::History(call) => {
                 let history = Reply::History(self.state.history(HISTORY_VERSIONS_MAX));
-                self.reply_if_leader(now, ticket, history, out);
+                self.reply_if_leader(now, call, history, out);
             }
-            Event::Replace(ticket, document) => self.propose_document(now, ticket, document, out),
-            Event::Fetch(ticket) => {
+            Event::Replace(call, document) => self.propose_document(now, call, document, out),
+            Event::Fetch(call) => {
                 let reply = Reply::Document(self.state.document().cloned());
-                self.reply_if_leader(now, ticket, reply, out);
+                self.reply_if_leader(now, call, reply, out);
             }
-            Event::OrderHall(ticket, order) => self.propose_hall_command(now, ticket, order, out),
-            Event::ReadHalls(ticket) => {
+            Event::OrderHall(call, order) => self.propose_hall_command(now, call, order, out),
+            Event::ReadHalls(call) => {
                 let halls = Reply::Halls(self.state.halls().clone());
-                self.reply_if_leader(now, ticket, halls, out);
+                self.reply_if_leader(now, call, halls, out);
             }
-            Event::Watch(ticket, request) => self.watch(now, ticket, request, out),
-            Event::Part(ticket, request) => self.part(ticket, request, out),
+            Event::Watch(call, request) => self.watch(now, call, request, out),
+            Event::Part(call, request) => self.part(call, request, out),
             Event::Resign => self.step_replica(now, consensus::Event::Resign, out),
-            Event::Pull(ticket, request) => self.pull(now, ticket, &request, out),
+            Event::Pull(call, request) => self.pull(now, call, &request, out),
             Event::Peer(from, message) => {
                 self.step_replica(now, consensus::Event::Message { from, message }, out);
             }
@@ -129,19 +129,19 @@
     pub(crate) fn watch(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         request: WatchRequest,
         out: &mut Vec<Action>,
     ) {
-        let watchers = self.registry.watch(now, ticket, request);
+        let watchers = self.registry.watch(now, call, request);
         self.answer_watchers(watchers, out);
     }
 
     /// Replies with a part of a committed document, whether or not this keeper leads.
-    pub(crate) fn part(&self, ticket: Ticket, request: PartRequest, out: &mut Vec<Action>) {
+    pub(crate) fn part(&self, call: CallId, request: PartRequest, out: &mut Vec<Action>) {
         let documents = self.state.document().into_iter().chain(&self.replaced_documents);
         let part = documents.filter_map(|document| document.part(request)).next();
-        out.push(Action::Respond(ticket, Reply::Part(part)));
+        out.push(Action::Respond(call, Reply::Part(part)));
     }
 
     /// The committed version of the settings tree.
@@ -178,18 +178,18 @@
     fn propose_change(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         request: ChangeRequest,
         out: &mut Vec<Action>,
     ) {
         if !self.is_sure(now) {
-            return self.reply_not_leader(ticket, out);
+            return self.reply_not_leader(call, out);
         }
         if let Some(first) = self.state.result(&request.change) {
-            return out.push(Action::Respond(ticket, Reply::Change(first.clone())));
+            return out.push(Action::Respond(call, Reply::Change(first.clone())));
         }
         let command = LogCommand::Change(Command { request, taken: now });
-        self.propose(now, ticket, &command, out);
+        self.propose(now, call, &command, out);
     }
 
     /// Replaces the document. A version that is not above the committed one changes nothing and is
@@ -197,17 +197,17 @@
     fn propose_document(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         document: Document,
         out: &mut Vec<Action>,
     ) {
         if !self.is_sure(now) {
-            return self.reply_not_leader(ticket, out);
+            return self.reply_not_leader(call, out);
         }
         if document.version <= self.state.document_version() {
-            return out.push(Action::Respond(ticket, Reply::Replaced));
+            return out.push(Action::Respond(call, Reply::Replaced));
         }
-        self.propose(now, ticket, &LogCommand::Replace(document), out);
+        self.propose(now, call, &LogCommand::Replace(document), out);
     }
 
     /// Empties or refills a hall. Hall commands carry no version and take effect in log order. A
@@ -216,28 +216,28 @@
     fn propose_hall_command(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         order: HallOrder,
         out: &mut Vec<Action>,
     ) {
         if !self.is_sure(now) {
-            return self.reply_not_leader(ticket, out);
+            return self.reply_not_leader(call, out);
         }
-        self.propose(now, ticket, &LogCommand::Hall(order), out);
+        self.propose(now, call, &LogCommand::Hall(order), out);
     }
 
-    fn propose(&mut self, now: Time, ticket: Ticket, command: &LogCommand, out: &mut Vec<Action>) {
+    fn propose(&mut self, now: Time, call: CallId, command: &LogCommand, out: &mut Vec<Action>) {
         let command = serde_json::to_vec(command).expect("plain structs become JSON");
         self.next_proposal += 1;
         let id = ProposalId(self.next_proposal);
-        self.proposals.insert(id, PendingChange::new(now, ticket));
+        self.proposals.insert(id, PendingChange::new(now, call));
         self.step_replica(now, consensus::Event::Propose { id, command }, out);
     }
 
-    fn read_tree(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Action>) {
+    fn read_tree(&mut self, now: Time, call: CallId, out: &mut Vec<Action>) {
         let tree = self.state.tree().to_ini();
         let reply = Reply::Tree(TreeReply { version: self.state.version(), tree });
-        self.reply_if_leader(now, ticket, reply, out);
+        self.reply_if_leader(now, call, reply, out);
     }
 
     /// Sends the reply only if this keeper is the confirmed leader, so that callers never read an
@@ -245,19 +245,19 @@
     pub(crate) fn reply_if_leader(
         &self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         reply: Reply,
         out: &mut Vec<Action>,
     ) {
         if self.is_sure(now) {
-            out.push(Action::Respond(ticket, reply));
+            out.push(Action::Respond(call, reply));
         } else {
-            self.reply_not_leader(ticket, out);
+            self.reply_not_leader(call, out);
         }
     }
 
-    pub(crate) fn reply_not_leader(&self, ticket: Ticket, out: &mut Vec<Action>) {
+    pub(crate) fn reply_not_leader(&self, call: CallId, out: &mut Vec<Action>) {
         let leader = self.replica.leader().cloned();
-        out.push(Action::Respond(ticket, Reply::Unsure(leader)));
+        out.push(Action::Respond(call, Reply::Unsure(leader)));
     }
 }
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -16,7 +16,7 @@
 mod roster;
 mod state;
 
-pub use event::{Action, Event, LogEvent, Reply, Ticket, TreeReply};
+pub use event::{Action, CallId, Event, LogEvent, Reply, TreeReply};
 pub use fetch::{DocumentFetch, DocumentSource, FetchStep, PART_WITHIN};
 pub use keeper::{Keeper, KeeperError, initial_records};
 pub use roster::{RememberedNode, Roster, RosterWork};
--- a/components/keeper/src/pending_calls.rs
+++ b/components/keeper/src/pending_calls.rs
@@ -7,7 +7,7 @@
 use model::Time;
 use wire::{PullReply, PullRequest};
 
-use crate::{Action, Keeper, LogEvent, Reply, Ticket};
+use crate::{Action, CallId, Keeper, LogEvent, Reply};
 
 /// Maximum wait of a node that already has the current version.
 const PULL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -17,27 +17,27 @@
 /// An operator's call that waits for a commit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingChange {
-    ticket: Ticket,
+    call: CallId,
     until: Time,
 }
 
 /// A node's call that waits for a newer version of the settings.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingPull {
-    ticket: Ticket,
+    call: CallId,
     have: Option<u64>,
     until: Time,
 }
 
 impl PendingChange {
     /// A call that starts to wait now.
-    pub fn new(now: Time, ticket: Ticket) -> Self {
-        Self { ticket, until: now + CHANGE_TIMEOUT }
+    pub fn new(now: Time, call: CallId) -> Self {
+        Self { call, until: now + CHANGE_TIMEOUT }
     }
 
     /// The call to answer.
-    pub fn ticket(self) -> Ticket {
-        self.ticket
+    pub fn call(self) -> CallId {
+        self.call
     }
 }
 
@@ -54,16 +54,16 @@
     pub(crate) fn pull(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         request: &PullRequest,
         out: &mut Vec<Action>,
     ) {
         let have = request.have;
         match self.state.since(have) {
             PullReply::Current if self.is_sure(now) => {
-                self.pending_pulls.push(PendingPull { ticket, have, until: now + PULL_TIMEOUT });
+                self.pending_pulls.push(PendingPull { call, have, until: now + PULL_TIMEOUT });
             }
-            update => self.reply_if_leader(now, ticket, Reply::Pull(update), out),
+            update => self.reply_if_leader(now, call, Reply::Pull(update), out),
         }
     }
 
@@ -71,7 +71,7 @@
     /// leader decides whether they are committed.
     pub(crate) fn fail_pending_changes(&mut self, out: &mut Vec<Action>) {
         for pending in std::mem::take(&mut self.pending_changes).into_values() {
-            self.reply_not_leader(pending.ticket, out);
+            self.reply_not_leader(pending.call, out);
         }
     }
 
@@ -82,7 +82,7 @@
             if update == PullReply::Current && now < pending.until {
                 self.pending_pulls.push(pending);
             } else {
-                self.reply_if_leader(now, pending.ticket, Reply::Pull(update), out);
+                self.reply_if_leader(now, pending.call, Reply::Pull(update), out);
             }
         }
     }
@@ -102,7 +102,7 @@
             self.pending_changes.iter().filter(expired).map(|(index, _)| *index).collect();
         for index in expired {
             if let Some(pending) = self.pending_changes.remove(&index) {
-                self.reply_not_leader(pending.ticket, out);
+                self.reply_not_leader(pending.call, out);
             }
         }
     }
--- a/components/keeper/src/registry.rs
+++ b/components/keeper/src/registry.rs
@@ -13,7 +13,7 @@
 use model::{NodeName, Time};
 use wire::{ListChange, ListNews, NodeInfo, NodeList, NodeRole, WatchRequest};
 
-use crate::Ticket;
+use crate::CallId;
 
 /// Maximum time until a waiting node is answered; it then asks again at once.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -34,7 +34,7 @@
 /// A node that waits for updates.
 #[derive(Clone, Debug)]
 pub(crate) struct Watcher {
-    pub ticket: Ticket,
+    pub call: CallId,
     /// The group of the node.
     pub group: Group,
     /// The document version that the node has.
@@ -61,7 +61,7 @@
     /// The revision of the emptied halls.
     halls_revision: u64,
     /// The waiting nodes, ordered by deadline so that expired ones are found without a scan.
-    watchers: BTreeMap<(Time, Ticket), Watcher>,
+    watchers: BTreeMap<(Time, CallId), Watcher>,
     /// No node expires before this time; `None` if no node is registered.
     next_expiry_at: Option<Time>,
     /// When the watchers are notified of a changed list.
@@ -89,7 +89,7 @@
     }
 
     /// Registers a node. Returns it as a watcher to answer at once if it is outdated.
-    pub fn watch(&mut self, now: Time, ticket: Ticket, request: WatchRequest) -> Vec<Watcher> {
+    pub fn watch(&mut self, now: Time, call: CallId, request: WatchRequest) -> Vec<Watcher> {
         let WatchRequest { node, document, revision, halls, keepers } = request;
         let group = group_of(&node);
         let previous =
@@ -102,12 +102,12 @@
             }
         }
         self.next_expiry_at.get_or_insert(now + NODE_TIMEOUT);
-        let watcher = Watcher { ticket, group, document, halls, revision, keepers };
+        let watcher = Watcher { call, group, document, halls, revision, keepers };
         let list_ready = self.notify_at.is_none() && is_list_outdated(revision, self.revision);
         if document < self.document_version || halls < self.halls_revision || list_ready {
             return vec![watcher];
         }
-        self.watchers.insert((now + WATCH_TIMEOUT, ticket), watcher);
+        self.watchers.insert((now + WATCH_TIMEOUT, call), watcher);
         Vec::new()
     }
 
@@ -234,7 +234,7 @@
 
     fn take_matching(&mut self, matches: impl Fn(&Watcher) -> bool) -> Vec<Watcher> {
         let matching = self.watchers.iter().filter(|(_, watcher)| matches(watcher));
-        let matching: Vec<(Time, Ticket)> = matching.map(|(key, _)| *key).collect();
+        let matching: Vec<(Time, CallId)> = matching.map(|(key, _)| *key).collect();
         matching.iter().filter_map(|key| self.watchers.remove(key)).collect()
     }
 }
--- a/components/keeper/tests/document.rs
+++ b/components/keeper/tests/document.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use keeper::{Event, Reply, Ticket, initial_records};
+use keeper::{CallId, Event, Reply, initial_records};
 use model::{Incarnation, NodeName};
 use settings::Tree;
 use support::{One, node};
@@ -16,12 +16,12 @@
 impl One {
     fn replace(&mut self, version: u64, body: &str) -> Option<Reply> {
         let document = Document::new(version, body);
-        self.reply_to(|ticket| Event::Replace(ticket, document))
+        self.reply_to(|call| Event::Replace(call, document))
     }
 
     fn fetch(&mut self) -> Option<Document> {
-        let ticket = self.ticket();
-        match self.handle(Event::Fetch(ticket)).pop() {
+        let call = self.call();
+        match self.handle(Event::Fetch(call)).pop() {
             Some((_, Reply::Document(document))) => document,
             other => panic!("{other:?}"),
         }
@@ -29,10 +29,10 @@
 
     /// Fetches a document that consists of one part, and returns its text.
     fn part(&mut self, version: u64) -> Option<String> {
-        let ticket = self.ticket();
+        let call = self.call();
         let request = PartRequest { version, offset: 0 };
-        match self.handle(Event::Part(ticket, request)).pop() {
-            Some((to, Reply::Part(part))) if to == ticket => part.map(|part| {
+        match self.handle(Event::Part(call, request)).pop() {
+            Some((to, Reply::Part(part))) if to == call => part.map(|part| {
                 let document = Document::unpack(version, part.bytes).expect("it is whole");
                 document.body.to_string()
             }),
@@ -40,34 +40,34 @@
         }
     }
 
-    fn watch(&mut self, node: NodeInfo, document: u64, revision: u64) -> Ticket {
-        let ticket = self.ticket();
+    fn watch(&mut self, node: NodeInfo, document: u64, revision: u64) -> CallId {
+        let call = self.call();
         let replies = self.handle(Event::Watch(
-            ticket,
+            call,
             WatchRequest { node, document, revision: Some(revision), halls: 0, keepers: 0 },
         ));
         assert!(replies.is_empty(), "{replies:?}");
-        ticket
+        call
     }
 
     /// Registers a node and returns its reply, waiting for up to `within`.
     fn ask(&mut self, node: NodeInfo, revision: u64, within: Duration) -> Option<WatchReply> {
-        let ticket = self.ticket();
+        let call = self.call();
         let request =
             WatchRequest { node, document: 0, revision: Some(revision), halls: 0, keepers: 0 };
-        let mut replies = self.handle(Event::Watch(ticket, request));
+        let mut replies = self.handle(Event::Watch(call, request));
         if replies.is_empty() {
             replies = self.run_for(within);
         }
-        watch_reply(replies, ticket)
+        watch_reply(replies, call)
     }
 
     /// Registers a node and ignores the reply.
     fn register(&mut self, node: NodeInfo, revision: u64) {
-        let ticket = self.ticket();
+        let call = self.call();
         let request =
             WatchRequest { node, document: 0, revision: Some(revision), halls: 0, keepers: 0 };
-        self.handle(Event::Watch(ticket, request));
+        self.handle(Event::Watch(call, request));
     }
 }
 
@@ -75,9 +75,9 @@
     NodeInfo { role: NodeRole::Agent, service: service.into(), ..node(number) }
 }
 
-fn watch_reply(replies: Vec<(Ticket, Reply)>, ticket: Ticket) -> Option<WatchReply> {
+fn watch_reply(replies: Vec<(CallId, Reply)>, call: CallId) -> Option<WatchReply> {
     replies.into_iter().find_map(|(to, reply)| match reply {
-        Reply::Watch(reply) if to == ticket => Some(reply),
+        Reply::Watch(reply) if to == call => Some(reply),
         _ => None,
     })
 }
@@ -101,8 +101,8 @@
 /// Replaces the document while node 1 waits with the list at `revision`; returns its reply.
 fn replaced_while_it_waits(one: &mut One, revision: u64) -> WatchReply {
     let waits = one.watch(node(1), 0, revision);
-    let ticket = one.ticket();
-    let event = Event::Replace(ticket, Document::new(7, "seven"));
+    let call = one.call();
+    let event = Event::Replace(call, Document::new(7, "seven"));
     watch_reply(one.handle(event), waits).expect("told with the commit")
 }
 
@@ -138,8 +138,8 @@
     let mut alone = One::from_records(initial_records(names.to_vec(), Tree::default()));
     alone.run_for(Duration::from_secs(5));
     assert_eq!(alone.replace(8, "eight"), Some(Reply::Unsure(None)));
-    let ticket = alone.ticket();
-    assert_eq!(alone.handle(Event::Fetch(ticket)), [(ticket, Reply::Unsure(None))]);
+    let call = alone.call();
+    assert_eq!(alone.handle(Event::Fetch(call)), [(call, Reply::Unsure(None))]);
 }
 
 #[test]
@@ -179,14 +179,14 @@
 fn a_node_that_takes_the_list_of_other_keepers_is_told_none() {
     let mut one = One::new();
     one.watch(node(1), 0, 0);
-    let ticket = one.ticket();
+    let call = one.call();
     let request =
         WatchRequest { node: agent(2, "work"), document: 0, revision: None, halls: 0, keepers: 0 };
-    assert!(one.handle(Event::Watch(ticket, request)).is_empty());
+    assert!(one.handle(Event::Watch(call, request)).is_empty());
     one.watch(node(3), 0, 0);
     let early = one.run_for(Duration::from_millis(500));
-    assert_eq!(watch_reply(early, ticket), None, "an entry that has come is no news to it");
-    let reply = watch_reply(one.run_for(Duration::from_millis(700)), ticket).expect("an answer");
+    assert_eq!(watch_reply(early, call), None, "an entry that has come is no news to it");
+    let reply = watch_reply(one.run_for(Duration::from_millis(700)), call).expect("an answer");
     assert_eq!((reply.nodes, reply.peers), (None, 1));
 }
 
@@ -211,8 +211,8 @@
     one.watch(node(2), 0, 0);
     let mut list = NodeList { revision: 0, nodes: Vec::new() };
     for _ in 0..8 {
-        let ticket = one.watch(node(1), 0, list.revision);
-        let reply = watch_reply(one.run_for(Duration::from_millis(1_100)), ticket);
+        let call = one.watch(node(1), 0, list.revision);
+        let reply = watch_reply(one.run_for(Duration::from_millis(1_100)), call);
         match reply.and_then(|reply| reply.nodes) {
             Some(ListNews::Whole(told)) => list = told,
             Some(ListNews::Change(change)) => list.apply(change),
@@ -231,11 +231,11 @@
         one.replace(8 + number, "later");
     }
     let mut again = One::from_records(one.records.clone());
-    let ticket = again.ticket();
+    let call = again.call();
     let request =
         WatchRequest { node: node(1), document: 0, revision: Some(0), halls: 0, keepers: 0 };
-    let replies = again.handle(Event::Watch(ticket, request));
-    let told = watch_reply(replies, ticket).expect("told at once");
+    let replies = again.handle(Event::Watch(call, request));
+    let told = watch_reply(replies, call).expect("told at once");
     assert!(told.version >= 1_000);
     assert_eq!(again.part(told.version), Some("later".to_owned()));
 }
@@ -246,17 +246,17 @@
     assert_eq!(one.replace(7, "seven"), Some(Reply::Replaced));
     assert_eq!(one.replace(9, "nine"), Some(Reply::Replaced));
     let mut again = One::from_records(one.records.clone());
-    let ticket = again.ticket();
+    let call = again.call();
     let request =
         WatchRequest { node: node(1), document: 0, revision: Some(0), halls: 0, keepers: 0 };
-    let replies = again.handle(Event::Watch(ticket, request));
-    let reply = watch_reply(replies, ticket).expect("it is answered at once");
+    let replies = again.handle(Event::Watch(call, request));
+    let reply = watch_reply(replies, call).expect("it is answered at once");
     // The commit record of the last entry may not be stored yet; that of the one before is.
     assert!(reply.version >= 7, "{}", reply.version);
     assert!(again.part(reply.version).is_some());
-    let ticket = again.ticket();
-    let unsure = again.handle(Event::Fetch(ticket));
-    assert_eq!(unsure, [(ticket, Reply::Unsure(None))], "operators are not told before it leads");
+    let call = again.call();
+    let unsure = again.handle(Event::Fetch(call));
+    assert_eq!(unsure, [(call, Reply::Unsure(None))], "operators are not told before it leads");
 }
 
 /// A delayed registration of an earlier instance replaces the running one, as instances of a node
@@ -270,8 +270,8 @@
     one.run_for(Duration::from_millis(100));
     one.watch(earlier.clone(), 0, 0);
     let lists = |one: &mut One| {
-        let ticket = one.watch(node(1), 0, 0);
-        let reply = watch_reply(one.run_for(Duration::from_millis(100)), ticket);
+        let call = one.watch(node(1), 0, 0);
+        let reply = watch_reply(one.run_for(Duration::from_millis(100)), call);
         whole(reply.and_then(|reply| reply.nodes)).nodes
     };
     assert_eq!(lists(&mut one), [node(1), earlier]);
--- a/components/keeper/tests/full_disk.rs
+++ b/components/keeper/tests/full_disk.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use consensus::{Message, Timing};
-use keeper::{Action, Event, Keeper, Reply, Ticket, initial_records};
+use keeper::{Action, CallId, Event, Keeper, Reply, initial_records};
 use model::{Incarnation, NodeName, Time};
 use settings::Tree;
 use wire::{Document, NodeInfo, NodeRole, PartRequest, WatchRequest};
@@ -17,7 +17,7 @@
     keepers: Vec<Keeper>,
     now: Time,
     messages: VecDeque<(NodeName, NodeName, Message)>,
-    replies: Vec<(Ticket, Reply)>,
+    replies: Vec<(CallId, Reply)>,
     /// The keeper whose disk rejects every record, and the number of rejected stores.
     full: Option<(usize, u32)>,
 }
@@ -79,19 +79,19 @@
         for action in actions {
             match action {
                 Action::Send(to, message) => self.messages.push_back((to, own.clone(), message)),
-                Action::Respond(ticket, reply) => self.replies.push((ticket, reply)),
+                Action::Respond(call, reply) => self.replies.push((call, reply)),
                 _ => {}
             }
         }
     }
 
-    fn replace(&mut self, number: usize, ticket: u64, version: u64) {
+    fn replace(&mut self, number: usize, call: u64, version: u64) {
         let document = Document::new(version, "body");
-        self.handle(number, Event::Replace(Ticket(ticket), document));
+        self.handle(number, Event::Replace(CallId(call), document));
     }
 
-    fn reply(&self, ticket: u64) -> Option<&Reply> {
-        self.replies.iter().find(|(to, _)| to.0 == ticket).map(|(_, reply)| reply)
+    fn reply(&self, call: u64) -> Option<&Reply> {
+        self.replies.iter().find(|(to, _)| to.0 == call).map(|(_, reply)| reply)
     }
 }
 
@@ -140,23 +140,23 @@
     three.until(Duration::from_secs(1), |three| three.full == Some((other, 1)));
     let watch =
         WatchRequest { node: entry(), document: 0, revision: Some(0), halls: 0, keepers: 0 };
-    three.handle(other, Event::Watch(Ticket(3), watch));
+    three.handle(other, Event::Watch(CallId(3), watch));
     three.until(Duration::from_millis(200), |three| three.reply(3).is_some());
     let Some(Reply::Watch(reply)) = three.reply(3) else { panic!("{:?}", three.reply(3)) };
     assert_eq!(reply.version, 7);
     let request = PartRequest { version: 7, offset: 0 };
-    three.handle(other, Event::Part(Ticket(8), request));
+    three.handle(other, Event::Part(CallId(8), request));
     let Some(Reply::Part(Some(part))) = three.reply(8) else { panic!("{:?}", three.reply(8)) };
     assert_eq!((part.version, part.bytes.len()), (7, part.total));
     let replies = [
-        Event::Fetch(Ticket(4)),
-        Event::Read(Ticket(5)),
-        Event::History(Ticket(6)),
-        Event::Replace(Ticket(7), Document::new(9, "nine")),
+        Event::Fetch(CallId(4)),
+        Event::Read(CallId(5)),
+        Event::History(CallId(6)),
+        Event::Replace(CallId(7), Document::new(9, "nine")),
     ];
-    for (ticket, event) in (4..).zip(replies) {
+    for (call, event) in (4..).zip(replies) {
         three.handle(other, event);
-        assert!(matches!(three.reply(ticket), Some(Reply::Unsure(_))), "{ticket}");
+        assert!(matches!(three.reply(call), Some(Reply::Unsure(_))), "{call}");
     }
     // Once the rejected records are stored, the keeper catches up.
     three.full = None;
--- a/components/keeper/tests/halls.rs
+++ b/components/keeper/tests/halls.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use consensus::Record;
-use keeper::{Event, LogCommand, Reply, State, Ticket, initial_records};
+use keeper::{CallId, Event, LogCommand, Reply, State, initial_records};
 use model::NodeName;
 use settings::Tree;
 use wire::{EmptiedHalls, HallOrder, WatchReply, WatchRequest};
@@ -15,7 +15,7 @@
 impl One {
     /// Sends a hall command and returns the emptied halls after it.
     fn order(&mut self, hall: &str, takes_work: bool) -> EmptiedHalls {
-        match self.reply_to(|ticket| Event::OrderHall(ticket, order(hall, takes_work))) {
+        match self.reply_to(|call| Event::OrderHall(call, order(hall, takes_work))) {
             Some(Reply::Halls(halls)) => halls,
             other => panic!("{other:?}"),
         }
@@ -36,8 +36,8 @@
         }
     }
 
-    fn watch(&mut self, halls: u64) -> (Ticket, Vec<(Ticket, Reply)>) {
-        let ticket = self.ticket();
+    fn watch(&mut self, halls: u64) -> (CallId, Vec<(CallId, Reply)>) {
+        let call = self.call();
         let revision = match self.list_revision() {
             0 => panic!("a keeper has a list"),
             revision => revision,
@@ -49,8 +49,8 @@
             halls,
             keepers: 0,
         };
-        let replies = self.handle(Event::Watch(ticket, request));
-        (ticket, replies)
+        let replies = self.handle(Event::Watch(call, request));
+        (call, replies)
     }
 
     /// The revision of the list of nodes after the node has registered.
@@ -62,7 +62,7 @@
             halls: u64::MAX,
             keepers: 0,
         };
-        match self.reply_to(|ticket| Event::Watch(ticket, request)) {
+        match self.reply_to(|call| Event::Watch(call, request)) {
             Some(Reply::Watch(WatchReply { nodes: Some(news), .. })) => news.revision(),
             other => panic!("{other:?}"),
         }
@@ -106,8 +106,8 @@
         let mut one = One::new();
         let orders: Vec<bool> = (0..4).map(|bit| kinds & (1 << bit) != 0).collect();
         for takes_work in &orders {
-            let ticket = one.ticket();
-            one.handle(Event::OrderHall(ticket, order("north", *takes_work)));
+            let call = one.call();
+            one.handle(Event::OrderHall(call, order("north", *takes_work)));
         }
         one.run_for(Duration::from_millis(50));
         let emptied = one.read().contains("north");
@@ -146,7 +146,7 @@
     let names = ["k1", "k2", "k3"].map(NodeName::new);
     let mut alone = One::from_records(initial_records(names.to_vec(), Tree::default()));
     alone.run_for(Duration::from_secs(5));
-    let ordered = alone.reply_to(|ticket| Event::OrderHall(ticket, order("north", false)));
+    let ordered = alone.reply_to(|call| Event::OrderHall(call, order("north", false)));
     assert_eq!(ordered, Some(Reply::Unsure(None)));
     assert_eq!(alone.reply_to(Event::ReadHalls), Some(Reply::Unsure(None)));
 }
@@ -156,8 +156,8 @@
     let mut one = One::new();
     let (waiting, at_once) = one.watch(0);
     assert_eq!(at_once, [], "there is no order yet");
-    let ticket = one.ticket();
-    let mut replies = one.handle(Event::OrderHall(ticket, order("north", false)));
+    let call = one.call();
+    let mut replies = one.handle(Event::OrderHall(call, order("north", false)));
     replies.extend(one.run_for(Duration::from_millis(10)));
     let told = told(&replies, waiting).expect("it is told with the order's acknowledgement");
     assert_eq!(names(&told), ["north"]);
@@ -167,9 +167,9 @@
     assert_eq!(self::told(&at_once, behind), Some(told), "a node that has just started");
 }
 
-fn told(replies: &[(Ticket, Reply)], to: Ticket) -> Option<EmptiedHalls> {
-    replies.iter().find_map(|(ticket, reply)| match reply {
-        Reply::Watch(reply) if *ticket == to => reply.halls.clone(),
+fn told(replies: &[(CallId, Reply)], to: CallId) -> Option<EmptiedHalls> {
+    replies.iter().find_map(|(call, reply)| match reply {
+        Reply::Watch(reply) if *call == to => reply.halls.clone(),
         _ => None,
     })
 }
--- a/components/keeper/tests/spread.rs
+++ b/components/keeper/tests/spread.rs
@@ -10,7 +10,7 @@
 
 use consensus::Timing;
 use keeper::{
-    Action, DocumentFetch, DocumentSource, Event, FetchStep, Keeper, Reply, Ticket, initial_records,
+    Action, CallId, DocumentFetch, DocumentSource, Event, FetchStep, Keeper, Reply, initial_records,
 };
 use model::{Incarnation, NodeName, Time};
 use settings::Tree;
@@ -62,7 +62,7 @@
     sent: Vec<Sent>,
     nodes: Vec<Node>,
     /// The node that made each call; `None` for the operator.
-    asked: BTreeMap<Ticket, Option<usize>>,
+    asked: BTreeMap<CallId, Option<usize>>,
     acknowledged: Option<Time>,
 }
 
@@ -121,15 +121,15 @@
         self.happenings.insert((self.now + after, self.sequence), happening);
     }
 
-    fn ticket(&mut self, of: Option<usize>) -> Ticket {
+    fn call(&mut self, of: Option<usize>) -> CallId {
         self.sequence += 1;
-        let ticket = Ticket(self.sequence);
-        self.asked.insert(ticket, of);
-        ticket
+        let call = CallId(self.sequence);
+        self.asked.insert(call, of);
+        call
     }
 
     fn ask(&mut self, after: Duration, node: usize, keeper: usize, document: u64, revision: u64) {
-        let ticket = self.ticket(Some(node));
+        let call = self.call(Some(node));
         let request = WatchRequest {
             node: node_info(node),
             document,
@@ -137,7 +137,7 @@
             halls: 0,
             keepers: 0,
         };
-        self.at(after + WAY, Happening::Keeper(keeper, Event::Watch(ticket, request)));
+        self.at(after + WAY, Happening::Keeper(keeper, Event::Watch(call, request)));
     }
 
     fn run_for(&mut self, span: Duration) {
@@ -175,7 +175,7 @@
                     let arrives = (done + synced + WAY).since(self.now);
                     self.at(arrives, Happening::Keeper(to.expect("a keeper"), event));
                 }
-                Action::Respond(ticket, reply) => {
+                Action::Respond(call, reply) => {
                     done = done + MESSAGE_TIME;
                     match &reply {
                         Reply::Part(_) => {
@@ -185,7 +185,7 @@
                         _ => self.sent[keeper].answers += 1,
                     }
                     let arrives = (done + synced + WAY).since(self.now);
-                    match self.asked.remove(&ticket) {
+                    match self.asked.remove(&call) {
                         Some(Some(node)) => self.at(arrives, Happening::Node(node, keeper, reply)),
                         _ if reply == Reply::Replaced => {
                             self.acknowledged = Some(self.now + arrives)
@@ -232,8 +232,8 @@
         let keeper = (0..KEEPERS)
             .find(|number| DocumentSource::Keeper(keeper_address(*number)) == source)
             .expect("a keeper");
-        let ticket = self.ticket(Some(node));
-        self.at(WAY, Happening::Keeper(keeper, Event::Part(ticket, request)));
+        let call = self.call(Some(node));
+        self.at(WAY, Happening::Keeper(keeper, Event::Part(call, request)));
     }
 
     fn leader(&self) -> usize {
@@ -246,10 +246,10 @@
     fn replace(&mut self, version: u64) -> Vec<Duration> {
         self.sent = vec![Sent::default(); KEEPERS];
         self.nodes.iter_mut().for_each(|node| node.has_since = None);
-        let ticket = self.ticket(None);
+        let call = self.call(None);
         let document = Document::new(version, "x".repeat(DOCUMENT_BYTES));
         let leader = self.leader();
-        self.at(WAY, Happening::Keeper(leader, Event::Replace(ticket, document)));
+        self.at(WAY, Happening::Keeper(leader, Event::Replace(call, document)));
         self.acknowledged = None;
         self.run_for(Duration::from_secs(1));
         let acknowledged = self.acknowledged.expect("the change is taken");
--- a/components/keeper/tests/support/mod.rs
+++ b/components/keeper/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use consensus::{Record, Timing};
-use keeper::{Action, Event, Keeper, Reply, Ticket, initial_records};
+use keeper::{Action, CallId, Event, Keeper, Reply, initial_records};
 use model::{Incarnation, NodeName, Time};
 use settings::Tree;
 use wire::{NodeInfo, NodeRole};
@@ -18,7 +18,7 @@
     pub keeper: Keeper,
     pub records: Vec<Record>,
     pub now: Time,
-    tickets: u64,
+    calls: u64,
 }
 
 impl One {
@@ -35,7 +35,7 @@
     pub fn from_records(records: Vec<Record>) -> Self {
         let name = NodeName::new("k1");
         let keeper = Keeper::recover(name, records.clone(), Timing::default(), 1, START);
-        Self { keeper: keeper.expect("the records are sound"), records, now: START, tickets: 0 }
+        Self { keeper: keeper.expect("the records are sound"), records, now: START, calls: 0 }
     }
 
     /// The keeper after a restart, once it leads again.
@@ -45,7 +45,7 @@
         again
     }
 
-    pub fn handle(&mut self, event: Event) -> Vec<(Ticket, Reply)> {
+    pub fn handle(&mut self, event: Event) -> Vec<(CallId, Reply)> {
         let mut actions = Vec::new();
         self.keeper.handle(self.now, event, &mut actions);
         let mut replies = Vec::new();
@@ -53,14 +53,14 @@
             match action {
                 Action::Store(records) => self.records.extend(records),
                 Action::Rewrite(records) => self.records = records,
-                Action::Respond(ticket, reply) => replies.push((ticket, reply)),
+                Action::Respond(call, reply) => replies.push((call, reply)),
                 _ => {}
             }
         }
         replies
     }
 
-    pub fn run_for(&mut self, time: Duration) -> Vec<(Ticket, Reply)> {
+    pub fn run_for(&mut self, time: Duration) -> Vec<(CallId, Reply)> {
         let end = self.now + time;
         let mut replies = Vec::new();
         while self.now < end {
@@ -70,17 +70,17 @@
         replies
     }
 
-    pub fn ticket(&mut self) -> Ticket {
-        self.tickets += 1;
-        Ticket(self.tickets)
+    pub fn call(&mut self) -> CallId {
+        self.calls += 1;
+        CallId(self.calls)
     }
 
     /// Makes a call and returns its reply, if it arrives within 50 ms.
-    pub fn reply_to(&mut self, event: impl FnOnce(Ticket) -> Event) -> Option<Reply> {
-        let ticket = self.ticket();
-        let mut replies = self.handle(event(ticket));
+    pub fn reply_to(&mut self, event: impl FnOnce(CallId) -> Event) -> Option<Reply> {
+        let call = self.call();
+        let mut replies = self.handle(event(call));
         replies.extend(self.run_for(Duration::from_millis(50)));
-        replies.into_iter().find(|(to, _)| *to == ticket).map(|(_, reply)| reply)
+        replies.into_iter().find(|(to, _)| *to == call).map(|(_, reply)| reply)
     }
 }
 
--- a/daemon/src/keeper_role/decide.rs
+++ b/daemon/src/keeper_role/decide.rs
@@ -8,7 +8,7 @@
 use async_channel::Sender;
 use consensus::Message;
 use journal::{Journal, JournalError};
-use keeper::{Action, Event, Keeper, Reply, Roster, RosterWork, Ticket};
+use keeper::{Action, CallId, Event, Keeper, Reply, Roster, RosterWork};
 use model::{NodeName, Time};
 use spdlog::error;
 
@@ -103,7 +103,7 @@
     keeper: Keeper,
     storage: Storage,
     peers: Sender<ToPeers>,
-    waiting: HashMap<Ticket, Sender<Reply>>,
+    waiting: HashMap<CallId, Sender<Reply>>,
     next_ticket: u64,
     actions: Vec<Action>,
     /// When the last input or tick came.
@@ -163,7 +163,7 @@
             link.roster.heard(now, &request.node);
         }
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
+        let ticket = CallId(self.next_ticket);
         self.waiting.insert(ticket, reply);
         let event = match ask {
             Ask::Change(request) => Event::Change(ticket, request),
--- a/soak/src/keepers/halls.rs
+++ b/soak/src/keepers/halls.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use keeper::{Event, Reply, Ticket};
+use keeper::{CallId, Event, Reply};
 use model::Time;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -48,7 +48,7 @@
     /// Orders that were acknowledged.
     pub acknowledged: u64,
     /// When each copy of an order was sent.
-    sent: HashMap<Ticket, Time>,
+    sent: HashMap<CallId, Time>,
 }
 
 impl HallOrders {
@@ -109,7 +109,7 @@
 
     /// Whether whoever sent a copy of an order has closed its connection by now. A keeper that reads the order reads that
     /// as well, and does not carry it out (`an_order_whose_operator_has_left_is_not_carried_out`).
-    pub(super) fn has_sender_left(&self, ticket: Ticket) -> bool {
+    pub(super) fn has_sender_left(&self, ticket: CallId) -> bool {
         let sent = self.halls.as_ref().and_then(|halls| halls.sent.get(&ticket));
         sent.is_some_and(|at| self.now.since(*at) > PATIENCE)
     }
--- a/soak/src/keepers/operators.rs
+++ b/soak/src/keepers/operators.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use keeper::{Event, Reply, Ticket};
+use keeper::{CallId, Event, Reply};
 use rand::Rng;
 use settings::{Edit, SectionPath, Tree};
 use wire::{ChangeRequest, ChangeResult};
@@ -43,7 +43,7 @@
     }
 
     /// Someone got a reply, or noticed that there will be none.
-    pub fn replied(&mut self, ticket: Ticket, reply: Option<Reply>) {
+    pub fn replied(&mut self, ticket: CallId, reply: Option<Reply>) {
         match (self.waiting.remove(&ticket), reply) {
             (Some(Asker::Read { operator, newest }), Some(Reply::Tree(tree))) => {
                 let Ok(parsed) = Tree::from_ini(&tree.tree) else {
--- a/soak/src/keepers/world.rs
+++ b/soak/src/keepers/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use consensus::{Message, Record, Replica, Timing};
-use keeper::{Action, Event, Keeper, LogEvent, Reply, Ticket, initial_records};
+use keeper::{Action, CallId, Event, Keeper, LogEvent, Reply, initial_records};
 use model::{NodeName, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -34,9 +34,9 @@
     /// A question reaches a keeper, in a life.
     Ask { to: usize, event: Event },
     /// A reply reaches the one who asked.
-    Reply { ticket: Ticket, reply: Reply },
+    Reply { ticket: CallId, reply: Reply },
     /// A question or its reply was lost, and the one who asked notices.
-    Lost { ticket: Ticket },
+    Lost { ticket: CallId },
     /// A keeper's timers.
     Tick(usize),
     /// An operator does something.
@@ -102,7 +102,7 @@
     pub keepers: Vec<Disked>,
     pub nodes: Vec<NodeState>,
     pub checks: KeeperChecks,
-    pub waiting: HashMap<Ticket, Asker>,
+    pub waiting: HashMap<CallId, Asker>,
     pub changes: u64,
     pub arrangement: Arrangement,
     /// None where nobody empties halls.
@@ -403,9 +403,9 @@
     }
 
     /// Asks a keeper; the one who asked notices when nothing comes back.
-    pub fn ask(&mut self, to: usize, asker: Asker, event: impl FnOnce(Ticket) -> Event) -> Ticket {
+    pub fn ask(&mut self, to: usize, asker: Asker, event: impl FnOnce(CallId) -> Event) -> CallId {
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
+        let ticket = CallId(self.next_ticket);
         self.waiting.insert(ticket, asker);
         let way = self.way();
         // A keeper that is cut off from the others may still be reached, and believe that it leads.
