--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -77,7 +77,7 @@
     Pull(PullReply),
     /// This keeper is not the confirmed leader; holds the leader it follows, if known. A change
     /// that was already sent may still be committed.
-    Unsure(Option<NodeName>),
+    NotLeader(Option<NodeName>),
 }
 
 /// An output of a keeper. Actions have to be performed in order, as later ones may depend on
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -63,10 +63,10 @@
 fn reduce_to_unstored(action: Action) -> Option<Action> {
     match action {
         Action::Store(_) | Action::Rewrite(_) | Action::Send(..) => None,
-        Action::Respond(call, reply @ (Reply::Watch(_) | Reply::Part(_) | Reply::Unsure(_))) => {
+        Action::Respond(call, reply @ (Reply::Watch(_) | Reply::Part(_) | Reply::NotLeader(_))) => {
             Some(Action::Respond(call, reply))
         }
-        Action::Respond(call, _) => Some(Action::Respond(call, Reply::Unsure(None))),
+        Action::Respond(call, _) => Some(Action::Respond(call, Reply::NotLeader(None))),
         event @ Action::Log(_) => Some(event),
     }
 }
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -166,7 +166,7 @@
 
     /// Whether this keeper is the confirmed leader and its disk is not full, so that it accepts
     /// changes.
-    pub fn is_sure(&self, now: Time) -> bool {
+    pub fn is_confirmed_leader(&self, now: Time) -> bool {
         !self.disk_full && self.replica.is_confirmed_leader(now)
     }
 
@@ -182,7 +182,7 @@
         request: ChangeRequest,
         out: &mut Vec<Action>,
     ) {
-        if !self.is_sure(now) {
+        if !self.is_confirmed_leader(now) {
             return self.reply_not_leader(call, out);
         }
         if let Some(first) = self.state.result(&request.change) {
@@ -201,7 +201,7 @@
         document: Document,
         out: &mut Vec<Action>,
     ) {
-        if !self.is_sure(now) {
+        if !self.is_confirmed_leader(now) {
             return self.reply_not_leader(call, out);
         }
         if document.version <= self.state.document_version() {
@@ -220,7 +220,7 @@
         order: HallOrder,
         out: &mut Vec<Action>,
     ) {
-        if !self.is_sure(now) {
+        if !self.is_confirmed_leader(now) {
             return self.reply_not_leader(call, out);
         }
         self.propose(now, call, &LogCommand::Hall(order), out);
@@ -249,7 +249,7 @@
         reply: Reply,
         out: &mut Vec<Action>,
     ) {
-        if self.is_sure(now) {
+        if self.is_confirmed_leader(now) {
             out.push(Action::Respond(call, reply));
         } else {
             self.reply_not_leader(call, out);
@@ -258,6 +258,6 @@
 
     pub(crate) fn reply_not_leader(&self, call: CallId, out: &mut Vec<Action>) {
         let leader = self.replica.leader().cloned();
-        out.push(Action::Respond(call, Reply::Unsure(leader)));
+        out.push(Action::Respond(call, Reply::NotLeader(leader)));
     }
 }
--- a/components/keeper/src/pending_calls.rs
+++ b/components/keeper/src/pending_calls.rs
@@ -60,7 +60,7 @@
     ) {
         let have = request.have;
         match self.state.since(have) {
-            PullReply::Current if self.is_sure(now) => {
+            PullReply::Current if self.is_confirmed_leader(now) => {
                 self.pending_pulls.push(PendingPull { call, have, until: now + PULL_TIMEOUT });
             }
             update => self.reply_if_leader(now, call, Reply::Pull(update), out),
--- a/components/keeper/tests/document.rs
+++ b/components/keeper/tests/document.rs
@@ -137,9 +137,9 @@
     let names = ["k1", "k2", "k3"].map(NodeName::new);
     let mut alone = One::from_records(initial_records(names.to_vec(), Tree::default()));
     alone.run_for(Duration::from_secs(5));
-    assert_eq!(alone.replace(8, "eight"), Some(Reply::Unsure(None)));
+    assert_eq!(alone.replace(8, "eight"), Some(Reply::NotLeader(None)));
     let call = alone.call();
-    assert_eq!(alone.handle(Event::Fetch(call)), [(call, Reply::Unsure(None))]);
+    assert_eq!(alone.handle(Event::Fetch(call)), [(call, Reply::NotLeader(None))]);
 }
 
 #[test]
@@ -256,7 +256,7 @@
     assert!(again.part(reply.version).is_some());
     let call = again.call();
     let unsure = again.handle(Event::Fetch(call));
-    assert_eq!(unsure, [(call, Reply::Unsure(None))], "operators are not told before it leads");
+    assert_eq!(unsure, [(call, Reply::NotLeader(None))], "operators are not told before it leads");
 }
 
 /// A delayed registration of an earlier instance replaces the running one, as instances of a node
--- a/components/keeper/tests/full_disk.rs
+++ b/components/keeper/tests/full_disk.rs
@@ -42,7 +42,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        self.keepers.iter().position(|keeper| keeper.is_sure(self.now))
+        self.keepers.iter().position(|keeper| keeper.is_confirmed_leader(self.now))
     }
 
     /// Advances the time until the condition holds; returns the elapsed time.
@@ -114,7 +114,7 @@
     three.until(Duration::from_secs(1), |three| three.keepers[leads].replica().committed() > 1);
     three.full = Some((leads, 0));
     three.replace(leads, 1, 7);
-    assert!(matches!(three.reply(1), Some(Reply::Unsure(_))), "{:?}", three.reply(1));
+    assert!(matches!(three.reply(1), Some(Reply::NotLeader(_))), "{:?}", three.reply(1));
     let took =
         three.until(Duration::from_secs(2), |three| three.leader().is_some_and(|new| new != leads));
     println!("another leads after {took:?}");
@@ -156,7 +156,7 @@
     ];
     for (call, event) in (4..).zip(replies) {
         three.handle(other, event);
-        assert!(matches!(three.reply(call), Some(Reply::Unsure(_))), "{call}");
+        assert!(matches!(three.reply(call), Some(Reply::NotLeader(_))), "{call}");
     }
     // Once the rejected records are stored, the keeper catches up.
     three.full = None;
--- a/components/keeper/tests/halls.rs
+++ b/components/keeper/tests/halls.rs
@@ -147,8 +147,8 @@
     let mut alone = One::from_records(initial_records(names.to_vec(), Tree::default()));
     alone.run_for(Duration::from_secs(5));
     let ordered = alone.reply_to(|call| Event::OrderHall(call, order("north", false)));
-    assert_eq!(ordered, Some(Reply::Unsure(None)));
-    assert_eq!(alone.reply_to(Event::ReadHalls), Some(Reply::Unsure(None)));
+    assert_eq!(ordered, Some(Reply::NotLeader(None)));
+    assert_eq!(alone.reply_to(Event::ReadHalls), Some(Reply::NotLeader(None)));
 }
 
 #[test]
--- a/components/keeper/tests/spread.rs
+++ b/components/keeper/tests/spread.rs
@@ -237,7 +237,7 @@
     }
 
     fn leader(&self) -> usize {
-        let leads = |keeper: &Keeper| keeper.is_sure(self.now);
+        let leads = |keeper: &Keeper| keeper.is_confirmed_leader(self.now);
         self.keepers.iter().position(leads).expect("one leads")
     }
 
--- a/daemon/src/keeper_role/decide.rs
+++ b/daemon/src/keeper_role/decide.rs
@@ -185,7 +185,7 @@
         let halls = self.keeper.state().halls();
         KeeperStatus {
             name: self.name.to_string(),
-            leads: self.keeper.is_sure(now),
+            leads: self.keeper.is_confirmed_leader(now),
             leader: replica.leader().map(ToString::to_string),
             term: replica.term(),
             committed: replica.committed(),
--- a/daemon/src/keeper_role/listen.rs
+++ b/daemon/src/keeper_role/listen.rs
@@ -139,7 +139,7 @@
     async fn pull(self, _: Context, request: PullRequest) -> PullReply {
         match ask(&self.ring, Ask::Pull(request)).await {
             Some(Reply::Pull(reply)) => reply,
-            Some(Reply::Unsure(leader)) => PullReply::Unsure { leader },
+            Some(Reply::NotLeader(leader)) => PullReply::Unsure { leader },
             _ => PullReply::Unsure { leader: None },
         }
     }
@@ -252,7 +252,7 @@
         Some(Reply::Replaced | Reply::Halls(_)) => json(200, &serde_json::json!({})),
         Some(Reply::Document(Some(document))) => whole(&document.body),
         Some(Reply::Document(None)) => problem(503, "no-document", "there never was one"),
-        Some(Reply::Unsure(Some(leader))) => send_on(operators.address, &leader, path),
+        Some(Reply::NotLeader(Some(leader))) => send_on(operators.address, &leader, path),
         _ => unsure(None),
     }
 }
@@ -287,7 +287,7 @@
         Some(Reply::History(versions)) => json(200, &versions),
         Some(Reply::Change(result)) => json(status(&result), &result),
         Some(Reply::Halls(halls)) => json(200, &halls),
-        Some(Reply::Unsure(leader)) => unsure(leader),
+        Some(Reply::NotLeader(leader)) => unsure(leader),
         Some(
             Reply::Pull(_)
             | Reply::Replaced
