--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -20,27 +20,27 @@
     /// An operator changes the settings tree.
     Change(CallId, ChangeRequest),
     /// An operator reads the settings tree.
-    Read(CallId),
+    ReadTree(CallId),
     /// An operator reads the recent versions of the settings tree.
-    History(CallId),
+    ReadHistory(CallId),
     /// An operator replaces the document.
-    Replace(CallId, Document),
+    ReplaceDocument(CallId, Document),
     /// An operator reads the document.
-    Fetch(CallId),
+    ReadDocument(CallId),
     /// An operator empties or refills a hall.
-    OrderHall(CallId, HallOrder),
+    HallCommand(CallId, HallOrder),
     /// An operator reads the emptied halls.
     ReadHalls(CallId),
     /// A node registers and waits for updates (long poll).
     Watch(CallId, WatchRequest),
     /// A node requests a part of a document.
-    Part(CallId, PartRequest),
+    FetchPart(CallId, PartRequest),
     /// The process is about to stop; a leader transfers leadership.
     Resign,
     /// A node requests newer settings and waits for them (long poll).
     Pull(CallId, PullRequest),
     /// A message from another keeper.
-    Peer(NodeName, Message),
+    PeerMessage(NodeName, Message),
     /// Checks the timers.
     Tick,
 }
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -43,17 +43,17 @@
     pub(crate) fn handle_without_disk(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Watch(call, request) => self.watch(now, call, request, out),
-            Event::Part(call, request) => self.part(call, request, out),
+            Event::FetchPart(call, request) => self.part(call, request, out),
             Event::Change(call, _)
-            | Event::Read(call)
-            | Event::History(call)
-            | Event::Replace(call, _)
-            | Event::Fetch(call)
-            | Event::OrderHall(call, _)
+            | Event::ReadTree(call)
+            | Event::ReadHistory(call)
+            | Event::ReplaceDocument(call, _)
+            | Event::ReadDocument(call)
+            | Event::HallCommand(call, _)
             | Event::ReadHalls(call)
             | Event::Pull(call, _) => self.reply_not_leader(call, out),
             // Dropping a message is safe, as messages may be lost anyway.
-            Event::Resign | Event::Peer(..) | Event::Tick => {}
+            Event::Resign | Event::PeerMessage(..) | Event::Tick => {}
         }
     }
 }
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -100,26 +100,28 @@
     fn handle_with_disk(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Change(call, request) => self.propose_change(now, call, request, out),
-            Event::Read(call) => self.read_tree(now, call, out),
-            Event::History(call) => {
+            Event::ReadTree(call) => self.read_tree(now, call, out),
+            Event::ReadHistory(call) => {
                 let history = Reply::History(self.state.history(HISTORY_VERSIONS_MAX));
                 self.reply_if_leader(now, call, history, out);
             }
-            Event::Replace(call, document) => self.propose_document(now, call, document, out),
-            Event::Fetch(call) => {
+            Event::ReplaceDocument(call, document) => {
+                self.propose_document(now, call, document, out)
+            }
+            Event::ReadDocument(call) => {
                 let reply = Reply::Document(self.state.document().cloned());
                 self.reply_if_leader(now, call, reply, out);
             }
-            Event::OrderHall(call, order) => self.propose_hall_command(now, call, order, out),
+            Event::HallCommand(call, order) => self.propose_hall_command(now, call, order, out),
             Event::ReadHalls(call) => {
                 let halls = Reply::Halls(self.state.halls().clone());
                 self.reply_if_leader(now, call, halls, out);
             }
             Event::Watch(call, request) => self.watch(now, call, request, out),
-            Event::Part(call, request) => self.part(call, request, out),
+            Event::FetchPart(call, request) => self.part(call, request, out),
             Event::Resign => self.step_replica(now, consensus::Event::Resign, out),
             Event::Pull(call, request) => self.pull(now, call, &request, out),
-            Event::Peer(from, message) => {
+            Event::PeerMessage(from, message) => {
                 self.step_replica(now, consensus::Event::Message { from, message }, out);
             }
             Event::Tick => self.step_replica(now, consensus::Event::Tick, out),
--- a/components/keeper/tests/document.rs
+++ b/components/keeper/tests/document.rs
@@ -16,12 +16,12 @@
 impl One {
     fn replace(&mut self, version: u64, body: &str) -> Option<Reply> {
         let document = Document::new(version, body);
-        self.reply_to(|call| Event::Replace(call, document))
+        self.reply_to(|call| Event::ReplaceDocument(call, document))
     }
 
     fn fetch(&mut self) -> Option<Document> {
         let call = self.call();
-        match self.handle(Event::Fetch(call)).pop() {
+        match self.handle(Event::ReadDocument(call)).pop() {
             Some((_, Reply::Document(document))) => document,
             other => panic!("{other:?}"),
         }
@@ -31,7 +31,7 @@
     fn part(&mut self, version: u64) -> Option<String> {
         let call = self.call();
         let request = PartRequest { version, offset: 0 };
-        match self.handle(Event::Part(call, request)).pop() {
+        match self.handle(Event::FetchPart(call, request)).pop() {
             Some((to, Reply::Part(part))) if to == call => part.map(|part| {
                 let document = Document::unpack(version, part.bytes).expect("it is whole");
                 document.body.to_string()
@@ -102,7 +102,7 @@
 fn replaced_while_it_waits(one: &mut One, revision: u64) -> WatchReply {
     let waits = one.watch(node(1), 0, revision);
     let call = one.call();
-    let event = Event::Replace(call, Document::new(7, "seven"));
+    let event = Event::ReplaceDocument(call, Document::new(7, "seven"));
     watch_reply(one.handle(event), waits).expect("told with the commit")
 }
 
@@ -139,7 +139,7 @@
     alone.run_for(Duration::from_secs(5));
     assert_eq!(alone.replace(8, "eight"), Some(Reply::NotLeader(None)));
     let call = alone.call();
-    assert_eq!(alone.handle(Event::Fetch(call)), [(call, Reply::NotLeader(None))]);
+    assert_eq!(alone.handle(Event::ReadDocument(call)), [(call, Reply::NotLeader(None))]);
 }
 
 #[test]
@@ -255,7 +255,7 @@
     assert!(reply.version >= 7, "{}", reply.version);
     assert!(again.part(reply.version).is_some());
     let call = again.call();
-    let unsure = again.handle(Event::Fetch(call));
+    let unsure = again.handle(Event::ReadDocument(call));
     assert_eq!(unsure, [(call, Reply::NotLeader(None))], "operators are not told before it leads");
 }
 
--- a/components/keeper/tests/full_disk.rs
+++ b/components/keeper/tests/full_disk.rs
@@ -55,7 +55,7 @@
                 let name =
                     |keeper: &Keeper| keeper.replica().voters().iter().position(|n| *n == to);
                 let number = name(&self.keepers[0]).expect("it is one of three");
-                self.handle(number, Event::Peer(from, message));
+                self.handle(number, Event::PeerMessage(from, message));
             }
             (0..3).for_each(|number| self.handle(number, Event::Tick));
         }
@@ -87,7 +87,7 @@
 
     fn replace(&mut self, number: usize, call: u64, version: u64) {
         let document = Document::new(version, "body");
-        self.handle(number, Event::Replace(CallId(call), document));
+        self.handle(number, Event::ReplaceDocument(CallId(call), document));
     }
 
     fn reply(&self, call: u64) -> Option<&Reply> {
@@ -145,14 +145,14 @@
     let Some(Reply::Watch(reply)) = three.reply(3) else { panic!("{:?}", three.reply(3)) };
     assert_eq!(reply.version, 7);
     let request = PartRequest { version: 7, offset: 0 };
-    three.handle(other, Event::Part(CallId(8), request));
+    three.handle(other, Event::FetchPart(CallId(8), request));
     let Some(Reply::Part(Some(part))) = three.reply(8) else { panic!("{:?}", three.reply(8)) };
     assert_eq!((part.version, part.bytes.len()), (7, part.total));
     let replies = [
-        Event::Fetch(CallId(4)),
-        Event::Read(CallId(5)),
-        Event::History(CallId(6)),
-        Event::Replace(CallId(7), Document::new(9, "nine")),
+        Event::ReadDocument(CallId(4)),
+        Event::ReadTree(CallId(5)),
+        Event::ReadHistory(CallId(6)),
+        Event::ReplaceDocument(CallId(7), Document::new(9, "nine")),
     ];
     for (call, event) in (4..).zip(replies) {
         three.handle(other, event);
--- a/components/keeper/tests/halls.rs
+++ b/components/keeper/tests/halls.rs
@@ -15,7 +15,7 @@
 impl One {
     /// Sends a hall command and returns the emptied halls after it.
     fn order(&mut self, hall: &str, takes_work: bool) -> EmptiedHalls {
-        match self.reply_to(|call| Event::OrderHall(call, order(hall, takes_work))) {
+        match self.reply_to(|call| Event::HallCommand(call, order(hall, takes_work))) {
             Some(Reply::Halls(halls)) => halls,
             other => panic!("{other:?}"),
         }
@@ -107,7 +107,7 @@
         let orders: Vec<bool> = (0..4).map(|bit| kinds & (1 << bit) != 0).collect();
         for takes_work in &orders {
             let call = one.call();
-            one.handle(Event::OrderHall(call, order("north", *takes_work)));
+            one.handle(Event::HallCommand(call, order("north", *takes_work)));
         }
         one.run_for(Duration::from_millis(50));
         let emptied = one.read().contains("north");
@@ -146,7 +146,7 @@
     let names = ["k1", "k2", "k3"].map(NodeName::new);
     let mut alone = One::from_records(initial_records(names.to_vec(), Tree::default()));
     alone.run_for(Duration::from_secs(5));
-    let ordered = alone.reply_to(|call| Event::OrderHall(call, order("north", false)));
+    let ordered = alone.reply_to(|call| Event::HallCommand(call, order("north", false)));
     assert_eq!(ordered, Some(Reply::NotLeader(None)));
     assert_eq!(alone.reply_to(Event::ReadHalls), Some(Reply::NotLeader(None)));
 }
@@ -157,7 +157,7 @@
     let (waiting, at_once) = one.watch(0);
     assert_eq!(at_once, [], "there is no order yet");
     let call = one.call();
-    let mut replies = one.handle(Event::OrderHall(call, order("north", false)));
+    let mut replies = one.handle(Event::HallCommand(call, order("north", false)));
     replies.extend(one.run_for(Duration::from_millis(10)));
     let told = told(&replies, waiting).expect("it is told with the order's acknowledgement");
     assert_eq!(names(&told), ["north"]);
--- a/components/keeper/tests/spread.rs
+++ b/components/keeper/tests/spread.rs
@@ -171,7 +171,7 @@
                     done = done + MESSAGE_TIME;
                     self.sent[keeper].peers += 1;
                     let to = (0..KEEPERS).find(|number| keeper_name(*number) == to);
-                    let event = Event::Peer(keeper_name(keeper), message);
+                    let event = Event::PeerMessage(keeper_name(keeper), message);
                     let arrives = (done + synced + WAY).since(self.now);
                     self.at(arrives, Happening::Keeper(to.expect("a keeper"), event));
                 }
@@ -233,7 +233,7 @@
             .find(|number| DocumentSource::Keeper(keeper_address(*number)) == source)
             .expect("a keeper");
         let call = self.call(Some(node));
-        self.at(WAY, Happening::Keeper(keeper, Event::Part(call, request)));
+        self.at(WAY, Happening::Keeper(keeper, Event::FetchPart(call, request)));
     }
 
     fn leader(&self) -> usize {
@@ -249,7 +249,7 @@
         let call = self.call(None);
         let document = Document::new(version, "x".repeat(DOCUMENT_BYTES));
         let leader = self.leader();
-        self.at(WAY, Happening::Keeper(leader, Event::Replace(call, document)));
+        self.at(WAY, Happening::Keeper(leader, Event::ReplaceDocument(call, document)));
         self.acknowledged = None;
         self.run_for(Duration::from_secs(1));
         let acknowledged = self.acknowledged.expect("the change is taken");
--- a/daemon/src/keeper_role/decide.rs
+++ b/daemon/src/keeper_role/decide.rs
@@ -167,15 +167,15 @@
         self.waiting.insert(ticket, reply);
         let event = match ask {
             Ask::Change(request) => Event::Change(ticket, request),
-            Ask::Read => Event::Read(ticket),
-            Ask::History => Event::History(ticket),
+            Ask::Read => Event::ReadTree(ticket),
+            Ask::History => Event::ReadHistory(ticket),
             Ask::Pull(request) => Event::Pull(ticket, request),
-            Ask::Replace(document) => Event::Replace(ticket, document),
-            Ask::Fetch => Event::Fetch(ticket),
-            Ask::OrderHall(order) => Event::OrderHall(ticket, order),
+            Ask::Replace(document) => Event::ReplaceDocument(ticket, document),
+            Ask::Fetch => Event::ReadDocument(ticket),
+            Ask::OrderHall(order) => Event::HallCommand(ticket, order),
             Ask::ReadHalls => Event::ReadHalls(ticket),
             Ask::Watch(request) => Event::Watch(ticket, request),
-            Ask::Part(request) => Event::Part(ticket, request),
+            Ask::Part(request) => Event::FetchPart(ticket, request),
         };
         self.keeper.handle(now, event, &mut self.actions);
     }
@@ -272,7 +272,7 @@
         match input {
             Input::Ask(ask, reply) => self.ask(now, ask, reply),
             Input::Peer(from, message) => {
-                self.keeper.handle(now, Event::Peer(from, message), &mut self.actions);
+                self.keeper.handle(now, Event::PeerMessage(from, message), &mut self.actions);
             }
             Input::Resign => self.keeper.handle(now, Event::Resign, &mut self.actions),
             Input::Contacts(contacts) => self.keeper.set_contacts(contacts),
--- a/soak/src/keepers/halls.rs
+++ b/soak/src/keepers/halls.rs
@@ -100,7 +100,7 @@
         let to = halls.rng.random_range(0..keepers);
         let asker = Asker::Hall { hall: number, order };
         let ordered = HallOrder { hall: name(number), takes_work };
-        let ticket = self.ask(to, asker, |ticket| Event::OrderHall(ticket, ordered));
+        let ticket = self.ask(to, asker, |ticket| Event::HallCommand(ticket, ordered));
         if let Some(halls) = &mut self.halls {
             halls.sent.insert(ticket, self.now);
         }
--- a/soak/src/keepers/operators.rs
+++ b/soak/src/keepers/operators.rs
@@ -35,7 +35,7 @@
         }
         let newest = self.checks.newest_told();
         let to = self.any_keeper();
-        self.ask(to, Asker::Read { operator, newest }, Event::Read);
+        self.ask(to, Asker::Read { operator, newest }, Event::ReadTree);
     }
 
     pub fn any_keeper(&mut self) -> usize {
--- a/soak/src/keepers/world.rs
+++ b/soak/src/keepers/world.rs
@@ -252,7 +252,7 @@
         match happening {
             Happening::Message { to, from, message } => {
                 let from = self.keepers[from].name.clone();
-                self.deliver(to, Event::Peer(from, message));
+                self.deliver(to, Event::PeerMessage(from, message));
             }
             Happening::Ask { to, event } => self.deliver(to, event),
             Happening::Reply { ticket, reply } => self.replied(ticket, Some(reply)),
@@ -305,7 +305,7 @@
         let messages = planned.filter_map(|planned| match self.contents.get(&planned.1) {
             Some(Happening::Message { to, from, message }) if *to == number => {
                 let from = self.keepers[*from].name.clone();
-                Some((planned, Event::Peer(from, message.clone())))
+                Some((planned, Event::PeerMessage(from, message.clone())))
             }
             _ => None,
         });
@@ -331,7 +331,7 @@
             }
             return self.plan_tick(number);
         }
-        if matches!(event, Event::OrderHall(ticket, _) if self.has_sender_left(ticket)) {
+        if matches!(event, Event::HallCommand(ticket, _) if self.has_sender_left(ticket)) {
             return;
         }
         let Some(machine) = &mut self.keepers[number].keeper else { return };
