--- a/components/keeper/src/fetch.rs
+++ b/components/keeper/src/fetch.rs
@@ -14,7 +14,7 @@
 
 /// Time after which a part is requested from another source. A part that arrives later is still
 /// accepted.
-pub const PART_WITHIN: Duration = Duration::from_millis(300);
+pub const PART_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A source of document parts. Agents are ordered last, as their version may be older than that of
 /// the keepers.
@@ -41,10 +41,10 @@
 pub enum FetchStep {
     /// Send the request to the source, and call [`DocumentFetch::next_step`] again after
     /// [`PART_TIMEOUT`].
-    Ask(DocumentSource, PartRequest),
+    Request(DocumentSource, PartRequest),
     /// The document is complete; the source sent the last part. Call [`DocumentFetch::next_step`]
     /// once the document is in force.
-    Whole(Document, DocumentSource),
+    Complete(Document, DocumentSource),
 }
 
 /// A document that is partly received.
@@ -83,7 +83,7 @@
     }
 
     /// Handles a source's advertisement of its version.
-    pub fn offered(
+    pub fn version_offered(
         &mut self,
         now: Time,
         source: DocumentSource,
@@ -94,11 +94,11 @@
         } else {
             self.offers.remove(&source);
         }
-        self.next(now)
+        self.next_step(now)
     }
 
     /// Handles a source's answer; `None` means that it no longer has the requested version.
-    pub fn answered(
+    pub fn part_answered(
         &mut self,
         now: Time,
         source: DocumentSource,
@@ -111,17 +111,17 @@
     }
 
     /// Handles the loss of the connection to a source.
-    pub fn gone(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
+    pub fn source_gone(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
         self.offers.remove(&source);
         self.cancel_request_to(source);
-        self.next(now)
+        self.next_step(now)
     }
 
     /// The next request to send, if any. A source that timed out is not asked again until it
     /// advertises a version again.
-    pub fn next(&mut self, now: Time) -> Option<FetchStep> {
+    pub fn next_step(&mut self, now: Time) -> Option<FetchStep> {
         if let Some((source, at)) = self.transfer.as_ref().and_then(|transfer| transfer.request) {
-            if now.since(at) < PART_WITHIN {
+            if now.since(at) < PART_TIMEOUT {
                 return None;
             }
             self.offers.remove(&source);
@@ -137,7 +137,7 @@
         transfer.request = Some((source, now));
         self.last_source = Some(source);
         let request = PartRequest { version, offset: transfer.bytes.len() };
-        Some(FetchStep::Ask(source, request))
+        Some(FetchStep::Request(source, request))
     }
 
     /// The next source in turn that has this version or a newer one, as keepers keep some replaced
@@ -173,7 +173,7 @@
         // The source may have been removed after a timeout.
         self.offers.entry(source).or_insert(part.version);
         if transfer.bytes.len() < part.total && !part.bytes.is_empty() {
-            return self.next(now);
+            return self.next_step(now);
         }
         let Transfer { version, bytes, .. } = self.transfer.take()?;
         let is_whole = bytes.len() == part.total;
@@ -182,11 +182,11 @@
             // The parts do not add up to the announced length or can't be unpacked; the source is
             // not asked again until it advertises a version again.
             self.offers.remove(&source);
-            return self.next(now);
+            return self.next_step(now);
         };
         self.version = version;
         self.offers.retain(|_, offer| *offer > version);
-        Some(FetchStep::Whole(document, source))
+        Some(FetchStep::Complete(document, source))
     }
 
     /// Handles a part whose digest differs from that of the earlier parts, as when another release
@@ -199,7 +199,7 @@
             self.transfer = None;
             self.offers.extend(offer.map(|version| (source, version)));
         }
-        self.next(now)
+        self.next_step(now)
     }
 
     /// Handles a source that does not have the requested version, because it has a newer one or was
@@ -216,7 +216,7 @@
             self.offers.remove(&source);
             self.cancel_request_to(source);
         }
-        self.next(now)
+        self.next_step(now)
     }
 
     fn cancel_request_to(&mut self, source: DocumentSource) {
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -17,7 +17,7 @@
 mod state;
 
 pub use event::{Action, CallId, Event, LogEvent, Reply, TreeReply};
-pub use fetch::{DocumentFetch, DocumentSource, FetchStep, PART_WITHIN};
+pub use fetch::{DocumentFetch, DocumentSource, FetchStep, PART_TIMEOUT};
 pub use keeper::{Keeper, KeeperError, initial_records};
 pub use roster::{RememberedNode, Roster, RosterWork};
 pub use state::{Command, LogCommand, State, Version};
--- a/components/keeper/tests/fetch.rs
+++ b/components/keeper/tests/fetch.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use keeper::{DocumentFetch, DocumentSource, FetchStep, PART_WITHIN};
+use keeper::{DocumentFetch, DocumentSource, FetchStep, PART_TIMEOUT};
 use model::Time;
 use wire::{Document, DocumentPart, PART_BYTES_MAX, PartRequest};
 
@@ -47,7 +47,7 @@
     }
 
     fn follow(&mut self, step: Option<FetchStep>) {
-        if let Some(FetchStep::Ask(source, request)) = &step {
+        if let Some(FetchStep::Request(source, request)) = &step {
             self.asked.push((*source, *request));
         }
         if step.is_some() {
@@ -56,20 +56,20 @@
     }
 
     fn offered(&mut self, source: DocumentSource, version: u64) {
-        let step = self.fetch.offered(self.now, source, version);
+        let step = self.fetch.version_offered(self.now, source, version);
         self.follow(step);
     }
 
     fn pass(&mut self, time: Duration) {
         self.now = self.now + time;
-        let step = self.fetch.next(self.now);
+        let step = self.fetch.next_step(self.now);
         self.follow(step);
     }
 
     /// The outstanding request and its source.
     fn waits_for(&self) -> (DocumentSource, PartRequest) {
         match &self.step {
-            Some(FetchStep::Ask(source, request)) => (*source, *request),
+            Some(FetchStep::Request(source, request)) => (*source, *request),
             other => panic!("{other:?}"),
         }
     }
@@ -78,14 +78,14 @@
     fn answered_from(&mut self, documents: &[Document]) {
         let (source, request) = self.waits_for();
         let part = documents.iter().find_map(|document| document.part(request));
-        let step = self.fetch.answered(self.now, source, part);
+        let step = self.fetch.part_answered(self.now, source, part);
         self.follow(step);
     }
 
     fn fetch_from(&mut self, documents: &[Document]) -> Document {
         for _ in 0..10 * PARTS {
             match self.step.take() {
-                Some(FetchStep::Whole(document, _)) => return document,
+                Some(FetchStep::Complete(document, _)) => return document,
                 step => self.step = step,
             }
             self.answered_from(documents);
@@ -122,12 +122,12 @@
     let (_, part) = node.waits_for();
     assert!(part.offset > 0);
     node.offered(keeper(2), 8);
-    node.pass(PART_WITHIN - Duration::from_millis(1));
+    node.pass(PART_TIMEOUT - Duration::from_millis(1));
     assert_eq!(node.asked.len(), 2);
     node.pass(Duration::from_millis(1));
     assert_eq!(node.waits_for(), (keeper(2), part), "silent");
     node.offered(keeper(3), 8);
-    let step = node.fetch.gone(node.now, keeper(2));
+    let step = node.fetch.source_gone(node.now, keeper(2));
     node.follow(step);
     assert_eq!(node.waits_for(), (keeper(3), part), "gone");
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
@@ -141,13 +141,13 @@
     let mut node = Node::new();
     let mut late = 0;
     (1..=2).for_each(|number| node.offered(keeper(number), 8));
-    while !matches!(node.step, Some(FetchStep::Whole(..))) {
+    while !matches!(node.step, Some(FetchStep::Complete(..))) {
         let before = node.waits_for();
-        node.pass(PART_WITHIN);
+        node.pass(PART_TIMEOUT);
         late += usize::from(node.waits_for() != before);
         // The answer to the first request, then the answer to the second.
         for (source, request) in [before, node.waits_for()] {
-            let step = node.fetch.answered(node.now, source, document(8).part(request));
+            let step = node.fetch.part_answered(node.now, source, document(8).part(request));
             node.follow(step);
         }
         assert!(node.asked.len() < 4 * PARTS, "it goes on: {:?}", node.asked);
@@ -183,7 +183,7 @@
     node.offered(keeper(1), 12);
     node.answered_from(&[document(12)]);
     node.offered(keeper(2), 8);
-    let step = node.fetch.gone(node.now, keeper(1));
+    let step = node.fetch.source_gone(node.now, keeper(1));
     node.follow(step);
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
 }
@@ -195,7 +195,7 @@
     let mut node = Node::new();
     node.offered(keeper(1), 8);
     node.answered_from(&[]);
-    node.pass(PART_WITHIN * 4);
+    node.pass(PART_TIMEOUT * 4);
     assert_eq!(node.asked.len(), 1);
     node.offered(keeper(1), 8);
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
@@ -247,7 +247,7 @@
     let (source, request) = node.waits_for();
     let mut part = document(8).part(request).expect("the first part");
     part.bytes.clear();
-    let step = node.fetch.answered(node.now, source, Some(part));
+    let step = node.fetch.part_answered(node.now, source, Some(part));
     node.follow(step);
     assert_eq!(node.waits_for().0, keeper(2));
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
@@ -263,7 +263,7 @@
     (1..=3).for_each(|number| node.offered(keeper(number), 8));
     node.answered_from(&[document(8)]);
     let (odd, request) = node.waits_for();
-    let step = node.fetch.answered(node.now, odd, other_way(request));
+    let step = node.fetch.part_answered(node.now, odd, other_way(request));
     node.follow(step);
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
     let asked = node.asked.iter().filter(|(source, _)| *source == odd);
@@ -274,15 +274,15 @@
     (1..=2).for_each(|number| node.offered(keeper(number), 8));
     let first = node.waits_for().0;
     node.answered_from(&[document(8)]);
-    let step = node.fetch.gone(node.now, first);
+    let step = node.fetch.source_gone(node.now, first);
     node.follow(step);
     for _ in 0..2 * PARTS {
-        if let Some(FetchStep::Whole(whole, _)) = &node.step {
+        if let Some(FetchStep::Complete(whole, _)) = &node.step {
             assert_eq!(*whole, document(8));
             return;
         }
         let (source, request) = node.waits_for();
-        let step = node.fetch.answered(node.now, source, other_way(request));
+        let step = node.fetch.part_answered(node.now, source, other_way(request));
         node.follow(step);
     }
     panic!("it has not come whole: {:?}", node.step);
@@ -296,7 +296,7 @@
     let (source, request) = node.waits_for();
     let part = document(8).part(request).expect("the first part");
     let odd = DocumentPart { total: 3, bytes: vec![255; 3], ..part };
-    let step = node.fetch.answered(node.now, source, Some(odd));
+    let step = node.fetch.part_answered(node.now, source, Some(odd));
     node.follow(step);
     node.offered(keeper(2), 8);
     assert_eq!(node.waits_for().0, keeper(2));
--- a/components/keeper/tests/spread.rs
+++ b/components/keeper/tests/spread.rs
@@ -205,7 +205,7 @@
         let fetch = &mut self.nodes[node].fetch;
         let mut step = match reply {
             Reply::Watch(reply) => {
-                let step = fetch.offered(now, source, reply.version);
+                let step = fetch.version_offered(now, source, reply.version);
                 let revisions = &mut self.nodes[node].revisions;
                 if let Some(news) = reply.nodes {
                     revisions[keeper] = news.revision();
@@ -214,15 +214,15 @@
                 self.ask(Duration::ZERO, node, keeper, reply.version, revision);
                 step
             }
-            Reply::Part(part) => fetch.answered(now, source, part),
+            Reply::Part(part) => fetch.part_answered(now, source, part),
             other => panic!("{other:?}"),
         };
         while let Some(next) = step.take() {
             match next {
-                FetchStep::Ask(source, request) => self.ask_part(node, source, request),
-                FetchStep::Whole(..) => {
+                FetchStep::Request(source, request) => self.ask_part(node, source, request),
+                FetchStep::Complete(..) => {
                     self.nodes[node].has_since = Some(now);
-                    step = self.nodes[node].fetch.next(now);
+                    step = self.nodes[node].fetch.next_step(now);
                 }
             }
         }
--- a/daemon/src/room/watch.rs
+++ b/daemon/src/room/watch.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use keeper::{DocumentFetch, DocumentSource, FetchStep, PART_WITHIN};
+use keeper::{DocumentFetch, DocumentSource, FetchStep, PART_TIMEOUT};
 use model::Time;
 use net::Tasks;
 use serde_json::json;
@@ -198,7 +198,9 @@
                     failures = 0;
                 }
                 self.clients.borrow_mut().remove(&keeper);
-                self.drive_fetch(|fetch, now| fetch.gone(now, DocumentSource::Keeper(keeper)));
+                self.drive_fetch(|fetch, now| {
+                    fetch.source_gone(now, DocumentSource::Keeper(keeper))
+                });
             }
             failures += 1;
             Timer::after(RETRY_PAUSE).await;
@@ -276,10 +278,10 @@
         let mut next = happened(&mut self.fetch.borrow_mut(), self.clock.now());
         while let Some(step) = next.take() {
             match step {
-                FetchStep::Ask(source, request) => self.ask_part(source, request),
-                FetchStep::Whole(document, source) => {
+                FetchStep::Request(source, request) => self.ask_part(source, request),
+                FetchStep::Complete(document, source) => {
                     (self.callbacks.document)(document, source);
-                    next = self.fetch.borrow_mut().next(self.clock.now());
+                    next = self.fetch.borrow_mut().next_step(self.clock.now());
                 }
             }
         }
@@ -289,8 +291,8 @@
     fn ask_part(self: &Rc<Self>, source: DocumentSource, request: PartRequest) {
         let watch = self.clone();
         self.tasks.spawn(async move {
-            Timer::after(PART_WITHIN).await;
-            watch.drive_fetch(DocumentFetch::next);
+            Timer::after(PART_TIMEOUT).await;
+            watch.drive_fetch(DocumentFetch::next_step);
         });
         match source {
             DocumentSource::Keeper(keeper) => self.ask_keeper_part(keeper, request),
@@ -307,9 +309,9 @@
     pub fn handle_agent(self: &Rc<Self>, session: u64, event: AgentEvent) {
         let source = DocumentSource::Agent(session);
         self.drive_fetch(|fetch, now| match event {
-            AgentEvent::Offered(version) => fetch.offered(now, source, version),
-            AgentEvent::Answered(part) => fetch.answered(now, source, part),
-            AgentEvent::Gone => fetch.gone(now, source),
+            AgentEvent::Offered(version) => fetch.version_offered(now, source, version),
+            AgentEvent::Answered(part) => fetch.part_answered(now, source, part),
+            AgentEvent::Gone => fetch.source_gone(now, source),
         });
     }
 
@@ -323,15 +325,15 @@
                 None => None,
             };
             watch.drive_fetch(|fetch, now| match answer {
-                Some(part) => fetch.answered(now, source, part),
-                None => fetch.gone(now, source),
+                Some(part) => fetch.part_answered(now, source, part),
+                None => fetch.source_gone(now, source),
             });
         });
     }
 
     fn take(self: &Rc<Self>, keeper: SocketAddr, reply: WatchReply) {
         let source = DocumentSource::Keeper(keeper);
-        self.drive_fetch(|fetch, now| fetch.offered(now, source, reply.version));
+        self.drive_fetch(|fetch, now| fetch.version_offered(now, source, reply.version));
         if let Some(halls) = reply.halls {
             (self.callbacks.halls)(halls);
         }
--- a/soak/src/room/documents.rs
+++ b/soak/src/room/documents.rs
@@ -1,6 +1,6 @@
 //! Entries that fetch the configuration from agents: in these runs no keeper can be reached.
 
-use keeper::{DocumentFetch, DocumentSource, FetchStep, PART_WITHIN};
+use keeper::{DocumentFetch, DocumentSource, FetchStep, PART_TIMEOUT};
 use model::Time;
 use wire::ToAgent;
 
@@ -17,15 +17,15 @@
         let mut next = happened(&mut self.entries[entry].fetch, self.now);
         while let Some(step) = next.take() {
             match step {
-                FetchStep::Ask(source, request) => {
+                FetchStep::Request(source, request) => {
                     let DocumentSource::Agent(id) = source else { continue };
                     if let Some(session) = self.entries[entry].sessions.get(&id).copied() {
                         self.send(session, Parcel::ToAgent(ToAgent::SendPart(request)));
                     }
                     let life = self.entries[entry].life;
-                    self.at(PART_WITHIN, Happening::PartLate(entry, life));
+                    self.at(PART_TIMEOUT, Happening::PartLate(entry, life));
                 }
-                FetchStep::Whole(..) => next = self.entries[entry].fetch.next(self.now),
+                FetchStep::Complete(..) => next = self.entries[entry].fetch.next_step(self.now),
             }
         }
     }
@@ -33,7 +33,7 @@
     /// A part that was asked for may be late.
     pub(super) fn part_late(&mut self, entry: usize, life: u64) {
         if self.entries[entry].life == life {
-            self.fetch(entry, DocumentFetch::next);
+            self.fetch(entry, DocumentFetch::next_step);
         }
     }
 
--- a/soak/src/room/processes.rs
+++ b/soak/src/room/processes.rs
@@ -30,17 +30,17 @@
                     if let Some(session) = self.entries[entry].sessions.remove(&id.0) {
                         self.close_at_entry(session);
                         let source = DocumentSource::Agent(id.0);
-                        self.fetch(entry, |fetch, now| fetch.gone(now, source));
+                        self.fetch(entry, |fetch, now| fetch.source_gone(now, source));
                     }
                 }
                 dispatch::Action::TellEntries(job) => self.tell_entries(entry, &job),
                 dispatch::Action::DocumentOffered(id, version) => {
                     let source = DocumentSource::Agent(id.0);
-                    self.fetch(entry, |fetch, now| fetch.offered(now, source, version));
+                    self.fetch(entry, |fetch, now| fetch.version_offered(now, source, version));
                 }
                 dispatch::Action::DocumentPart(id, part) => {
                     let source = DocumentSource::Agent(id.0);
-                    self.fetch(entry, |fetch, now| fetch.answered(now, source, part));
+                    self.fetch(entry, |fetch, now| fetch.part_answered(now, source, part));
                 }
                 dispatch::Action::Answer(ticket, outcome) => self.answer(entry, ticket, outcome),
                 dispatch::Action::News(dispatch::News::Breach(breach)) => {
--- a/soak/src/room/sessions.rs
+++ b/soak/src/room/sessions.rs
@@ -104,7 +104,7 @@
                 let Some(id) = find(&self.entries[entry].sessions) else { return };
                 self.entries[entry].sessions.remove(&id);
                 self.feed_entry(entry, dispatch::Event::AgentClosed(dispatch::SessionId(id)));
-                self.fetch(entry, |fetch, now| fetch.gone(now, DocumentSource::Agent(id)));
+                self.fetch(entry, |fetch, now| fetch.source_gone(now, DocumentSource::Agent(id)));
             }
             _ => {}
         }
