--- a/components/keeper/src/apply.rs
+++ b/components/keeper/src/apply.rs
@@ -84,13 +84,13 @@
         let Payload::Command(bytes) = &entry.payload else { return };
         let previous = self.state.version();
         let reply = match serde_json::from_slice::<LogCommand>(bytes) {
-            Ok(LogCommand::Change(command)) => Reply::Change(self.state.apply(&command)),
+            Ok(LogCommand::Change(command)) => Reply::Change(self.state.apply_change(&command)),
             Ok(LogCommand::Replace(document)) => {
                 self.apply_document(document, out);
                 Reply::Replaced
             }
             Ok(LogCommand::Hall(order)) => {
-                if self.state.order_hall(order) {
+                if self.state.apply_hall_command(order) {
                     self.publish_halls(out);
                 }
                 Reply::Halls(self.state.halls().clone())
@@ -109,7 +109,7 @@
     fn apply_document(&mut self, document: Document, out: &mut Vec<Action>) {
         let version = document.version;
         let previous = self.state.document().cloned();
-        if self.state.replace(document) {
+        if self.state.replace_document(document) {
             self.keep_replaced(previous);
             out.push(Action::Log(LogEvent::DocumentVersion(version)));
             self.notify_document_watchers(out);
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -8,7 +8,7 @@
     PullReply, PullRequest, WatchReply, WatchRequest,
 };
 
-use crate::Version;
+use crate::TreeVersion;
 
 /// Identifies a call that waits for a reply; assigned by the caller of [`crate::Keeper::handle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
     /// The settings tree.
     Tree(TreeReply),
     /// The recent versions, oldest first.
-    History(Vec<Version>),
+    History(Vec<TreeVersion>),
     /// The document, or one with a higher version, is committed.
     Replaced,
     /// The current document; `None` if there has never been one.
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -30,13 +30,13 @@
     }
 
     /// Resumes normal operation after all rejected records have been stored.
-    pub fn disk_has_room(&mut self) {
+    pub fn disk_is_writable(&mut self) {
         self.disk_full = false;
     }
 
     /// Whether this keeper is the only voter, so that nothing is committed unless its own disk has
     /// it.
-    pub fn votes_alone(&self) -> bool {
+    pub fn is_only_voter(&self) -> bool {
         self.replica.voters().len() == 1
     }
 
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -11,7 +11,7 @@
 use crate::apply::{decode_state, encode_state};
 use crate::pending_calls::{PendingChange, PendingPull};
 use crate::registry::Registry;
-use crate::{Action, CallId, Command, Event, LogCommand, Reply, State, TreeReply};
+use crate::{Action, CallId, Event, LogCommand, Reply, SettingsChange, State, TreeReply};
 
 /// Maximum number of versions in a history reply.
 const HISTORY_VERSIONS_MAX: usize = 100;
@@ -157,7 +157,7 @@
     }
 
     /// The number of nodes registered at this keeper.
-    pub fn registered(&self) -> usize {
+    pub fn registered_nodes(&self) -> usize {
         self.registry.len()
     }
 
@@ -190,7 +190,7 @@
         if let Some(first) = self.state.result(&request.change) {
             return out.push(Action::Respond(call, Reply::Change(first.clone())));
         }
-        let command = LogCommand::Change(Command { request, taken: now });
+        let command = LogCommand::Change(SettingsChange { request, accepted_at: now });
         self.propose(now, call, &command, out);
     }
 
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -20,4 +20,4 @@
 pub use fetch::{DocumentFetch, DocumentSource, FetchStep, PART_TIMEOUT};
 pub use keeper::{Keeper, KeeperError, initial_records};
 pub use roster::{RememberedNode, Roster, RosterWork};
-pub use state::{Command, LogCommand, State, Version};
+pub use state::{LogCommand, SettingsChange, State, TreeVersion};
--- a/components/keeper/src/pending_calls.rs
+++ b/components/keeper/src/pending_calls.rs
@@ -59,7 +59,7 @@
         out: &mut Vec<Action>,
     ) {
         let have = request.have;
-        match self.state.since(have) {
+        match self.state.update_since(have) {
             PullReply::Current if self.is_confirmed_leader(now) => {
                 self.pending_pulls.push(PendingPull { call, have, until: now + PULL_TIMEOUT });
             }
@@ -78,7 +78,7 @@
     /// Answers the nodes for which there is a newer version or whose deadline has passed.
     pub(crate) fn answer_pending_pulls(&mut self, now: Time, out: &mut Vec<Action>) {
         for pending in std::mem::take(&mut self.pending_pulls) {
-            let update = self.state.since(pending.have);
+            let update = self.state.update_since(pending.have);
             if update == PullReply::Current && now < pending.until {
                 self.pending_pulls.push(pending);
             } else {
--- a/components/keeper/src/roster.rs
+++ b/components/keeper/src/roster.rs
@@ -83,7 +83,7 @@
     }
 
     /// Records that a node registered at this keeper.
-    pub fn heard(&mut self, now: Time, node: &NodeInfo) {
+    pub fn record_contact(&mut self, now: Time, node: &NodeInfo) {
         let host = node.address.ip();
         let known = KnownNode { host, last_contact: Some(now) };
         let before = self.nodes.insert(node.name.clone(), known);
--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -19,7 +19,7 @@
 #[serde(untagged)]
 pub enum LogCommand {
     /// A change of the settings tree.
-    Change(Command),
+    Change(SettingsChange),
     /// A replacement of the whole document.
     Replace(Document),
     /// A command to empty or refill a hall.
@@ -29,20 +29,22 @@
 /// A change of the settings tree with the leader's time, so that every replica applies it with the
 /// same time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Command {
+pub struct SettingsChange {
     /// The change as the operator sent it.
     pub request: ChangeRequest,
     /// When the leader accepted the request.
-    pub taken: Time,
+    #[serde(rename = "taken")]
+    pub accepted_at: Time,
 }
 
 /// One version of the settings tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Version {
+pub struct TreeVersion {
     /// The number of the version.
     pub version: u64,
     /// When the leader accepted the change.
-    pub taken: Time,
+    #[serde(rename = "taken")]
+    pub accepted_at: Time,
     /// The edits since the previous version.
     pub edits: Vec<Edit>,
 }
@@ -54,7 +56,7 @@
     version: u64,
     tree: Tree,
     #[serde(rename = "recent")]
-    recent_versions: VecDeque<Version>,
+    recent_versions: VecDeque<TreeVersion>,
     results: HashMap<String, ChangeResult>,
     /// The ids of the changes in `results`, oldest first.
     #[serde(rename = "order")]
@@ -89,7 +91,7 @@
     }
 
     /// Replaces the document if the new version is higher; returns whether it did.
-    pub fn replace(&mut self, document: Document) -> bool {
+    pub fn replace_document(&mut self, document: Document) -> bool {
         let higher = document.version > self.document_version();
         if higher {
             self.document = Some(document);
@@ -103,7 +105,7 @@
     }
 
     /// Applies a hall command; returns whether it changes anything.
-    pub fn order_hall(&mut self, order: HallOrder) -> bool {
+    pub fn apply_hall_command(&mut self, order: HallOrder) -> bool {
         self.halls.apply(order)
     }
 
@@ -113,12 +115,12 @@
     }
 
     /// Applies a change. Deterministic: the result depends only on the state and the change.
-    pub fn apply(&mut self, command: &Command) -> ChangeResult {
-        let request = &command.request;
+    pub fn apply_change(&mut self, change: &SettingsChange) -> ChangeResult {
+        let request = &change.request;
         if let Some(first) = self.results.get(&request.change) {
             return first.clone();
         }
-        let result = self.apply_new(command);
+        let result = self.apply_new(change);
         self.results.insert(request.change.clone(), result.clone());
         self.result_ids.push_back(request.change.clone());
         if self.result_ids.len() > RESULTS_KEPT
@@ -134,8 +136,8 @@
         self.results.get(change)
     }
 
-    fn apply_new(&mut self, command: &Command) -> ChangeResult {
-        let request = &command.request;
+    fn apply_new(&mut self, change: &SettingsChange) -> ChangeResult {
+        let request = &change.request;
         if let Some(conflict) = self.find_conflict(request) {
             return conflict;
         }
@@ -143,20 +145,20 @@
         if request.edits.is_empty() {
             return invalid("no edits".to_owned());
         }
-        let edits = match self.edits_with_previous_view(command) {
+        let edits = match self.edits_with_previous_view(change) {
             Ok(edits) => edits,
             Err(reason) => return invalid(reason),
         };
         match self.tree.with(&edits) {
-            Ok(tree) => self.accept(tree, edits, command.taken),
+            Ok(tree) => self.accept(tree, edits, change.accepted_at),
             Err(error) => invalid(error.to_string()),
         }
     }
 
-    fn accept(&mut self, tree: Tree, edits: Vec<Edit>, taken: Time) -> ChangeResult {
+    fn accept(&mut self, tree: Tree, edits: Vec<Edit>, accepted_at: Time) -> ChangeResult {
         self.version += 1;
         self.tree = tree;
-        self.recent_versions.push_back(Version { version: self.version, taken, edits });
+        self.recent_versions.push_back(TreeVersion { version: self.version, accepted_at, edits });
         if self.recent_versions.len() > VERSIONS_KEPT {
             self.recent_versions.pop_front();
         }
@@ -188,8 +190,8 @@
     /// The edits of a change, with the previous claim view added if the change replaces the claim
     /// view. Both views have to agree until claims that only the previous view granted have
     /// expired.
-    fn edits_with_previous_view(&self, command: &Command) -> Result<Vec<Edit>, String> {
-        let mut edits = command.request.edits.clone();
+    fn edits_with_previous_view(&self, change: &SettingsChange) -> Result<Vec<Edit>, String> {
+        let mut edits = change.request.edits.clone();
         let fleet = SectionPath::fleet();
         let key_of = |edit: &Edit| match edit {
             Edit::Set { section, key, .. } | Edit::Unset { section, key } => {
@@ -206,11 +208,11 @@
         if !keys.iter().any(|key| key == "claim_view") || previous.claim_view.is_empty() {
             return Ok(edits);
         }
-        if command.taken <= previous.previous_claim_view_until {
-            let left = previous.previous_claim_view_until.since(command.taken).as_secs();
+        if change.accepted_at <= previous.previous_claim_view_until {
+            let left = previous.previous_claim_view_until.since(change.accepted_at).as_secs();
             return Err(format!("[fleet] claim_view: changed before; again in {left} s"));
         }
-        let until = command.taken
+        let until = change.accepted_at
             + previous.retention
             + previous.settings_age_max
             + previous.clock_skew * 2
@@ -224,13 +226,13 @@
     }
 
     /// The last `count` versions, oldest first.
-    pub fn history(&self, count: usize) -> Vec<Version> {
+    pub fn history(&self, count: usize) -> Vec<TreeVersion> {
         let skipped = self.recent_versions.len().saturating_sub(count);
         self.recent_versions.iter().skip(skipped).cloned().collect()
     }
 
     /// The update for a node that has version `have`, or no version at all.
-    pub fn since(&self, have: Option<u64>) -> PullReply {
+    pub fn update_since(&self, have: Option<u64>) -> PullReply {
         let snapshot = || PullReply::Snapshot { version: self.version, tree: self.tree.clone() };
         let Some(have) = have else { return snapshot() };
         if have >= self.version {
--- a/components/keeper/tests/full_disk.rs
+++ b/components/keeper/tests/full_disk.rs
@@ -160,7 +160,7 @@
     }
     // Once the rejected records are stored, the keeper catches up.
     three.full = None;
-    three.keepers[other].disk_has_room();
+    three.keepers[other].disk_is_writable();
     three.until(Duration::from_secs(1), |three| {
         three.keepers[other].state().document_version() == 8
     });
--- a/components/keeper/tests/roster.rs
+++ b/components/keeper/tests/roster.rs
@@ -46,11 +46,11 @@
     let due = run(&mut roster, 0, 60);
     let call = vec![host(1), host(2)];
     assert_eq!(due, [(0, RosterWork { call, store: None })], "at once");
-    roster.heard(after(60), &node(1));
+    roster.record_contact(after(60), &node(1));
     let due = run(&mut roster, 60, 200);
     assert!(due.len() >= 2, "again and again");
     assert!(due.iter().all(|(_, work)| work.call == [host(2)]), "{due:?}");
-    roster.heard(after(200), &node(2));
+    roster.record_contact(after(200), &node(2));
     assert_eq!(run(&mut roster, 200, 1_900), [], "all ask");
     assert_eq!(roster.next_timer(), None);
 }
@@ -68,12 +68,12 @@
 fn nodes_are_remembered_once_all_have_asked() {
     let mut roster = Roster::new(START, Vec::new());
     assert_eq!(roster.next_timer(), None);
-    roster.heard(after(100), &node(1));
-    roster.heard(after(900), &node(2));
+    roster.record_contact(after(100), &node(1));
+    roster.record_contact(after(900), &node(2));
     let stored = Some(vec![remembered(1), remembered(2)]);
     let due = run(&mut roster, 900, 10_000);
     assert_eq!(due, [(2_000, RosterWork { call: Vec::new(), store: stored })], "once");
-    roster.heard(after(10_000), &node(2));
+    roster.record_contact(after(10_000), &node(2));
     assert_eq!(run(&mut roster, 10_000, 12_000), [], "nothing else than before");
 }
 
@@ -81,7 +81,7 @@
 #[test]
 fn nodes_that_have_not_asked_again_yet_stay_remembered() {
     let mut roster = Roster::new(START, vec![remembered(1)]);
-    roster.heard(after(50), &node(2));
+    roster.record_contact(after(50), &node(2));
     let due = run(&mut roster, 1_990, 2_100);
     let stored = due.iter().find_map(|(_, work)| work.store.clone());
     assert_eq!(stored, Some(vec![remembered(1), remembered(2)]));
@@ -90,11 +90,11 @@
 #[test]
 fn a_node_at_another_host_is_remembered_there_and_one_that_is_gone_forgotten() {
     let mut roster = Roster::new(START, Vec::new());
-    roster.heard(after(0), &node(1));
-    roster.heard(after(0), &node(2));
+    roster.record_contact(after(0), &node(1));
+    roster.record_contact(after(0), &node(2));
     run(&mut roster, 0, 3_000);
     let moved = NodeInfo { address: SocketAddr::new(host(9), 7_400), ..node(1) };
-    roster.heard(after(70_000), &moved);
+    roster.record_contact(after(70_000), &moved);
     let due = run(&mut roster, 70_000, 71_000);
     let stored = vec![RememberedNode { host: host(9), ..remembered(1) }];
     assert_eq!(due, [(70_000, RosterWork { call: Vec::new(), store: Some(stored) })]);
--- a/daemon/src/keeper_role/decide.rs
+++ b/daemon/src/keeper_role/decide.rs
@@ -160,7 +160,7 @@
 
     fn ask(&mut self, now: Time, ask: Ask, reply: Sender<Reply>) {
         if let (Ask::Watch(request), Some(link)) = (&ask, &mut self.roster) {
-            link.roster.heard(now, &request.node);
+            link.roster.record_contact(now, &request.node);
         }
         self.next_ticket += 1;
         let ticket = CallId(self.next_ticket);
@@ -193,7 +193,7 @@
             document: self.keeper.state().document_version(),
             emptied_halls: halls.halls.iter().map(ToString::to_string).collect(),
             halls_revision: halls.revision,
-            nodes: self.keeper.registered(),
+            nodes: self.keeper.registered_nodes(),
             voters: replica.voters().iter().map(ToString::to_string).collect(),
             blank: replica.is_blank(),
             journal_bytes: self.storage.bytes(),
@@ -214,7 +214,7 @@
     /// Tries to store what a full disk has refused.
     fn store_again(&mut self) -> Result<(), JournalError> {
         if let Some(full_for) = self.storage.store_again(self.now)? {
-            self.keeper.disk_has_room();
+            self.keeper.disk_is_writable();
             news_lines::disk_has_room(self.log.as_ref(), &self.name, full_for);
         }
         Ok(())
@@ -225,7 +225,7 @@
         // The keeper has nothing to store while it knows that its disk is full.
         if !self.storage.is_full() {
             match self.storage.store(self.now, &actions) {
-                Err(error) if error.is_full() && !self.keeper.votes_alone() => {
+                Err(error) if error.is_full() && !self.keeper.is_only_voter() => {
                     self.disk_is_full(actions);
                     return Ok(());
                 }
--- a/daemon/src/keeper_role/mod.rs
+++ b/daemon/src/keeper_role/mod.rs
@@ -136,7 +136,7 @@
         let now = clock.now();
         let mut keeper = Keeper::recover(node.name.clone(), records, timing, seed, now)?;
         keeper.set_contacts(contacts);
-        if keeper.votes_alone() {
+        if keeper.is_only_voter() {
             // Without its disk it could take nothing, and no other keeper goes on.
             journal.sync()?;
         }
--- a/soak/src/keepers/disks.rs
+++ b/soak/src/keepers/disks.rs
@@ -134,7 +134,7 @@
         let refused = std::mem::take(&mut self.keepers[number].refused);
         self.keepers[number].full = false;
         let Some(machine) = &mut self.keepers[number].keeper else { return };
-        machine.disk_has_room();
+        machine.disk_is_writable();
         self.store(number, &refused);
     }
 }
