--- a/components/consensus/src/leader.rs
+++ b/components/consensus/src/leader.rs
@@ -181,9 +181,9 @@
         out.push(Action::Send(successor, Message::TakeOver { term }));
     }
 
-    /// Adds or removes one member if there are fewer voters than configured, or if a member has
-    /// been silent for too long and a replacement has caught up. Only one change is in progress at
-    /// a time, and only after an entry of the current term has been committed.
+    /// Adds or removes one member if the number of voters is not the configured one, or if a member
+    /// has been silent for too long and a replacement has caught up. Only one change is in progress
+    /// at a time, and only after an entry of the current term has been committed.
     fn adjust_members(&mut self, now: Time, out: &mut Vec<Action>) {
         let ready = self.has_committed_in_term() && self.log.last_member_change() <= self.commit;
         if !ready || !self.is_confirmed_leader(now) {
--- a/components/keeper/src/apply.rs
+++ b/components/keeper/src/apply.rs
@@ -19,7 +19,7 @@
 
 /// Serializes the state for a snapshot.
 pub(crate) fn encode_state(state: &State) -> Vec<u8> {
-    serde_json::to_vec(state).expect("plain structs become JSON")
+    serde_json::to_vec(state).expect("the value can be serialized as JSON")
 }
 
 pub(crate) fn decode_state(snapshot: &Snapshot) -> Result<State, KeeperError> {
@@ -84,13 +84,13 @@
         let Payload::Command(bytes) = &entry.payload else { return };
         let previous = self.state.version();
         let reply = match serde_json::from_slice::<LogCommand>(bytes) {
-            Ok(LogCommand::Change(command)) => Reply::Change(self.state.apply_change(&command)),
+            Ok(LogCommand::Change(change)) => Reply::Change(self.state.apply_change(&change)),
             Ok(LogCommand::Replace(document)) => {
                 self.apply_document(document, out);
                 Reply::Replaced
             }
-            Ok(LogCommand::Hall(order)) => {
-                if self.state.apply_hall_command(order) {
+            Ok(LogCommand::Hall(command)) => {
+                if self.state.apply_hall_command(command) {
                     self.publish_halls(out);
                 }
                 Reply::Halls(self.state.halls().clone())
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -112,7 +112,7 @@
                 let reply = Reply::Document(self.state.document().cloned());
                 self.reply_if_leader(now, call, reply, out);
             }
-            Event::HallCommand(call, order) => self.propose_hall_command(now, call, order, out),
+            Event::HallCommand(call, command) => self.propose_hall_command(now, call, command, out),
             Event::ReadHalls(call) => {
                 let halls = Reply::Halls(self.state.halls().clone());
                 self.reply_if_leader(now, call, halls, out);
@@ -219,17 +219,17 @@
         &mut self,
         now: Time,
         call: CallId,
-        order: HallOrder,
+        command: HallOrder,
         out: &mut Vec<Action>,
     ) {
         if !self.is_confirmed_leader(now) {
             return self.reply_not_leader(call, out);
         }
-        self.propose(now, call, &LogCommand::Hall(order), out);
+        self.propose(now, call, &LogCommand::Hall(command), out);
     }
 
     fn propose(&mut self, now: Time, call: CallId, command: &LogCommand, out: &mut Vec<Action>) {
-        let command = serde_json::to_vec(command).expect("plain structs become JSON");
+        let command = serde_json::to_vec(command).expect("the value can be serialized as JSON");
         self.next_proposal += 1;
         let id = ProposalId(self.next_proposal);
         self.proposals.insert(id, PendingChange::new(now, call));
--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -105,8 +105,8 @@
     }
 
     /// Applies a hall command; returns whether it changes anything.
-    pub fn apply_hall_command(&mut self, order: HallOrder) -> bool {
-        self.halls.apply(order)
+    pub fn apply_hall_command(&mut self, command: HallOrder) -> bool {
+        self.halls.apply(command)
     }
 
     /// The current settings tree.
