--- a/components/consensus/tests/cluster/mod.rs
+++ b/components/consensus/tests/cluster/mod.rs
@@ -14,7 +14,7 @@
 use model::{NodeName, Time};
 
 const START: Time = Time::from_millis(1_000_000);
-const HOP: Duration = Duration::from_millis(2);
+const LATENCY: Duration = Duration::from_millis(2);
 
 /// A replica with its journal.
 pub struct Node {
@@ -27,17 +27,17 @@
 pub struct Cluster {
     pub now: Time,
     pub nodes: BTreeMap<NodeName, Node>,
-    pub cut: BTreeSet<NodeName>,
+    pub isolated: BTreeSet<NodeName>,
     /// The replicas that a non-member asks; all if `None`.
     pub contacts: Option<Vec<NodeName>>,
     timing: Timing,
-    frames: BinaryHeap<Reverse<(Time, u64)>>,
-    contents: HashMap<u64, (NodeName, NodeName, Message)>,
+    in_flight: BinaryHeap<Reverse<(Time, u64)>>,
+    messages: HashMap<u64, (NodeName, NodeName, Message)>,
     sequence: u64,
     proposals: u64,
-    lives: u64,
+    starts: u64,
     /// The largest total size of commands in one message, in bytes.
-    pub largest: usize,
+    pub largest_message: usize,
 }
 
 pub fn name(number: usize) -> NodeName {
@@ -61,11 +61,11 @@
 
     /// `founders` replicas found the cluster and the others join; up to `voters` replicas vote.
     /// Joining replicas know only the founders.
-    pub fn founded(founders: usize, voters: usize, count: usize) -> Self {
+    pub fn with_founders(founders: usize, voters: usize, count: usize) -> Self {
         let timing = Timing { voters: Some(voters), ..Timing::default() };
         let mut cluster = Self::with_timing(founders, timing);
         cluster.contacts = Some((1..=founders).map(name).collect());
-        (founders + 1..=count).for_each(|number| cluster.add(&name(number)));
+        (founders + 1..=count).for_each(|number| cluster.add_blank(&name(number)));
         cluster
     }
 
@@ -85,25 +85,25 @@
         let mut cluster = Self {
             now: START,
             nodes,
-            cut: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             contacts: None,
             timing,
-            frames: BinaryHeap::new(),
-            contents: HashMap::new(),
+            in_flight: BinaryHeap::new(),
+            messages: HashMap::new(),
             sequence: 0,
             proposals: 0,
-            lives: 0,
-            largest: 0,
+            starts: 0,
+            largest_message: 0,
         };
         members.iter().for_each(|name| cluster.start(name));
         cluster
     }
 
     pub fn start(&mut self, name: &NodeName) {
-        self.lives += 1;
+        self.starts += 1;
         let node = self.nodes.get_mut(name).unwrap();
         let replica =
-            Replica::recover(name.clone(), node.disk.clone(), self.timing, self.lives, self.now);
+            Replica::recover(name.clone(), node.disk.clone(), self.timing, self.starts, self.now);
         let mut replica = replica.unwrap();
         let all = || self.nodes.keys().cloned().collect();
         replica.set_contacts(self.contacts.clone().unwrap_or_else(all));
@@ -113,7 +113,7 @@
     }
 
     /// Starts a replica on an empty disk.
-    pub fn add(&mut self, name: &NodeName) {
+    pub fn add_blank(&mut self, name: &NodeName) {
         let disk = Replica::blank_records(Vec::new());
         let node = Node { replica: None, disk, committed: Vec::new() };
         self.nodes.insert(name.clone(), node);
@@ -128,9 +128,9 @@
     /// are stored, and no later action is performed.
     pub fn lose_power(&mut self, name: &NodeName, kept: usize) {
         let now = self.now;
-        let to_it = self.contents.iter().filter(|(_, (_, to, _))| to == name);
+        let to_it = self.messages.iter().filter(|(_, (_, to, _))| to == name);
         let next = to_it.map(|(sequence, _)| *sequence).min();
-        let message = next.and_then(|sequence| self.contents.get(&sequence).cloned());
+        let message = next.and_then(|sequence| self.messages.get(&sequence).cloned());
         let node = self.nodes.get_mut(name).unwrap();
         let mut actions = Vec::new();
         if let (Some(replica), Some((from, _, message))) = (&mut node.replica, message) {
@@ -152,9 +152,9 @@
         let end = self.now + time;
         while self.now < end {
             self.now = self.now + Duration::from_millis(1);
-            while self.frames.peek().is_some_and(|Reverse((time, _))| *time <= self.now) {
-                let Reverse((_, sequence)) = self.frames.pop().unwrap();
-                let Some((from, to, message)) = self.contents.remove(&sequence) else { continue };
+            while self.in_flight.peek().is_some_and(|Reverse((time, _))| *time <= self.now) {
+                let Reverse((_, sequence)) = self.in_flight.pop().unwrap();
+                let Some((from, to, message)) = self.messages.remove(&sequence) else { continue };
                 self.handle(&to, Event::Message { from, message });
             }
             let names: Vec<NodeName> = self.nodes.keys().cloned().collect();
@@ -189,32 +189,32 @@
     }
 
     /// Drops all messages in transit.
-    pub fn drop_frames(&mut self) {
-        self.contents.clear();
+    pub fn drop_messages(&mut self) {
+        self.messages.clear();
     }
 
     pub fn send(&mut self, from: &NodeName, to: &NodeName, message: Message) {
-        if self.cut.contains(from) || self.cut.contains(to) {
+        if self.isolated.contains(from) || self.isolated.contains(to) {
             return;
         }
-        self.largest = self.largest.max(command_bytes(&message));
+        self.largest_message = self.largest_message.max(command_bytes(&message));
         self.sequence += 1;
-        self.frames.push(Reverse((self.now + HOP, self.sequence)));
-        self.contents.insert(self.sequence, (from.clone(), to.clone(), message));
+        self.in_flight.push(Reverse((self.now + LATENCY, self.sequence)));
+        self.messages.insert(self.sequence, (from.clone(), to.clone(), message));
     }
 
     pub fn replica(&self, name: &NodeName) -> &Replica {
-        self.nodes[name].replica.as_ref().expect("it lives")
+        self.nodes[name].replica.as_ref().expect("the replica is running")
     }
 
     /// The confirmed leader; asserts that there is at most one.
     pub fn leader(&self) -> Option<NodeName> {
-        let sure = |(_, node): &(&NodeName, &Node)| {
+        let confirmed = |(_, node): &(&NodeName, &Node)| {
             node.replica.as_ref().is_some_and(|replica| replica.is_confirmed_leader(self.now))
         };
         let leaders: Vec<NodeName> =
-            self.nodes.iter().filter(sure).map(|(name, _)| name.clone()).collect();
-        assert!(leaders.len() <= 1, "{leaders:?} are sure at once");
+            self.nodes.iter().filter(confirmed).map(|(name, _)| name.clone()).collect();
+        assert!(leaders.len() <= 1, "{leaders:?} are confirmed leaders at the same time");
         leaders.into_iter().next()
     }
 
@@ -225,12 +225,12 @@
         let id = ProposalId(self.proposals);
         self.handle(&leader, Event::Propose { id, command: command.to_vec() });
         self.run_for(Duration::from_millis(50));
-        self.has(&leader, command)
+        self.has_committed(&leader, command)
     }
 
-    pub fn has(&self, name: &NodeName, command: &[u8]) -> bool {
-        let is = |entry: &Entry| entry.payload == Payload::Command(command.to_vec());
-        self.nodes[name].committed.iter().any(is)
+    pub fn has_committed(&self, name: &NodeName, command: &[u8]) -> bool {
+        let matches = |entry: &Entry| entry.payload == Payload::Command(command.to_vec());
+        self.nodes[name].committed.iter().any(matches)
     }
 }
 
--- a/components/consensus/tests/halls_lost.rs
+++ b/components/consensus/tests/halls_lost.rs
@@ -14,9 +14,9 @@
 /// All orders in which the halls fail.
 const ORDERS: [[usize; 3]; 6] = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
 /// Maximum time without a leader.
-const LEADS_AGAIN: Duration = Duration::from_millis(1_500);
+const FAILOVER_DUE: Duration = Duration::from_millis(1_500);
 /// Time for the replicas of a recovered hall to catch up.
-const CATCH_UP: Duration = Duration::from_secs(6);
+const CATCH_UP_DUE: Duration = Duration::from_secs(6);
 
 /// How a hall fails.
 #[derive(Clone, Copy, Debug)]
@@ -24,53 +24,53 @@
     /// The replicas lose power and restart with their disks.
     Power,
     /// The replicas keep running but are unreachable.
-    Cut,
+    Isolation,
 }
 
 fn hall(number: usize) -> [NodeName; 2] {
     HALLS[number].map(name)
 }
 
-fn lose(cluster: &mut Cluster, names: &[NodeName], loss: Loss) {
+fn fail_hall(cluster: &mut Cluster, names: &[NodeName], loss: Loss) {
     for name in names {
         match loss {
             Loss::Power => cluster.lose_power(name, 0),
-            Loss::Cut => drop(cluster.cut.insert(name.clone())),
+            Loss::Isolation => drop(cluster.isolated.insert(name.clone())),
         }
     }
 }
 
-fn bring_back(cluster: &mut Cluster, names: &[NodeName], loss: Loss) {
+fn recover_hall(cluster: &mut Cluster, names: &[NodeName], loss: Loss) {
     for name in names {
         match loss {
             Loss::Power => cluster.start(name),
-            Loss::Cut => drop(cluster.cut.remove(name)),
+            Loss::Isolation => drop(cluster.isolated.remove(name)),
         }
     }
 }
 
 /// A cluster in which five of six replicas vote.
-fn settled() -> Cluster {
-    let mut cluster = Cluster::founded(3, 5, 6);
-    cluster.run_for(ELECTION + CATCH_UP);
-    let leader = cluster.leader().expect("one leads");
+fn stable_cluster() -> Cluster {
+    let mut cluster = Cluster::with_founders(3, 5, 6);
+    cluster.run_for(ELECTION + CATCH_UP_DUE);
+    let leader = cluster.leader().expect("there is a leader");
     assert_eq!(cluster.replica(&leader).voters().len(), 5);
     cluster
 }
 
 /// Runs until a replica outside the failed hall leads; returns the elapsed time.
-fn until_led(cluster: &mut Cluster, lost: &[NodeName]) -> Duration {
-    let began = cluster.now;
+fn run_until_led(cluster: &mut Cluster, lost: &[NodeName]) -> Duration {
+    let started = cluster.now;
     while cluster.leader().is_none_or(|leader| lost.contains(&leader)) {
         cluster.run_for(Duration::from_millis(10));
-        assert!(cluster.now.since(began) < LEADS_AGAIN, "nobody leads without {lost:?}");
+        assert!(cluster.now.since(started) < FAILOVER_DUE, "there is no leader without {lost:?}");
     }
-    cluster.now.since(began)
+    cluster.now.since(started)
 }
 
 /// Fails the halls in turn, each with a change in progress.
-fn lose_in_turn(order: [usize; 3], loss: Loss) -> Duration {
-    let mut cluster = settled();
+fn fail_in_turn(order: [usize; 3], loss: Loss) -> Duration {
+    let mut cluster = stable_cluster();
     let mut acknowledged: Vec<Vec<u8>> = Vec::new();
     let mut longest = Duration::ZERO;
     for (turn, number) in order.into_iter().enumerate() {
@@ -83,32 +83,38 @@
             let (id, command) = (ProposalId(1_000 + turn as u64), b"under way".to_vec());
             cluster.handle(&leader, Event::Propose { id, command });
         }
-        lose(&mut cluster, &lost, loss);
-        longest = longest.max(until_led(&mut cluster, &lost));
+        fail_hall(&mut cluster, &lost, loss);
+        longest = longest.max(run_until_led(&mut cluster, &lost));
         let during = format!("during {turn}").into_bytes();
-        assert!(cluster.propose(&during), "{order:?} {loss:?}: a change while a hall is lost");
+        assert!(
+            cluster.propose(&during),
+            "{order:?} {loss:?}: a change failed while the hall was down"
+        );
         acknowledged.push(during);
-        bring_back(&mut cluster, &lost, loss);
-        cluster.run_for(CATCH_UP);
-        let leader = cluster.leader().expect("one leads once the hall is back");
-        assert_eq!(cluster.replica(&leader).voters().len(), 5, "five vote again");
+        recover_hall(&mut cluster, &lost, loss);
+        cluster.run_for(CATCH_UP_DUE);
+        let leader = cluster.leader().expect("there is a leader after the hall recovered");
+        assert_eq!(cluster.replica(&leader).voters().len(), 5, "not all five replicas vote");
     }
-    cluster.run_for(CATCH_UP);
-    let leader = cluster.leader().expect("one leads");
+    cluster.run_for(CATCH_UP_DUE);
+    let leader = cluster.leader().expect("there is a leader");
     for command in &acknowledged {
-        assert!(cluster.has(&leader, command), "{order:?} {loss:?}: acknowledged, then lost");
+        assert!(
+            cluster.has_committed(&leader, command),
+            "{order:?} {loss:?}: an acknowledged change is lost"
+        );
     }
     longest
 }
 
 #[test]
-fn each_hall_may_lose_power_in_turn_while_changes_are_under_way() {
-    let longest = ORDERS.into_iter().map(|order| lose_in_turn(order, Loss::Power)).max();
-    println!("longest without a leader: {longest:?}");
+fn each_hall_can_lose_power_during_changes() {
+    let longest = ORDERS.into_iter().map(|order| fail_in_turn(order, Loss::Power)).max();
+    println!("longest time without a leader: {longest:?}");
 }
 
 #[test]
-fn each_hall_may_be_cut_off_in_turn_while_changes_are_under_way() {
-    let longest = ORDERS.into_iter().map(|order| lose_in_turn(order, Loss::Cut)).max();
-    println!("longest without a leader: {longest:?}");
+fn each_hall_can_be_isolated_during_changes() {
+    let longest = ORDERS.into_iter().map(|order| fail_in_turn(order, Loss::Isolation)).max();
+    println!("longest time without a leader: {longest:?}");
 }
--- a/components/consensus/tests/power_loss.rs
+++ b/components/consensus/tests/power_loss.rs
@@ -20,17 +20,17 @@
 const LONGEST_STAGGER: Duration = Duration::from_millis(1_500);
 
 /// Whether the command is in a replica's journal.
-fn on_disk(cluster: &Cluster, at: &NodeName, command: &[u8]) -> bool {
-    let is = |payload: &Payload| *payload == Payload::Command(command.to_vec());
+fn is_journaled(cluster: &Cluster, at: &NodeName, command: &[u8]) -> bool {
+    let matches = |payload: &Payload| *payload == Payload::Command(command.to_vec());
     cluster.nodes[at].disk.iter().any(|record| match record {
-        Record::Append(entries) => entries.iter().any(|entry| is(&entry.payload)),
+        Record::Append(entries) => entries.iter().any(|entry| matches(&entry.payload)),
         _ => false,
     })
 }
 
 /// Runs until the condition holds or the time is over; returns whether it holds.
-fn run_until(cluster: &mut Cluster, most: Duration, done: impl Fn(&Cluster) -> bool) -> bool {
-    let end = cluster.now + most;
+fn run_until(cluster: &mut Cluster, longest: Duration, done: impl Fn(&Cluster) -> bool) -> bool {
+    let end = cluster.now + longest;
     while !done(cluster) && cluster.now < end {
         cluster.run_for(Duration::from_millis(1));
     }
@@ -40,50 +40,52 @@
 /// A replica on an empty disk must not count as caught up with a leader that has not yet committed
 /// an entry of its term. Otherwise it could vote for a replica that lacks a committed entry.
 #[test]
-fn an_empty_disk_has_not_caught_up_with_a_leader_that_does_not_know_what_is_committed() {
+fn a_blank_replica_does_not_catch_up_with_a_leader_that_has_not_committed_in_its_term() {
     let mut cluster = Cluster::with_voters(3);
-    let behind = name(3);
-    cluster.cut.insert(behind.clone());
+    let lagging = name(3);
+    cluster.isolated.insert(lagging.clone());
     cluster.run_for(ELECTION);
     // One more than fits into a single message, so that the lagging replica needs two messages.
     for number in 0..64_u8 {
         assert!(cluster.propose(&[number]));
     }
     let last = [63];
-    let leader = cluster.leader().expect("one leads");
-    let wiped = [1, 2].map(name).into_iter().find(|name| *name != leader).expect("another");
-    for name in [&leader, &wiped, &behind] {
+    let leader = cluster.leader().expect("there is a leader");
+    let wiped = [1, 2].map(name).into_iter().find(|name| *name != leader).expect("another replica");
+    for name in [&leader, &wiped, &lagging] {
         cluster.kill(name);
     }
     cluster.lose_disk(&wiped);
-    cluster.drop_frames();
-    cluster.cut.clear();
-    for name in [&leader, &wiped, &behind] {
+    cluster.drop_messages();
+    cluster.isolated.clear();
+    for name in [&leader, &wiped, &lagging] {
         cluster.start(name);
     }
     let before_last = [62];
-    let has = |cluster: &Cluster| on_disk(cluster, &behind, &before_last);
-    assert!(run_until(&mut cluster, ELECTION, has), "nobody led");
-    cluster.kill(&behind);
+    let has_entry = |cluster: &Cluster| is_journaled(cluster, &lagging, &before_last);
+    assert!(run_until(&mut cluster, ELECTION, has_entry), "no leader was elected");
+    cluster.kill(&lagging);
     cluster.run_for(Duration::from_millis(4));
     cluster.kill(&leader);
-    cluster.drop_frames();
-    cluster.start(&behind);
+    cluster.drop_messages();
+    cluster.start(&lagging);
     cluster.run_for(ELECTION);
-    assert_eq!(cluster.leader(), None, "one leads that lacks what was committed");
+    assert_eq!(cluster.leader(), None, "the leader lacks a committed entry");
     cluster.start(&leader);
     cluster.run_for(ELECTION + ELECTION);
-    let leader = cluster.leader().expect("one leads again");
-    assert!(cluster.has(&leader, &last), "what was committed is gone");
+    let leader = cluster.leader().expect("there is a leader again");
+    assert!(cluster.has_committed(&leader, &last), "the committed entry is lost");
     assert!(!cluster.replica(&wiped).is_blank());
 }
 
 /// Proposes a command and runs just until the leader has committed it.
-fn propose_now(cluster: &mut Cluster, id: u64, command: &[u8]) -> bool {
+fn propose_and_commit(cluster: &mut Cluster, id: u64, command: &[u8]) -> bool {
     let Some(leader) = cluster.leader() else { return false };
     let event = Event::Propose { id: ProposalId(id), command: command.to_vec() };
     cluster.handle(&leader, event);
-    run_until(cluster, Duration::from_millis(200), |cluster| cluster.has(&leader, command))
+    run_until(cluster, Duration::from_millis(200), |cluster| {
+        cluster.has_committed(&leader, command)
+    })
 }
 
 /// Chooses the replicas that lose their disks: any, those that have the command first, or the
@@ -99,9 +101,10 @@
     all.shuffle(rng);
     match rng.random_range(0..3) {
         0 => {}
-        1 => all.sort_by_key(|name| !on_disk(cluster, name, command)),
-        _ => all
-            .sort_by_key(|name| (Some(name) != leader.as_ref(), !on_disk(cluster, name, command))),
+        1 => all.sort_by_key(|name| !is_journaled(cluster, name, command)),
+        _ => all.sort_by_key(|name| {
+            (Some(name) != leader.as_ref(), !is_journaled(cluster, name, command))
+        }),
     }
     all.truncate(count);
     all
@@ -115,7 +118,7 @@
         cluster.lose_power(name, kept);
     }
     wiped.iter().for_each(|name| cluster.lose_disk(name));
-    cluster.drop_frames();
+    cluster.drop_messages();
     all.shuffle(rng);
     for name in &all {
         if rng.random_bool(0.7) {
@@ -128,113 +131,120 @@
 
 /// Repeats: acknowledged changes, then a loss of disks and power. Acknowledged changes must
 /// survive.
-fn run(seed: u64, founders: usize, voters: usize, count: usize) {
+fn run_seed(seed: u64, founders: usize, voters: usize, count: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut cluster = Cluster::founded(founders, voters, count);
+    let mut cluster = Cluster::with_founders(founders, voters, count);
     cluster.run_for(ELECTION + ELECTION);
-    let mut kept: Vec<Vec<u8>> = Vec::new();
+    let mut acknowledged: Vec<Vec<u8>> = Vec::new();
     for round in 0..6_u8 {
         for number in 0..rng.random_range(1..4_u8) {
             let command = vec![round, number];
-            assert!(propose_now(&mut cluster, u64::from(round) * 10 + u64::from(number), &command));
-            kept.push(command);
+            assert!(propose_and_commit(
+                &mut cluster,
+                u64::from(round) * 10 + u64::from(number),
+                &command
+            ));
+            acknowledged.push(command);
         }
-        let newest = kept.last().cloned().expect("one was committed");
+        let newest = acknowledged.last().cloned().expect("an entry was committed");
         let wiped = disks_to_lose(&cluster, &mut rng, voters / 2, &newest);
         if rng.random_bool(0.5) {
             // Another change is in progress when the power fails.
-            let leader = cluster.leader().expect("one leads");
+            let leader = cluster.leader().expect("there is a leader");
             let event = Event::Propose { id: ProposalId(1_000), command: vec![round, 99] };
             cluster.handle(&leader, event);
             cluster.run_for(Duration::from_millis(rng.random_range(0..4)));
         }
         lose_all_power(&mut cluster, &mut rng, &wiped);
         let leads = run_until(&mut cluster, LEADER_DUE, |cluster| cluster.leader().is_some());
-        let story = format!("seed {seed}, round {round}, {wiped:?} lost their disks");
-        assert!(leads, "{story}: nobody leads");
-        let leader = cluster.leader().expect("one leads");
-        for command in &kept {
-            assert!(cluster.has(&leader, command), "{story}: {command:?} is gone");
+        let context = format!("seed {seed}, round {round}, {wiped:?} lost their disks");
+        assert!(leads, "{context}: there is no leader");
+        let leader = cluster.leader().expect("there is a leader");
+        for command in &acknowledged {
+            assert!(cluster.has_committed(&leader, command), "{context}: {command:?} is lost");
         }
-        let votes =
+        let all_vote =
             |cluster: &Cluster| cluster.nodes.keys().all(|name| !cluster.replica(name).is_blank());
-        assert!(run_until(&mut cluster, CAUGHT_UP_DUE, votes), "{story}: one has not caught up");
+        assert!(
+            run_until(&mut cluster, CAUGHT_UP_DUE, all_vote),
+            "{context}: a replica has not caught up"
+        );
     }
 }
 
 #[test]
-fn a_lost_disk_of_three_and_no_power_lose_nothing_in_two_hundred_runs() {
-    (0..200).for_each(|seed| run(seed, 3, 3, 3));
+fn three_replicas_survive_one_lost_disk_and_a_power_loss() {
+    (0..200).for_each(|seed| run_seed(seed, 3, 3, 3));
 }
 
 #[test]
-fn two_lost_disks_of_five_and_no_power_lose_nothing_in_a_hundred_runs() {
-    (0..100).for_each(|seed| run(seed, 5, 5, 5));
+fn five_replicas_survive_two_lost_disks_and_a_power_loss() {
+    (0..100).for_each(|seed| run_seed(seed, 5, 5, 5));
 }
 
 #[test]
-fn two_lost_disks_of_six_keepers_that_three_founded_lose_nothing_in_a_hundred_runs() {
-    (0..100).for_each(|seed| run(seed, 3, 5, 6));
+fn six_replicas_with_five_voters_survive_two_lost_disks_and_a_power_loss() {
+    (0..100).for_each(|seed| run_seed(seed, 3, 5, 6));
 }
 
 #[test]
-fn a_lost_disk_of_four_keepers_of_which_three_vote_loses_nothing_in_fifty_runs() {
-    (0..50).for_each(|seed| run(seed, 3, 3, 4));
+fn four_replicas_with_three_voters_survive_one_lost_disk_and_a_power_loss() {
+    (0..50).for_each(|seed| run_seed(seed, 3, 3, 4));
 }
 
 #[test]
-fn two_lost_disks_of_five_keepers_that_three_founded_lose_nothing_in_fifty_runs() {
-    (0..50).for_each(|seed| run(seed, 3, 5, 5));
+fn five_replicas_with_three_founders_survive_two_lost_disks_and_a_power_loss() {
+    (0..50).for_each(|seed| run_seed(seed, 3, 5, 5));
 }
 
 /// A new replica must be able to join even if no replica that it knows leads: the others refer it
 /// to the leader.
 #[test]
-fn a_new_replica_joins_though_it_knows_none_that_leads() {
-    let mut cluster = Cluster::founded(3, 5, 5);
+fn a_new_replica_joins_without_knowing_the_leader() {
+    let mut cluster = Cluster::with_founders(3, 5, 5);
     cluster.run_for(ELECTION + ELECTION);
     // Transfers leadership until a replica leads that the new one does not know.
     for _ in 0..60 {
-        let leader = cluster.leader().expect("one leads");
+        let leader = cluster.leader().expect("there is a leader");
         if [4, 5].map(name).contains(&leader) {
             break;
         }
         cluster.handle(&leader, Event::Resign);
         cluster.run_for(ELECTION);
     }
-    let leader = cluster.leader().expect("one leads");
-    assert!([4, 5].map(name).contains(&leader), "a seed leads");
+    let leader = cluster.leader().expect("there is a leader");
+    assert!([4, 5].map(name).contains(&leader), "a founder leads");
     let gone = name(1);
     cluster.kill(&gone);
     cluster.nodes.remove(&gone);
-    cluster.add(&name(6));
+    cluster.add_blank(&name(6));
     cluster.run_for(CAUGHT_UP_DUE);
-    assert!(!cluster.replica(&name(6)).is_blank(), "it never joined");
+    assert!(!cluster.replica(&name(6)).is_blank(), "the new replica did not join");
     assert!(cluster.replica(&leader).voters().contains(&name(6)));
 }
 
 #[test]
-fn power_that_fails_while_an_empty_disk_is_brought_up_to_date_lets_none_vote_that_lacks_an_entry() {
+fn repeated_power_losses_while_a_blank_replica_catches_up_lose_nothing() {
     for moment in 0..400 {
         let mut cluster = Cluster::with_voters(3);
         cluster.run_for(ELECTION);
         assert!(cluster.propose(b"kept"));
-        let leader = cluster.leader().expect("one leads");
+        let leader = cluster.leader().expect("there is a leader");
         let all: Vec<NodeName> = cluster.nodes.keys().cloned().collect();
-        let wiped = all.iter().find(|name| **name != leader).expect("another").clone();
+        let wiped = all.iter().find(|name| **name != leader).expect("another replica").clone();
         for _ in 0..2 {
             all.iter().for_each(|name| cluster.lose_power(name, 9));
             cluster.lose_disk(&wiped);
-            cluster.drop_frames();
+            cluster.drop_messages();
             all.iter().for_each(|name| cluster.start(name));
             cluster.run_for(Duration::from_millis(400 + moment));
         }
         all.iter().for_each(|name| cluster.lose_power(name, 9));
-        cluster.drop_frames();
+        cluster.drop_messages();
         all.iter().for_each(|name| cluster.start(name));
         let leads = run_until(&mut cluster, LEADER_DUE, |cluster| cluster.leader().is_some());
-        assert!(leads, "after {moment} ms: nobody leads");
-        let leader = cluster.leader().expect("one leads");
-        assert!(cluster.has(&leader, b"kept"), "after {moment} ms: it is gone");
+        assert!(leads, "after {moment} ms: there is no leader");
+        let leader = cluster.leader().expect("there is a leader");
+        assert!(cluster.has_committed(&leader, b"kept"), "after {moment} ms: the entry is lost");
     }
 }
