--- a/components/keeper/tests/full_disk.rs
+++ b/components/keeper/tests/full_disk.rs
@@ -13,7 +13,7 @@
 const STEP: Duration = Duration::from_millis(1);
 
 /// Three keepers that deliver their messages in the next step.
-struct Three {
+struct ThreeKeepers {
     keepers: Vec<Keeper>,
     now: Time,
     messages: VecDeque<(NodeName, NodeName, Message)>,
@@ -22,23 +22,24 @@
     full: Option<(usize, u32)>,
 }
 
-impl Three {
+impl ThreeKeepers {
     fn new() -> Self {
         let names: Vec<NodeName> = (0..3).map(|n| NodeName::new(&format!("k{n}"))).collect();
         let keeper = |(seed, name): (u64, &NodeName)| {
             let records = initial_records(names.clone(), Tree::default());
-            Keeper::recover(name.clone(), records, Timing::default(), seed, START).expect("sound")
+            Keeper::recover(name.clone(), records, Timing::default(), seed, START)
+                .expect("the records are valid")
         };
         let keepers = (1..).zip(&names).map(keeper).collect();
-        let mut three = Self {
+        let mut cluster = Self {
             keepers,
             now: START,
             messages: VecDeque::new(),
             replies: Vec::new(),
             full: None,
         };
-        three.until(Duration::from_secs(3), |three| three.leader().is_some());
-        three
+        cluster.run_until(Duration::from_secs(3), |cluster| cluster.leader().is_some());
+        cluster
     }
 
     fn leader(&self) -> Option<usize> {
@@ -46,20 +47,23 @@
     }
 
     /// Advances the time until the condition holds; returns the elapsed time.
-    fn until(&mut self, longest: Duration, is_so: impl Fn(&Self) -> bool) -> Duration {
-        let began = self.now;
-        while !is_so(self) {
-            assert!(self.now.since(began) < longest, "not so within {longest:?}");
+    fn run_until(&mut self, longest: Duration, condition: impl Fn(&Self) -> bool) -> Duration {
+        let started = self.now;
+        while !condition(self) {
+            assert!(
+                self.now.since(started) < longest,
+                "the condition does not hold within {longest:?}"
+            );
             self.now = self.now + STEP;
             for (to, from, message) in std::mem::take(&mut self.messages) {
                 let name =
                     |keeper: &Keeper| keeper.replica().voters().iter().position(|n| *n == to);
-                let number = name(&self.keepers[0]).expect("it is one of three");
+                let number = name(&self.keepers[0]).expect("the recipient is one of the keepers");
                 self.handle(number, Event::PeerMessage(from, message));
             }
             (0..3).for_each(|number| self.handle(number, Event::Tick));
         }
-        self.now.since(began)
+        self.now.since(started)
     }
 
     fn handle(&mut self, number: usize, event: Event) {
@@ -67,11 +71,11 @@
         self.keepers[number].handle(self.now, event, &mut actions);
         let stores =
             actions.iter().any(|action| matches!(action, Action::Store(_) | Action::Rewrite(_)));
-        if let Some((full, times)) = &mut self.full
+        if let Some((full, rejected)) = &mut self.full
             && *full == number
             && stores
         {
-            *times += 1;
+            *rejected += 1;
             let refused = std::mem::take(&mut actions);
             self.keepers[number].disk_is_full(self.now, refused, &mut actions);
         }
@@ -108,45 +112,48 @@
 /// A leader whose disk is full must hand over at once and refer the operator to another keeper,
 /// instead of leaving the others to detect its silence.
 #[test]
-fn a_leader_whose_disk_is_full_hands_over_and_tells_the_operator_to_ask_elsewhere() {
-    let mut three = Three::new();
-    let leads = three.leader().expect("one leads");
-    three.until(Duration::from_secs(1), |three| three.keepers[leads].replica().committed() > 1);
-    three.full = Some((leads, 0));
-    three.replace(leads, 1, 7);
-    assert!(matches!(three.reply(1), Some(Reply::NotLeader(_))), "{:?}", three.reply(1));
-    let took =
-        three.until(Duration::from_secs(2), |three| three.leader().is_some_and(|new| new != leads));
-    println!("another leads after {took:?}");
+fn a_leader_with_a_full_disk_hands_over_and_refers_the_operator() {
+    let mut cluster = ThreeKeepers::new();
+    let old_leader = cluster.leader().expect("there is a leader");
+    cluster.run_until(Duration::from_secs(1), |cluster| {
+        cluster.keepers[old_leader].replica().committed() > 1
+    });
+    cluster.full = Some((old_leader, 0));
+    cluster.replace(old_leader, 1, 7);
+    assert!(matches!(cluster.reply(1), Some(Reply::NotLeader(_))), "{:?}", cluster.reply(1));
+    let took = cluster.run_until(Duration::from_secs(2), |cluster| {
+        cluster.leader().is_some_and(|new| new != old_leader)
+    });
+    println!("another keeper leads after {took:?}");
     assert!(took <= Duration::from_millis(10), "{took:?}");
-    let new = three.leader().expect("one leads");
-    three.replace(new, 2, 8);
-    three.until(Duration::from_secs(1), |three| three.reply(2).is_some());
-    assert_eq!(three.reply(2), Some(&Reply::Replaced));
-    assert_eq!(three.full, Some((leads, 1)), "it asked its disk for nothing more");
+    let new_leader = cluster.leader().expect("there is a leader");
+    cluster.replace(new_leader, 2, 8);
+    cluster.run_until(Duration::from_secs(1), |cluster| cluster.reply(2).is_some());
+    assert_eq!(cluster.reply(2), Some(&Reply::Replaced));
+    assert_eq!(cluster.full, Some((old_leader, 1)), "the full disk received another record");
 }
 
 /// A keeper whose disk is full must still serve nodes with the committed document.
 #[test]
-fn a_keeper_whose_disk_is_full_tells_nodes_what_it_knows_and_nothing_else() {
-    let mut three = Three::new();
-    let leads = three.leader().expect("one leads");
-    let other = (leads + 1) % 3;
-    three.replace(leads, 1, 7);
-    let has_seven = |three: &Three| three.keepers[other].state().document_version() == 7;
-    three.until(Duration::from_secs(1), has_seven);
-    three.full = Some((other, 0));
-    three.replace(leads, 2, 8);
-    three.until(Duration::from_secs(1), |three| three.full == Some((other, 1)));
+fn a_keeper_with_a_full_disk_serves_only_nodes() {
+    let mut cluster = ThreeKeepers::new();
+    let old_leader = cluster.leader().expect("there is a leader");
+    let other = (old_leader + 1) % 3;
+    cluster.replace(old_leader, 1, 7);
+    let has_seven = |cluster: &ThreeKeepers| cluster.keepers[other].state().document_version() == 7;
+    cluster.run_until(Duration::from_secs(1), has_seven);
+    cluster.full = Some((other, 0));
+    cluster.replace(old_leader, 2, 8);
+    cluster.run_until(Duration::from_secs(1), |cluster| cluster.full == Some((other, 1)));
     let watch =
         WatchRequest { node: entry(), document: 0, revision: Some(0), halls: 0, keepers: 0 };
-    three.handle(other, Event::Watch(CallId(3), watch));
-    three.until(Duration::from_millis(200), |three| three.reply(3).is_some());
-    let Some(Reply::Watch(reply)) = three.reply(3) else { panic!("{:?}", three.reply(3)) };
+    cluster.handle(other, Event::Watch(CallId(3), watch));
+    cluster.run_until(Duration::from_millis(200), |cluster| cluster.reply(3).is_some());
+    let Some(Reply::Watch(reply)) = cluster.reply(3) else { panic!("{:?}", cluster.reply(3)) };
     assert_eq!(reply.version, 7);
     let request = PartRequest { version: 7, offset: 0 };
-    three.handle(other, Event::FetchPart(CallId(8), request));
-    let Some(Reply::Part(Some(part))) = three.reply(8) else { panic!("{:?}", three.reply(8)) };
+    cluster.handle(other, Event::FetchPart(CallId(8), request));
+    let Some(Reply::Part(Some(part))) = cluster.reply(8) else { panic!("{:?}", cluster.reply(8)) };
     assert_eq!((part.version, part.bytes.len()), (7, part.total));
     let replies = [
         Event::ReadDocument(CallId(4)),
@@ -155,13 +162,13 @@
         Event::ReplaceDocument(CallId(7), Document::new(9, "nine")),
     ];
     for (call, event) in (4..).zip(replies) {
-        three.handle(other, event);
-        assert!(matches!(three.reply(call), Some(Reply::NotLeader(_))), "{call}");
+        cluster.handle(other, event);
+        assert!(matches!(cluster.reply(call), Some(Reply::NotLeader(_))), "{call}");
     }
     // Once the rejected records are stored, the keeper catches up.
-    three.full = None;
-    three.keepers[other].disk_is_writable();
-    three.until(Duration::from_secs(1), |three| {
-        three.keepers[other].state().document_version() == 8
+    cluster.full = None;
+    cluster.keepers[other].disk_is_writable();
+    cluster.run_until(Duration::from_secs(1), |cluster| {
+        cluster.keepers[other].state().document_version() == 8
     });
 }
--- a/components/keeper/tests/spread.rs
+++ b/components/keeper/tests/propagation.rs
@@ -20,17 +20,17 @@
 const KEEPERS: usize = 9;
 const NODES: usize = 300;
 /// One-way latency between two hosts.
-const WAY: Duration = Duration::from_micros(1_400);
+const LATENCY: Duration = Duration::from_micros(1_400);
 /// Time that a keeper needs to read or write a message.
 const MESSAGE_TIME: Duration = Duration::from_micros(40);
 /// Additional time for each 10 kB of a message.
-const TEN_KB_TIME: Duration = Duration::from_micros(60);
+const TIME_PER_10_KB: Duration = Duration::from_micros(60);
 const SYNC: Duration = Duration::from_millis(9);
 const TICK: Duration = Duration::from_millis(10);
 /// Size of the document.
 const DOCUMENT_BYTES: usize = 10_000;
 
-enum Happening {
+enum SimEvent {
     Keeper(usize, Event),
     Node(usize, usize, Reply),
     Tick(usize),
@@ -39,7 +39,7 @@
 #[derive(Default)]
 struct Node {
     fetch: DocumentFetch,
-    has_since: Option<Time>,
+    received_at: Option<Time>,
     /// The revision of the list that the node has from each keeper.
     revisions: [u64; KEEPERS],
 }
@@ -49,20 +49,20 @@
 struct Sent {
     answers: u64,
     parts: u64,
-    peers: u64,
+    peer_messages: u64,
 }
 
-struct World {
+struct Simulation {
     now: Time,
-    happenings: BTreeMap<(Time, u64), Happening>,
+    schedule: BTreeMap<(Time, u64), SimEvent>,
     sequence: u64,
     keepers: Vec<Keeper>,
     /// When each keeper has processed its input so far.
-    busy: Vec<Time>,
+    busy_until: Vec<Time>,
     sent: Vec<Sent>,
     nodes: Vec<Node>,
     /// The node that made each call; `None` for the operator.
-    asked: BTreeMap<CallId, Option<usize>>,
+    callers: BTreeMap<CallId, Option<usize>>,
     acknowledged: Option<Time>,
 }
 
@@ -84,52 +84,53 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(nodes: usize) -> Self {
         let names: Vec<NodeName> = (0..KEEPERS).map(keeper_name).collect();
         let records = initial_records(names.clone(), Tree::default());
         let recover = |number: usize| {
             let seed = number as u64 + 1;
             Keeper::recover(names[number].clone(), records.clone(), Timing::default(), seed, START)
-                .expect("the records are sound")
+                .expect("the records are valid")
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now: START,
-            happenings: BTreeMap::new(),
+            schedule: BTreeMap::new(),
             sequence: 0,
             keepers: (0..KEEPERS).map(recover).collect(),
-            busy: vec![START; KEEPERS],
+            busy_until: vec![START; KEEPERS],
             sent: vec![Sent::default(); KEEPERS],
             nodes: (0..nodes).map(|_| Node::default()).collect(),
-            asked: BTreeMap::new(),
+            callers: BTreeMap::new(),
             acknowledged: None,
         };
-        (0..KEEPERS).for_each(|keeper| world.at(Duration::ZERO, Happening::Tick(keeper)));
+        (0..KEEPERS)
+            .for_each(|keeper| simulation.schedule_after(Duration::ZERO, SimEvent::Tick(keeper)));
         for node in 0..nodes {
             for keeper in 0..KEEPERS {
                 // Nodes start within the first second, and each contacts the keepers in a different
                 // order.
                 let after = (node * 7 + keeper * 131) % 1_000;
-                world.ask(Duration::from_millis(after as u64), node, keeper, 0, 0);
+                simulation.watch(Duration::from_millis(after as u64), node, keeper, 0, 0);
             }
         }
-        world
+        simulation
     }
 
-    fn at(&mut self, after: Duration, happening: Happening) {
+    fn schedule_after(&mut self, after: Duration, event: SimEvent) {
         self.sequence += 1;
-        self.happenings.insert((self.now + after, self.sequence), happening);
+        self.schedule.insert((self.now + after, self.sequence), event);
     }
 
-    fn call(&mut self, of: Option<usize>) -> CallId {
+    fn register_call(&mut self, of: Option<usize>) -> CallId {
         self.sequence += 1;
         let call = CallId(self.sequence);
-        self.asked.insert(call, of);
+        self.callers.insert(call, of);
         call
     }
 
-    fn ask(&mut self, after: Duration, node: usize, keeper: usize, document: u64, revision: u64) {
-        let call = self.call(Some(node));
+    fn watch(&mut self, after: Duration, node: usize, keeper: usize, document: u64, revision: u64) {
+        let call = self.register_call(Some(node));
         let request = WatchRequest {
             node: node_info(node),
             document,
@@ -137,30 +138,30 @@
             halls: 0,
             keepers: 0,
         };
-        self.at(after + WAY, Happening::Keeper(keeper, Event::Watch(call, request)));
+        self.schedule_after(after + LATENCY, SimEvent::Keeper(keeper, Event::Watch(call, request)));
     }
 
     fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(next) = self.happenings.first_entry()
+        while let Some(next) = self.schedule.first_entry()
             && next.key().0 <= end
         {
-            let ((time, _), happening) = next.remove_entry();
+            let ((time, _), event) = next.remove_entry();
             self.now = time;
-            match happening {
-                Happening::Keeper(keeper, event) => self.keeper_reads(keeper, event),
-                Happening::Node(node, keeper, reply) => self.node_hears(node, keeper, reply),
-                Happening::Tick(keeper) => {
-                    self.keeper_reads(keeper, Event::Tick);
-                    self.at(TICK, Happening::Tick(keeper));
+            match event {
+                SimEvent::Keeper(keeper, event) => self.keeper_handles(keeper, event),
+                SimEvent::Node(node, keeper, reply) => self.node_receives(node, keeper, reply),
+                SimEvent::Tick(keeper) => {
+                    self.keeper_handles(keeper, Event::Tick);
+                    self.schedule_after(TICK, SimEvent::Tick(keeper));
                 }
             }
         }
         self.now = end;
     }
 
-    fn keeper_reads(&mut self, keeper: usize, event: Event) {
-        let mut done = self.busy[keeper].max(self.now) + MESSAGE_TIME;
+    fn keeper_handles(&mut self, keeper: usize, event: Event) {
+        let mut done = self.busy_until[keeper].max(self.now) + MESSAGE_TIME;
         let mut actions = Vec::new();
         self.keepers[keeper].handle(done, event, &mut actions);
         let mut synced = Duration::ZERO;
@@ -169,24 +170,26 @@
                 Action::Store(_) | Action::Rewrite(_) => synced = SYNC,
                 Action::Send(to, message) => {
                     done = done + MESSAGE_TIME;
-                    self.sent[keeper].peers += 1;
+                    self.sent[keeper].peer_messages += 1;
                     let to = (0..KEEPERS).find(|number| keeper_name(*number) == to);
                     let event = Event::PeerMessage(keeper_name(keeper), message);
-                    let arrives = (done + synced + WAY).since(self.now);
-                    self.at(arrives, Happening::Keeper(to.expect("a keeper"), event));
+                    let arrives = (done + synced + LATENCY).since(self.now);
+                    self.schedule_after(arrives, SimEvent::Keeper(to.expect("a keeper"), event));
                 }
                 Action::Respond(call, reply) => {
                     done = done + MESSAGE_TIME;
                     match &reply {
                         Reply::Part(_) => {
-                            done = done + TEN_KB_TIME;
+                            done = done + TIME_PER_10_KB;
                             self.sent[keeper].parts += 1;
                         }
                         _ => self.sent[keeper].answers += 1,
                     }
-                    let arrives = (done + synced + WAY).since(self.now);
-                    match self.asked.remove(&call) {
-                        Some(Some(node)) => self.at(arrives, Happening::Node(node, keeper, reply)),
+                    let arrives = (done + synced + LATENCY).since(self.now);
+                    match self.callers.remove(&call) {
+                        Some(Some(node)) => {
+                            self.schedule_after(arrives, SimEvent::Node(node, keeper, reply))
+                        }
                         _ if reply == Reply::Replaced => {
                             self.acknowledged = Some(self.now + arrives)
                         }
@@ -196,10 +199,10 @@
                 Action::Log(_) => {}
             }
         }
-        self.busy[keeper] = done;
+        self.busy_until[keeper] = done;
     }
 
-    fn node_hears(&mut self, node: usize, keeper: usize, reply: Reply) {
+    fn node_receives(&mut self, node: usize, keeper: usize, reply: Reply) {
         let source = DocumentSource::Keeper(keeper_address(keeper));
         let now = self.now;
         let fetch = &mut self.nodes[node].fetch;
@@ -207,53 +210,57 @@
             Reply::Watch(reply) => {
                 let step = fetch.version_offered(now, source, reply.version);
                 let revisions = &mut self.nodes[node].revisions;
-                if let Some(news) = reply.nodes {
-                    revisions[keeper] = news.revision();
+                if let Some(update) = reply.nodes {
+                    revisions[keeper] = update.revision();
                 }
                 let revision = revisions[keeper];
-                self.ask(Duration::ZERO, node, keeper, reply.version, revision);
+                self.watch(Duration::ZERO, node, keeper, reply.version, revision);
                 step
             }
             Reply::Part(part) => fetch.part_answered(now, source, part),
-            other => panic!("{other:?}"),
+            other => panic!("unexpected reply or step: {other:?}"),
         };
         while let Some(next) = step.take() {
             match next {
-                FetchStep::Request(source, request) => self.ask_part(node, source, request),
+                FetchStep::Request(source, request) => self.request_part(node, source, request),
                 FetchStep::Complete(..) => {
-                    self.nodes[node].has_since = Some(now);
+                    self.nodes[node].received_at = Some(now);
                     step = self.nodes[node].fetch.next_step(now);
                 }
             }
         }
     }
 
-    fn ask_part(&mut self, node: usize, source: DocumentSource, request: PartRequest) {
+    fn request_part(&mut self, node: usize, source: DocumentSource, request: PartRequest) {
         let keeper = (0..KEEPERS)
             .find(|number| DocumentSource::Keeper(keeper_address(*number)) == source)
             .expect("a keeper");
-        let call = self.call(Some(node));
-        self.at(WAY, Happening::Keeper(keeper, Event::FetchPart(call, request)));
+        let call = self.register_call(Some(node));
+        self.schedule_after(LATENCY, SimEvent::Keeper(keeper, Event::FetchPart(call, request)));
     }
 
     fn leader(&self) -> usize {
         let leads = |keeper: &Keeper| keeper.is_confirmed_leader(self.now);
-        self.keepers.iter().position(leads).expect("one leads")
+        self.keepers.iter().position(leads).expect("there is a leader")
     }
 
     /// Replaces the document; returns the time from the acknowledgement to its arrival at each
     /// node, sorted.
     fn replace(&mut self, version: u64) -> Vec<Duration> {
         self.sent = vec![Sent::default(); KEEPERS];
-        self.nodes.iter_mut().for_each(|node| node.has_since = None);
-        let call = self.call(None);
+        self.nodes.iter_mut().for_each(|node| node.received_at = None);
+        let call = self.register_call(None);
         let document = Document::new(version, "x".repeat(DOCUMENT_BYTES));
         let leader = self.leader();
-        self.at(WAY, Happening::Keeper(leader, Event::ReplaceDocument(call, document)));
+        self.schedule_after(
+            LATENCY,
+            SimEvent::Keeper(leader, Event::ReplaceDocument(call, document)),
+        );
         self.acknowledged = None;
         self.run_for(Duration::from_secs(1));
-        let acknowledged = self.acknowledged.expect("the change is taken");
-        let took = |node: &Node| node.has_since.expect("it has come").since(acknowledged);
+        let acknowledged = self.acknowledged.expect("the change is acknowledged");
+        let took =
+            |node: &Node| node.received_at.expect("the document has arrived").since(acknowledged);
         let mut all: Vec<Duration> = self.nodes.iter().map(took).collect();
         all.sort();
         all
@@ -267,19 +274,25 @@
 /// A new document must reach 99 % of the nodes within 150 ms of the acknowledgement, and no keeper
 /// may send more than twice its share of the parts.
 #[test]
-fn a_change_reaches_every_node_from_all_keepers_alike() {
+fn a_document_reaches_all_nodes_with_the_load_shared_by_all_keepers() {
     let nodes = nodes();
-    let mut world = World::new(nodes);
-    world.run_for(Duration::from_secs(4));
+    let mut simulation = Simulation::new(nodes);
+    simulation.run_for(Duration::from_secs(4));
     for version in [5, 9] {
-        let took = world.replace(version);
-        let parts: Vec<u64> = world.sent.iter().map(|sent| sent.parts).collect();
+        let took = simulation.replace(version);
+        let parts: Vec<u64> = simulation.sent.iter().map(|sent| sent.parts).collect();
         let most = took[nodes * 99 / 100];
-        println!("{nodes} nodes: half within {:?}, 99 of 100 within {most:?}", took[nodes / 2]);
-        println!("parts by keeper {parts:?}; leader {:?}", world.sent[world.leader()]);
+        println!(
+            "{nodes} nodes: half of them within {:?}, 99 of 100 within {most:?}",
+            took[nodes / 2]
+        );
+        println!(
+            "parts sent by each keeper {parts:?}; leader {:?}",
+            simulation.sent[simulation.leader()]
+        );
         assert!(most <= Duration::from_millis(150), "{most:?}");
         let share = nodes.div_ceil(KEEPERS) as u64;
         assert!(parts.iter().all(|sent| *sent <= 2 * share), "{parts:?}");
-        assert_eq!(parts.iter().sum::<u64>(), nodes as u64, "each is sent once");
+        assert_eq!(parts.iter().sum::<u64>(), nodes as u64, "each node is sent the document once");
     }
 }
--- a/components/keeper/tests/roster.rs
+++ b/components/keeper/tests/roster.rs
@@ -14,7 +14,7 @@
     IpAddr::from([10, 0, 0, number])
 }
 
-fn remembered(number: u8) -> RememberedNode {
+fn stored_node(number: u8) -> RememberedNode {
     RememberedNode { name: NodeName::new(&format!("n{number}")), host: host(number) }
 }
 
@@ -41,54 +41,58 @@
 
 /// After a power loss of the fleet, a keeper that no settings name must become known to the nodes.
 #[test]
-fn a_keeper_that_starts_calls_the_nodes_it_knew_until_they_ask() {
-    let mut roster = Roster::new(START, vec![remembered(1), remembered(2)]);
+fn a_starting_keeper_calls_stored_nodes_until_they_register() {
+    let mut roster = Roster::new(START, vec![stored_node(1), stored_node(2)]);
     let due = run(&mut roster, 0, 60);
     let call = vec![host(1), host(2)];
-    assert_eq!(due, [(0, RosterWork { call, store: None })], "at once");
+    assert_eq!(due, [(0, RosterWork { call, store: None })], "the first call is immediate");
     roster.record_contact(after(60), &node(1));
     let due = run(&mut roster, 60, 200);
-    assert!(due.len() >= 2, "again and again");
+    assert!(due.len() >= 2, "calls are repeated");
     assert!(due.iter().all(|(_, work)| work.call == [host(2)]), "{due:?}");
     roster.record_contact(after(200), &node(2));
-    assert_eq!(run(&mut roster, 200, 1_900), [], "all ask");
+    assert_eq!(run(&mut roster, 200, 1_900), [], "all nodes have registered");
     assert_eq!(roster.next_timer(), None);
 }
 
 #[test]
-fn a_node_that_never_asks_is_called_no_more_after_some_seconds() {
-    let mut roster = Roster::new(START, vec![remembered(1)]);
+fn a_node_that_never_registers_is_called_for_a_limited_time() {
+    let mut roster = Roster::new(START, vec![stored_node(1)]);
     let due = run(&mut roster, 0, 20_000);
-    let (last, _) = due.last().expect("it was called");
+    let (last, _) = due.last().expect("the node was called");
     assert!((4_500..5_000).contains(last), "{last}");
     assert_eq!(roster.next_timer(), None);
 }
 
 #[test]
-fn nodes_are_remembered_once_all_have_asked() {
+fn nodes_are_stored_after_all_have_registered() {
     let mut roster = Roster::new(START, Vec::new());
     assert_eq!(roster.next_timer(), None);
     roster.record_contact(after(100), &node(1));
     roster.record_contact(after(900), &node(2));
-    let stored = Some(vec![remembered(1), remembered(2)]);
+    let stored = Some(vec![stored_node(1), stored_node(2)]);
     let due = run(&mut roster, 900, 10_000);
-    assert_eq!(due, [(2_000, RosterWork { call: Vec::new(), store: stored })], "once");
+    assert_eq!(
+        due,
+        [(2_000, RosterWork { call: Vec::new(), store: stored })],
+        "all nodes are stored together"
+    );
     roster.record_contact(after(10_000), &node(2));
-    assert_eq!(run(&mut roster, 10_000, 12_000), [], "nothing else than before");
+    assert_eq!(run(&mut roster, 10_000, 12_000), [], "an unchanged list is not stored again");
 }
 
 /// A keeper that stops again soon after its start must not lose the nodes that it had stored.
 #[test]
-fn nodes_that_have_not_asked_again_yet_stay_remembered() {
-    let mut roster = Roster::new(START, vec![remembered(1)]);
+fn nodes_that_have_not_registered_again_stay_stored() {
+    let mut roster = Roster::new(START, vec![stored_node(1)]);
     roster.record_contact(after(50), &node(2));
     let due = run(&mut roster, 1_990, 2_100);
     let stored = due.iter().find_map(|(_, work)| work.store.clone());
-    assert_eq!(stored, Some(vec![remembered(1), remembered(2)]));
+    assert_eq!(stored, Some(vec![stored_node(1), stored_node(2)]));
 }
 
 #[test]
-fn a_node_at_another_host_is_remembered_there_and_one_that_is_gone_forgotten() {
+fn a_moved_node_is_stored_with_its_new_host_and_a_silent_one_removed() {
     let mut roster = Roster::new(START, Vec::new());
     roster.record_contact(after(0), &node(1));
     roster.record_contact(after(0), &node(2));
@@ -96,6 +100,6 @@
     let moved = NodeInfo { address: SocketAddr::new(host(9), 7_400), ..node(1) };
     roster.record_contact(after(70_000), &moved);
     let due = run(&mut roster, 70_000, 71_000);
-    let stored = vec![RememberedNode { host: host(9), ..remembered(1) }];
+    let stored = vec![RememberedNode { host: host(9), ..stored_node(1) }];
     assert_eq!(due, [(70_000, RosterWork { call: Vec::new(), store: Some(stored) })]);
 }
--- a/components/keeper/tests/state.rs
+++ b/components/keeper/tests/state.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn racing_changes_of_one_section_conflict_and_others_do_not() {
+fn concurrent_changes_conflict_only_in_the_same_section() {
     let mut state = state();
     let first = change_request("c1", 1, vec![set("booking", "team", "kyushu")]);
     let same = change_request("c2", 1, vec![set("booking", "deadline_ms", "900")]);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_resent_change_gets_its_first_answer_and_counts_once() {
+fn a_repeated_change_returns_its_first_result() {
     let mut state = state();
     let change = change_request("c1", 1, vec![set("booking", "team", "kyushu")]);
     assert_eq!(state.apply_change(&change), ChangeResult::Accepted { version: 2 });
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn deltas_lead_to_the_tree_in_force() {
+fn applying_deltas_gives_the_current_tree() {
     let mut state = state();
     for number in 0..500u64 {
         let edit = set("booking", "deadline_ms", &(number + 1).to_string());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_changed_claim_view_keeps_the_one_before_for_a_while() {
+fn a_changed_claim_view_keeps_the_previous_one_for_a_time() {
     let mut state = state();
     let view = |names: &str| vec![set("fleet", "claim_view", names)];
     let accepted = state.apply_change(&change_request("c1", 1, view("b1@r1 b2@r2 b3@r3")));
--- a/components/keeper/tests/support/mod.rs
+++ b/components/keeper/tests/support/mod.rs
@@ -14,35 +14,35 @@
 pub const START: Time = Time::from_millis(1_000_000);
 
 /// A keeper that is the only voter, with the records that it stored.
-pub struct One {
+pub struct SingleKeeper {
     pub keeper: Keeper,
     pub records: Vec<Record>,
     pub now: Time,
     calls: u64,
 }
 
-impl One {
+impl SingleKeeper {
     /// A new keeper that leads.
     pub fn new() -> Self {
         let name = NodeName::new("k1");
         let records = initial_records(vec![name], Tree::default());
-        let mut one = Self::from_records(records);
-        one.run_for(Duration::from_secs(2));
-        one
+        let mut single = Self::from_records(records);
+        single.run_for(Duration::from_secs(2));
+        single
     }
 
     /// A keeper just restored from these records.
     pub fn from_records(records: Vec<Record>) -> Self {
         let name = NodeName::new("k1");
         let keeper = Keeper::recover(name, records.clone(), Timing::default(), 1, START);
-        Self { keeper: keeper.expect("the records are sound"), records, now: START, calls: 0 }
+        Self { keeper: keeper.expect("the records are valid"), records, now: START, calls: 0 }
     }
 
     /// The keeper after a restart, once it leads again.
     pub fn restart(&self) -> Self {
-        let mut again = Self::from_records(self.records.clone());
-        again.run_for(Duration::from_secs(2));
-        again
+        let mut restarted = Self::from_records(self.records.clone());
+        restarted.run_for(Duration::from_secs(2));
+        restarted
     }
 
     pub fn handle(&mut self, event: Event) -> Vec<(CallId, Reply)> {
@@ -70,14 +70,14 @@
         replies
     }
 
-    pub fn call(&mut self) -> CallId {
+    pub fn next_call_id(&mut self) -> CallId {
         self.calls += 1;
         CallId(self.calls)
     }
 
     /// Makes a call and returns its reply, if it arrives within 50 ms.
     pub fn reply_to(&mut self, event: impl FnOnce(CallId) -> Event) -> Option<Reply> {
-        let call = self.call();
+        let call = self.next_call_id();
         let mut replies = self.handle(event(call));
         replies.extend(self.run_for(Duration::from_millis(50)));
         replies.into_iter().find(|(to, _)| *to == call).map(|(_, reply)| reply)
