--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -19,5 +19,5 @@
 pub use event::{Action, CallId, Event, LogEvent, Reply, TreeReply};
 pub use fetch::{DocumentFetch, DocumentSource, FetchStep, PART_TIMEOUT};
 pub use keeper::{Keeper, KeeperError, initial_records};
-pub use roster::{RememberedNode, Roster, RosterWork};
+pub use roster::{Roster, RosterWork, StoredNode};
 pub use state::{LogCommand, SettingsChange, State, TreeVersion};
--- a/components/keeper/src/roster.rs
+++ b/components/keeper/src/roster.rs
@@ -30,7 +30,7 @@
 
 /// A node as stored on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RememberedNode {
+pub struct StoredNode {
     /// The node's name.
     pub name: NodeName,
     /// The node's host. All nodes listen for calls on the same port.
@@ -43,7 +43,7 @@
     /// Hosts to call.
     pub call: Vec<IpAddr>,
     /// The nodes to store on disk; `None` if the stored list is up to date.
-    pub store: Option<Vec<RememberedNode>>,
+    pub store: Option<Vec<StoredNode>>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -68,9 +68,9 @@
 
 impl Roster {
     /// Creates the roster of a starting keeper from the nodes stored on disk.
-    pub fn new(now: Time, remembered: Vec<RememberedNode>) -> Self {
+    pub fn new(now: Time, remembered: Vec<StoredNode>) -> Self {
         let known =
-            |node: RememberedNode| (node.name, KnownNode { host: node.host, last_contact: None });
+            |node: StoredNode| (node.name, KnownNode { host: node.host, last_contact: None });
         let nodes: BTreeMap<NodeName, KnownNode> = remembered.into_iter().map(known).collect();
         let call_at = (!nodes.is_empty()).then_some(now);
         Self {
@@ -114,14 +114,14 @@
         hosts
     }
 
-    fn due_store(&mut self, now: Time) -> Option<Vec<RememberedNode>> {
+    fn due_store(&mut self, now: Time) -> Option<Vec<StoredNode>> {
         self.store_at.filter(|at| *at <= now)?;
         self.store_at = None;
         self.next_store_at = now + STORE_INTERVAL;
         let started_at = self.started_at;
         self.nodes
             .retain(|_, known| now.since(known.last_contact.unwrap_or(started_at)) < FORGET_AFTER);
-        let node = |(name, known): (&NodeName, &KnownNode)| RememberedNode {
+        let node = |(name, known): (&NodeName, &KnownNode)| StoredNode {
             name: name.clone(),
             host: known.host,
         };
--- a/components/keeper/tests/roster.rs
+++ b/components/keeper/tests/roster.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use keeper::{RememberedNode, Roster, RosterWork};
+use keeper::{Roster, RosterWork, StoredNode};
 use model::{Incarnation, NodeName, Time};
 use wire::{NodeInfo, NodeRole};
 
@@ -14,8 +14,8 @@
     IpAddr::from([10, 0, 0, number])
 }
 
-fn stored_node(number: u8) -> RememberedNode {
-    RememberedNode { name: NodeName::new(&format!("n{number}")), host: host(number) }
+fn stored_node(number: u8) -> StoredNode {
+    StoredNode { name: NodeName::new(&format!("n{number}")), host: host(number) }
 }
 
 fn node(number: u8) -> NodeInfo {
@@ -100,6 +100,6 @@
     let moved = NodeInfo { address: SocketAddr::new(host(9), 7_400), ..node(1) };
     roster.record_contact(after(70_000), &moved);
     let due = run(&mut roster, 70_000, 71_000);
-    let stored = vec![RememberedNode { host: host(9), ..stored_node(1) }];
+    let stored = vec![StoredNode { host: host(9), ..stored_node(1) }];
     assert_eq!(due, [(70_000, RosterWork { call: Vec::new(), store: Some(stored) })]);
 }
--- a/daemon/src/keeper_role/roster.rs
+++ b/daemon/src/keeper_role/roster.rs
@@ -9,7 +9,7 @@
 
 use async_channel::Receiver;
 use async_io::Async;
-use keeper::{RememberedNode, RosterWork};
+use keeper::{RosterWork, StoredNode};
 use wire::KeeperIsUp;
 
 use super::news_lines;
@@ -19,7 +19,7 @@
 const FILE: &str = "nodes.json";
 
 /// Reads the nodes that were remembered. They are a hint: none where they can't be read.
-pub(super) fn read(data: &Path, log: Option<&EventLog>) -> Vec<RememberedNode> {
+pub(super) fn read(data: &Path, log: Option<&EventLog>) -> Vec<StoredNode> {
     let nodes = fs::read(data.join(FILE))
         .and_then(|bytes| serde_json::from_slice(&bytes).map_err(io::Error::other));
     match nodes {
@@ -68,7 +68,7 @@
     }
 }
 
-fn store(data: &Path, nodes: &[RememberedNode]) -> io::Result<()> {
+fn store(data: &Path, nodes: &[StoredNode]) -> io::Result<()> {
     let bytes = serde_json::to_vec(nodes)?;
     journal::replace_file(&data.join(FILE), |file| file.write_all(&bytes))
 }
