--- a/components/consensus/src/lib.rs
+++ b/components/consensus/src/lib.rs
@@ -6,8 +6,8 @@
 //! later action is performed.
 //!
 //! Ongaro, Ousterhout: In Search of an Understandable Consensus Algorithm, USENIX ATC 2014. Unlike
-//! in Raft, a replica may rejoin after it has lost its disk. It is then *blank*: it neither votes nor
-//! counts towards a quorum until it has caught up with a leader that holds a valid lease.
+//! in Raft, a replica may rejoin after it has lost its disk. It is then *blank*: it neither votes
+//! nor counts towards a quorum until it has caught up with a leader that holds a valid lease.
 
 mod election;
 mod event;
--- a/components/consensus/src/log.rs
+++ b/components/consensus/src/log.rs
@@ -165,7 +165,8 @@
         self.entries.len()
     }
 
-    /// Whether a log that ends with this entry is at least as up to date as this one.
+    /// Whether a log whose last entry has this term and index is at least as up to date as this
+    /// one.
     pub fn is_covered_by(&self, last_term: Term, last_index: Index) -> bool {
         (last_term, last_index) >= (self.last_term(), self.last_index())
     }
--- a/components/keeper/src/apply.rs
+++ b/components/keeper/src/apply.rs
@@ -110,7 +110,7 @@
         let version = document.version;
         let previous = self.state.document().cloned();
         if self.state.replace_document(document) {
-            self.keep_replaced(previous);
+            self.keep_replaced_document(previous);
             out.push(Action::Log(LogEvent::DocumentVersion(version)));
             self.notify_document_watchers(out);
         }
@@ -124,7 +124,7 @@
     }
 
     /// Keeps a replaced document for nodes that are still fetching it.
-    fn keep_replaced(&mut self, document: Option<Document>) {
+    fn keep_replaced_document(&mut self, document: Option<Document>) {
         self.replaced_documents.extend(document);
         if self.replaced_documents.len() > REPLACED_DOCUMENTS_KEPT {
             self.replaced_documents.pop_front();
@@ -135,7 +135,7 @@
         match decode_state(snapshot) {
             Ok(state) => {
                 let previous = std::mem::replace(&mut self.state, state);
-                self.keep_replaced(previous.document().cloned());
+                self.keep_replaced_document(previous.document().cloned());
                 self.notify_document_watchers(out);
                 if previous.halls() != self.state.halls() {
                     self.publish_halls(out);
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -19,7 +19,7 @@
     /// records and calls [`Keeper::disk_is_writable`] once they are stored.
     pub fn disk_is_full(&mut self, now: Time, refused: Vec<Action>, out: &mut Vec<Action>) {
         self.disk_full = true;
-        out.extend(refused.into_iter().filter_map(reduce_to_unstored));
+        out.extend(refused.into_iter().filter_map(without_unstored_effects));
         self.fail_pending_changes(out);
         let mut actions = Vec::new();
         self.replica.transfer_leadership(now, &mut actions);
@@ -42,8 +42,8 @@
 
     pub(crate) fn handle_without_disk(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Watch(call, request) => self.watch(now, call, request, out),
-            Event::FetchPart(call, request) => self.part(call, request, out),
+            Event::Watch(call, request) => self.register_watcher(now, call, request, out),
+            Event::FetchPart(call, request) => self.reply_with_part(call, request, out),
             Event::Change(call, _)
             | Event::ReadTree(call)
             | Event::ReadHistory(call)
@@ -60,7 +60,7 @@
 
 /// Reduces an action that followed a rejected store: messages are dropped, and callers whose result
 /// would depend on the store are referred to another keeper.
-fn reduce_to_unstored(action: Action) -> Option<Action> {
+fn without_unstored_effects(action: Action) -> Option<Action> {
     match action {
         Action::Store(_) | Action::Rewrite(_) | Action::Send(..) => None,
         Action::Respond(call, reply @ (Reply::Watch(_) | Reply::Part(_) | Reply::NotLeader(_))) => {
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -117,8 +117,8 @@
                 let halls = Reply::Halls(self.state.halls().clone());
                 self.reply_if_leader(now, call, halls, out);
             }
-            Event::Watch(call, request) => self.watch(now, call, request, out),
-            Event::FetchPart(call, request) => self.part(call, request, out),
+            Event::Watch(call, request) => self.register_watcher(now, call, request, out),
+            Event::FetchPart(call, request) => self.reply_with_part(call, request, out),
             Event::Resign => self.step_replica(now, consensus::Event::Resign, out),
             Event::Pull(call, request) => self.pull(now, call, &request, out),
             Event::PeerMessage(from, message) => {
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(crate) fn watch(
+    pub(crate) fn register_watcher(
         &mut self,
         now: Time,
         call: CallId,
@@ -140,7 +140,12 @@
     }
 
     /// Replies with a part of a committed document, whether or not this keeper leads.
-    pub(crate) fn part(&self, call: CallId, request: PartRequest, out: &mut Vec<Action>) {
+    pub(crate) fn reply_with_part(
+        &self,
+        call: CallId,
+        request: PartRequest,
+        out: &mut Vec<Action>,
+    ) {
         let documents = self.state.document().into_iter().chain(&self.replaced_documents);
         let part = documents.filter_map(|document| document.part(request)).next();
         out.push(Action::Respond(call, Reply::Part(part)));
--- a/components/keeper/src/roster.rs
+++ b/components/keeper/src/roster.rs
@@ -63,22 +63,22 @@
     /// When the changed list is stored.
     store_at: Option<Time>,
     /// Earliest time of the next store.
-    next_store_at: Time,
+    store_not_before: Time,
 }
 
 impl Roster {
     /// Creates the roster of a starting keeper from the nodes stored on disk.
-    pub fn new(now: Time, remembered: Vec<StoredNode>) -> Self {
+    pub fn new(now: Time, stored: Vec<StoredNode>) -> Self {
         let known =
             |node: StoredNode| (node.name, KnownNode { host: node.host, last_contact: None });
-        let nodes: BTreeMap<NodeName, KnownNode> = remembered.into_iter().map(known).collect();
+        let nodes: BTreeMap<NodeName, KnownNode> = stored.into_iter().map(known).collect();
         let call_at = (!nodes.is_empty()).then_some(now);
         Self {
             started_at: now,
             nodes,
             call_at,
             store_at: None,
-            next_store_at: now + FIRST_STORE_DELAY,
+            store_not_before: now + FIRST_STORE_DELAY,
         }
     }
 
@@ -86,9 +86,9 @@
     pub fn record_contact(&mut self, now: Time, node: &NodeInfo) {
         let host = node.address.ip();
         let known = KnownNode { host, last_contact: Some(now) };
-        let before = self.nodes.insert(node.name.clone(), known);
-        if before.is_none_or(|before| before.host != host) {
-            self.store_at.get_or_insert(self.next_store_at.max(now));
+        let previous = self.nodes.insert(node.name.clone(), known);
+        if previous.is_none_or(|previous| previous.host != host) {
+            self.store_at.get_or_insert(self.store_not_before.max(now));
         }
     }
 
@@ -117,7 +117,7 @@
     fn due_store(&mut self, now: Time) -> Option<Vec<StoredNode>> {
         self.store_at.filter(|at| *at <= now)?;
         self.store_at = None;
-        self.next_store_at = now + STORE_INTERVAL;
+        self.store_not_before = now + STORE_INTERVAL;
         let started_at = self.started_at;
         self.nodes
             .retain(|_, known| now.since(known.last_contact.unwrap_or(started_at)) < FORGET_AFTER);
--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -120,7 +120,7 @@
         if let Some(first) = self.results.get(&request.change) {
             return first.clone();
         }
-        let result = self.apply_new(change);
+        let result = self.apply_new_change(change);
         self.results.insert(request.change.clone(), result.clone());
         self.result_ids.push_back(request.change.clone());
         if self.result_ids.len() > RESULTS_KEPT
@@ -136,7 +136,7 @@
         self.results.get(change)
     }
 
-    fn apply_new(&mut self, change: &SettingsChange) -> ChangeResult {
+    fn apply_new_change(&mut self, change: &SettingsChange) -> ChangeResult {
         let request = &change.request;
         if let Some(conflict) = self.find_conflict(request) {
             return conflict;
@@ -150,12 +150,12 @@
             Err(reason) => return invalid(reason),
         };
         match self.tree.with(&edits) {
-            Ok(tree) => self.accept(tree, edits, change.accepted_at),
+            Ok(tree) => self.accept_version(tree, edits, change.accepted_at),
             Err(error) => invalid(error.to_string()),
         }
     }
 
-    fn accept(&mut self, tree: Tree, edits: Vec<Edit>, accepted_at: Time) -> ChangeResult {
+    fn accept_version(&mut self, tree: Tree, edits: Vec<Edit>, accepted_at: Time) -> ChangeResult {
         self.version += 1;
         self.tree = tree;
         self.recent_versions.push_back(TreeVersion { version: self.version, accepted_at, edits });
--- a/components/keeper/tests/document.rs
+++ b/components/keeper/tests/document.rs
@@ -19,11 +19,11 @@
         self.reply_to(|call| Event::ReplaceDocument(call, document))
     }
 
-    fn fetch(&mut self) -> Option<Document> {
+    fn read_document(&mut self) -> Option<Document> {
         let call = self.next_call_id();
         match self.handle(Event::ReadDocument(call)).pop() {
             Some((_, Reply::Document(document))) => document,
-            other => panic!("unexpected reply or step: {other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 
@@ -37,7 +37,7 @@
                     Document::unpack(version, part.bytes).expect("the document has one part");
                 document.body.to_string()
             }),
-            other => panic!("unexpected reply or step: {other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 
@@ -92,7 +92,7 @@
 fn whole_list(update: Option<ListNews>) -> NodeList {
     match update {
         Some(ListNews::Whole(list)) => list,
-        other => panic!("unexpected reply or step: {other:?}"),
+        other => panic!("unexpected reply: {other:?}"),
     }
 }
 
@@ -100,7 +100,7 @@
 fn changes(update: Option<ListNews>) -> ListChange {
     match update {
         Some(ListNews::Change(change)) => change,
-        other => panic!("unexpected reply or step: {other:?}"),
+        other => panic!("unexpected reply: {other:?}"),
     }
 }
 
@@ -115,7 +115,7 @@
 #[test]
 fn the_highest_version_wins_and_every_version_is_acknowledged() {
     let mut single = SingleKeeper::new();
-    assert_eq!(single.fetch(), None);
+    assert_eq!(single.read_document(), None);
     assert_eq!(single.replace(7, "seven"), Some(Reply::Replaced));
     assert_eq!(single.replace(3, "three"), Some(Reply::Replaced));
     assert_eq!(single.replace(7, "other seven"), Some(Reply::Replaced));
@@ -124,10 +124,10 @@
         Some(Reply::Replaced),
         "a repeated version is acknowledged"
     );
-    let document = single.fetch().expect("there is a document");
+    let document = single.read_document().expect("there is a document");
     assert_eq!((document.version, &*document.body), (7, "seven"));
     assert_eq!(single.replace(9, "nine"), Some(Reply::Replaced));
-    assert_eq!(single.fetch().expect("there is a document").version, 9);
+    assert_eq!(single.read_document().expect("there is a document").version, 9);
 }
 
 #[test]
@@ -136,7 +136,7 @@
     single.replace(7, "seven");
     let mut restarted = SingleKeeper::from_records(single.records.clone());
     restarted.run_for(Duration::from_secs(2));
-    assert_eq!(restarted.fetch().expect("the document is stored").version, 7);
+    assert_eq!(restarted.read_document().expect("the document is stored").version, 7);
 }
 
 #[test]
--- a/components/keeper/tests/fetch.rs
+++ b/components/keeper/tests/fetch.rs
@@ -70,7 +70,7 @@
     fn outstanding_request(&self) -> (DocumentSource, PartRequest) {
         match &self.step {
             Some(FetchStep::Request(source, request)) => (*source, *request),
-            other => panic!("unexpected reply or step: {other:?}"),
+            other => panic!("unexpected step: {other:?}"),
         }
     }
 
--- a/components/keeper/tests/halls.rs
+++ b/components/keeper/tests/halls.rs
@@ -17,7 +17,7 @@
     fn command(&mut self, hall: &str, takes_work: bool) -> EmptiedHalls {
         match self.reply_to(|call| Event::HallCommand(call, command(hall, takes_work))) {
             Some(Reply::Halls(halls)) => halls,
-            other => panic!("unexpected reply or step: {other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 
@@ -32,7 +32,7 @@
     fn read(&mut self) -> EmptiedHalls {
         match self.reply_to(Event::ReadHalls) {
             Some(Reply::Halls(halls)) => halls,
-            other => panic!("unexpected reply or step: {other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 
@@ -64,7 +64,7 @@
         };
         match self.reply_to(|call| Event::Watch(call, request)) {
             Some(Reply::Watch(WatchReply { nodes: Some(update), .. })) => update.revision(),
-            other => panic!("unexpected reply or step: {other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 }
--- a/components/keeper/tests/propagation.rs
+++ b/components/keeper/tests/propagation.rs
@@ -218,7 +218,7 @@
                 step
             }
             Reply::Part(part) => fetch.part_answered(now, source, part),
-            other => panic!("unexpected reply or step: {other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         };
         while let Some(next) = step.take() {
             match next {
