--- a/components/consensus/tests/cluster/mod.rs
+++ b/components/consensus/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! Replicas that exchange messages in virtual time, each with a disk.
+//! A simulated cluster: replicas with journals that exchange messages in virtual time.
 
-// Each test file uses a part of it.
+// Not every test file uses all helpers.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -8,36 +8,36 @@
 use std::time::Duration;
 
 use consensus::{
-    Action, Entry, Event, Message, News, Payload, ProposalId, Record, Replica, Timing,
+    Action, Entry, Event, LogEvent, Message, Payload, ProposalId, Record, Replica, Timing,
     initial_records,
 };
 use model::{NodeName, Time};
 
 const START: Time = Time::from_millis(1_000_000);
-const HOP: Duration = Duration::from_millis(2);
+const LATENCY: Duration = Duration::from_millis(2);
 
-/// One replica with its disk.
+/// A replica with its journal.
 pub struct Node {
     pub replica: Option<Replica>,
     pub disk: Vec<Record>,
     pub committed: Vec<Entry>,
 }
 
-/// Replicas, and which of them can't be reached.
+/// The replicas, and the network between them.
 pub struct Cluster {
     pub now: Time,
     pub nodes: BTreeMap<NodeName, Node>,
-    pub cut: BTreeSet<NodeName>,
-    /// Whom replicas know that are no members; all where there is none.
+    pub isolated: BTreeSet<NodeName>,
+    /// The replicas that a non-member asks; all if `None`.
     pub contacts: Option<Vec<NodeName>>,
     timing: Timing,
-    frames: BinaryHeap<Reverse<(Time, u64)>>,
-    contents: HashMap<u64, (NodeName, NodeName, Message)>,
+    in_flight: BinaryHeap<Reverse<(Time, u64)>>,
+    messages: HashMap<u64, (NodeName, NodeName, Message)>,
     sequence: u64,
     proposals: u64,
-    lives: u64,
-    /// The most bytes of commands that one message had.
-    pub largest: usize,
+    starts: u64,
+    /// The largest total size of commands in one message, in bytes.
+    pub largest_message: usize,
 }
 
 pub fn name(number: usize) -> NodeName {
@@ -54,22 +54,22 @@
 }
 
 impl Cluster {
-    /// Replicas whose members never change.
+    /// A cluster whose members never change.
     pub fn new(count: usize) -> Self {
         Self::with_timing(count, Timing::default())
     }
 
-    /// Replicas of which so many found the cluster and so many are to vote; a replica without a
-    /// journal knows the founders only.
-    pub fn founded(founders: usize, voters: usize, count: usize) -> Self {
+    /// `founders` replicas found the cluster and the others join; up to `voters` replicas vote.
+    /// Joining replicas know only the founders.
+    pub fn with_founders(founders: usize, voters: usize, count: usize) -> Self {
         let timing = Timing { voters: Some(voters), ..Timing::default() };
         let mut cluster = Self::with_timing(founders, timing);
         cluster.contacts = Some((1..=founders).map(name).collect());
-        (founders + 1..=count).for_each(|number| cluster.add(&name(number)));
+        (founders + 1..=count).for_each(|number| cluster.add_blank(&name(number)));
         cluster
     }
 
-    /// Replicas of which so many are to vote.
+    /// A cluster that maintains `count` voters.
     pub fn with_voters(count: usize) -> Self {
         Self::with_timing(count, Timing { voters: Some(count), ..Timing::default() })
     }
@@ -85,25 +85,25 @@
         let mut cluster = Self {
             now: START,
             nodes,
-            cut: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             contacts: None,
             timing,
-            frames: BinaryHeap::new(),
-            contents: HashMap::new(),
+            in_flight: BinaryHeap::new(),
+            messages: HashMap::new(),
             sequence: 0,
             proposals: 0,
-            lives: 0,
-            largest: 0,
+            starts: 0,
+            largest_message: 0,
         };
         members.iter().for_each(|name| cluster.start(name));
         cluster
     }
 
     pub fn start(&mut self, name: &NodeName) {
-        self.lives += 1;
+        self.starts += 1;
         let node = self.nodes.get_mut(name).unwrap();
         let replica =
-            Replica::recover(name.clone(), node.disk.clone(), self.timing, self.lives, self.now);
+            Replica::recover(name.clone(), node.disk.clone(), self.timing, self.starts, self.now);
         let mut replica = replica.unwrap();
         let all = || self.nodes.keys().cloned().collect();
         replica.set_contacts(self.contacts.clone().unwrap_or_else(all));
@@ -112,8 +112,8 @@
         node.replica = Some(replica);
     }
 
-    /// Starts a replica on an empty disk that knows nothing but whom to ask.
-    pub fn add(&mut self, name: &NodeName) {
+    /// Starts a replica on an empty disk.
+    pub fn add_blank(&mut self, name: &NodeName) {
         let disk = Replica::blank_records(Vec::new());
         let node = Node { replica: None, disk, committed: Vec::new() };
         self.nodes.insert(name.clone(), node);
@@ -124,13 +124,13 @@
         self.nodes.get_mut(name).unwrap().replica = None;
     }
 
-    /// Loses power, perhaps while the next message to it is being stored: of what was not synced,
-    /// the first `kept` records are there, and nothing that was to follow them is done.
+    /// Cuts the power while the next message is processed: only the first `kept` unsynced records
+    /// are stored, and no later action is performed.
     pub fn lose_power(&mut self, name: &NodeName, kept: usize) {
         let now = self.now;
-        let to_it = self.contents.iter().filter(|(_, (_, to, _))| to == name);
+        let to_it = self.messages.iter().filter(|(_, (_, to, _))| to == name);
         let next = to_it.map(|(sequence, _)| *sequence).min();
-        let message = next.and_then(|sequence| self.contents.get(&sequence).cloned());
+        let message = next.and_then(|sequence| self.messages.get(&sequence).cloned());
         let node = self.nodes.get_mut(name).unwrap();
         let mut actions = Vec::new();
         if let (Some(replica), Some((from, _, message))) = (&mut node.replica, message) {
@@ -152,9 +152,9 @@
         let end = self.now + time;
         while self.now < end {
             self.now = self.now + Duration::from_millis(1);
-            while self.frames.peek().is_some_and(|Reverse((time, _))| *time <= self.now) {
-                let Reverse((_, sequence)) = self.frames.pop().unwrap();
-                let Some((from, to, message)) = self.contents.remove(&sequence) else { continue };
+            while self.in_flight.peek().is_some_and(|Reverse((time, _))| *time <= self.now) {
+                let Reverse((_, sequence)) = self.in_flight.pop().unwrap();
+                let Some((from, to, message)) = self.messages.remove(&sequence) else { continue };
                 self.handle(&to, Event::Message { from, message });
             }
             let names: Vec<NodeName> = self.nodes.keys().cloned().collect();
@@ -166,7 +166,7 @@
 
     pub fn handle(&mut self, name: &NodeName, event: Event) -> Vec<Action> {
         let now = self.now;
-        // One that is gone for good takes nothing.
+        // The replica was removed for good.
         let Some(node) = self.nodes.get_mut(name) else { return Vec::new() };
         let Some(replica) = &mut node.replica else { return Vec::new() };
         let mut actions = Vec::new();
@@ -176,7 +176,7 @@
                 Action::Store(records) => node.disk.extend(records.clone()),
                 Action::Rewrite(records) => node.disk = records.clone(),
                 Action::Commit(entry) => node.committed.push(entry.clone()),
-                Action::News(News::Violation(violation)) => panic!("{name}: {violation}"),
+                Action::Log(LogEvent::Violation(violation)) => panic!("{name}: {violation}"),
                 _ => {}
             }
         }
@@ -188,49 +188,49 @@
         actions
     }
 
-    /// Drops what is on its way: the hosts at both ends have lost power.
-    pub fn drop_frames(&mut self) {
-        self.contents.clear();
+    /// Drops all messages in transit.
+    pub fn drop_messages(&mut self) {
+        self.messages.clear();
     }
 
     pub fn send(&mut self, from: &NodeName, to: &NodeName, message: Message) {
-        if self.cut.contains(from) || self.cut.contains(to) {
+        if self.isolated.contains(from) || self.isolated.contains(to) {
             return;
         }
-        self.largest = self.largest.max(command_bytes(&message));
+        self.largest_message = self.largest_message.max(command_bytes(&message));
         self.sequence += 1;
-        self.frames.push(Reverse((self.now + HOP, self.sequence)));
-        self.contents.insert(self.sequence, (from.clone(), to.clone(), message));
+        self.in_flight.push(Reverse((self.now + LATENCY, self.sequence)));
+        self.messages.insert(self.sequence, (from.clone(), to.clone(), message));
     }
 
     pub fn replica(&self, name: &NodeName) -> &Replica {
-        self.nodes[name].replica.as_ref().expect("it lives")
+        self.nodes[name].replica.as_ref().expect("the replica is running")
     }
 
-    /// The replica that is sure to lead; at most one is.
+    /// The confirmed leader; asserts that there is at most one.
     pub fn leader(&self) -> Option<NodeName> {
-        let sure = |(_, node): &(&NodeName, &Node)| {
-            node.replica.as_ref().is_some_and(|replica| replica.is_sure(self.now))
+        let confirmed = |(_, node): &(&NodeName, &Node)| {
+            node.replica.as_ref().is_some_and(|replica| replica.is_confirmed_leader(self.now))
         };
         let leaders: Vec<NodeName> =
-            self.nodes.iter().filter(sure).map(|(name, _)| name.clone()).collect();
-        assert!(leaders.len() <= 1, "{leaders:?} are sure at once");
+            self.nodes.iter().filter(confirmed).map(|(name, _)| name.clone()).collect();
+        assert!(leaders.len() <= 1, "{leaders:?} are confirmed leaders at the same time");
         leaders.into_iter().next()
     }
 
-    /// Proposes a command at the leader and waits until it is committed there.
+    /// Proposes a command; returns whether the leader commits it within 50 ms.
     pub fn propose(&mut self, command: &[u8]) -> bool {
         let Some(leader) = self.leader() else { return false };
         self.proposals += 1;
         let id = ProposalId(self.proposals);
         self.handle(&leader, Event::Propose { id, command: command.to_vec() });
         self.run_for(Duration::from_millis(50));
-        self.has(&leader, command)
+        self.has_committed(&leader, command)
     }
 
-    pub fn has(&self, name: &NodeName, command: &[u8]) -> bool {
-        let is = |entry: &Entry| entry.payload == Payload::Command(command.to_vec());
-        self.nodes[name].committed.iter().any(is)
+    pub fn has_committed(&self, name: &NodeName, command: &[u8]) -> bool {
+        let matches = |entry: &Entry| entry.payload == Payload::Command(command.to_vec());
+        self.nodes[name].committed.iter().any(matches)
     }
 }
 
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches a keeper and what it does.
+//! Inputs and outputs of a keeper.
 
 use consensus::{Message, Record};
 use model::NodeName;
@@ -8,106 +8,108 @@
     PullReply, PullRequest, WatchReply, WatchRequest,
 };
 
-use crate::Version;
+use crate::TreeVersion;
 
-/// Someone who waits for a reply, numbered by the daemon.
+/// Identifies a call that waits for a reply; assigned by the caller of [`crate::Keeper::handle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ticket(pub u64);
+pub struct CallId(pub u64);
 
-/// What reaches a keeper.
+/// An input of a keeper.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An operator's change.
-    Change(Ticket, ChangeRequest),
-    /// An operator reads the tree.
-    Read(Ticket),
-    /// An operator reads the last versions.
-    History(Ticket),
-    /// An operator replaces the whole document.
-    Replace(Ticket, Document),
+    /// An operator changes the settings tree.
+    Change(CallId, ChangeRequest),
+    /// An operator reads the settings tree.
+    ReadTree(CallId),
+    /// An operator reads the recent versions of the settings tree.
+    ReadHistory(CallId),
+    /// An operator replaces the document.
+    ReplaceDocument(CallId, Document),
     /// An operator reads the document.
-    Fetch(Ticket),
-    /// An operator has a hall emptied or refilled.
-    OrderHall(Ticket, HallOrder),
-    /// An operator reads which halls are emptied.
-    ReadHalls(Ticket),
-    /// A node registers and waits for news.
-    Watch(Ticket, WatchRequest),
-    /// A node asks for a part of a document.
-    Part(Ticket, PartRequest),
-    /// The process is about to stop.
+    ReadDocument(CallId),
+    /// An operator empties or refills a hall.
+    HallCommand(CallId, HallOrder),
+    /// An operator reads the emptied halls.
+    ReadHalls(CallId),
+    /// A node registers and waits for updates (long poll).
+    Watch(CallId, WatchRequest),
+    /// A node requests a part of a document.
+    FetchPart(CallId, PartRequest),
+    /// The process is about to stop; a leader transfers leadership.
     Resign,
-    /// A node asks for newer settings.
-    Pull(Ticket, PullRequest),
-    /// Another keeper's message.
-    Peer(NodeName, Message),
-    /// Time has passed.
+    /// A node requests newer settings and waits for them (long poll).
+    Pull(CallId, PullRequest),
+    /// A message from another keeper.
+    PeerMessage(NodeName, Message),
+    /// Checks the timers.
     Tick,
 }
 
-/// A version of the tree, for operators.
+/// The settings tree at one version, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TreeReply {
-    /// The version.
+    /// The version of the tree.
     pub version: u64,
-    /// The tree as INI.
+    /// The tree in INI format.
     pub tree: String,
 }
 
-/// A reply to one who waits.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To a change: its first answer.
+    /// The result of a change. A repeated change gets its first result.
     Change(ChangeResult),
-    /// To a read.
+    /// The settings tree.
     Tree(TreeReply),
-    /// To a question for the last versions.
-    History(Vec<Version>),
-    /// To a document: it lasts, or a higher version does.
+    /// The recent versions, oldest first.
+    History(Vec<TreeVersion>),
+    /// The document, or one with a higher version, is committed.
     Replaced,
-    /// To a read of the document; none where there never was one.
+    /// The current document; `None` if there has never been one.
     Document(Option<Document>),
-    /// To an order for a hall, which lasts, and to a read of the halls that are emptied.
+    /// The emptied halls, for a read or after a committed hall command.
     Halls(EmptiedHalls),
-    /// To a node that is registered.
+    /// Updates for a registered node.
     Watch(WatchReply),
-    /// To a node that asks for a part; none where this keeper has not that version.
+    /// A part of a document; `None` if this keeper does not have that version.
     Part(Option<DocumentPart>),
-    /// To a node.
+    /// Newer settings for a node.
     Pull(PullReply),
-    /// This keeper is not sure to lead: nothing is known from it. Of a change, not even whether
-    /// it was taken.
-    Unsure(Option<NodeName>),
+    /// This keeper is not the confirmed leader; holds the leader it follows, if known. A change
+    /// that was already sent may still be committed.
+    NotLeader(Option<NodeName>),
 }
 
-/// What a keeper does. Stores come before what depends on them.
+/// An output of a keeper. Actions have to be performed in order, as later ones may depend on
+/// earlier stores.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Writes records; they have to be synced before any later action is done.
+    /// Appends records to the journal; they have to be synced before any later action is performed.
     Store(Vec<Record>),
-    /// Replaces all records by these, in one step, synced.
+    /// Atomically replaces all records of the journal by these and syncs it.
     Rewrite(Vec<Record>),
-    /// Sends a message to another keeper; it may be lost.
+    /// Sends a message to another keeper; delivery is not guaranteed.
     Send(NodeName, Message),
-    /// Replies to one who waits.
-    Respond(Ticket, Reply),
-    /// Reports a change of state.
-    News(News),
+    /// Replies to a call.
+    Respond(CallId, Reply),
+    /// Reports a change of state for the operator's log.
+    Log(LogEvent),
 }
 
-/// A change of a keeper's state, for the log.
+/// A change of a keeper's state, reported to the operator's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
-    /// Of the replicated log.
-    Log(consensus::News),
-    /// A version was accepted.
-    Version(u64),
-    /// A document came into force.
-    Document(u64),
-    /// Other halls are emptied than before.
-    Halls(EmptiedHalls),
-    /// The list of registered nodes is another one.
-    Nodes(usize),
-    /// An entry of the log can't be read: written by a newer program, or a bug.
-    Unreadable(u64),
+pub enum LogEvent {
+    /// An event of the replicated log.
+    Replica(consensus::LogEvent),
+    /// This version of the settings tree was committed.
+    SettingsVersion(u64),
+    /// This version of the document was committed.
+    DocumentVersion(u64),
+    /// The set of emptied halls changed.
+    EmptiedHalls(EmptiedHalls),
+    /// The number of registered nodes changed.
+    RegisteredNodes(usize),
+    /// The log entry at this index can't be decoded: it was written by a newer release, or there is
+    /// a bug.
+    UnreadableEntry(u64),
 }
--- a/components/keeper/src/fetch.rs
+++ b/components/keeper/src/fetch.rs
@@ -1,9 +1,9 @@
-//! The node's side of a new document: whom it asks for the next part.
+//! The node's side of a document transfer: chooses the source of the next part.
 //!
-//! Keepers and agents tell a node which version they have. It fetches the newest, one part at a time and each from the
-//! next of those that have it: a document comes to a node once, however many have it, and each of them sends its share. What
-//! has come stays, whoever sent it: a source that goes silent costs a part, and a link that is slow costs time, but never
-//! the whole document again. Asking for a whole one with a time-out would never end where the document takes longer than that.
+//! Keepers and agents advertise the version that they have. A node fetches the newest one part by
+//! part, taking turns between the sources that have it, so that it receives the document once and
+//! the load is shared. Received parts are kept whichever source sent them: a silent source delays
+//! one part, and a slow link delays the transfer but does not restart it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 use model::Time;
 use wire::{Document, DocumentPart, PartRequest};
 
-/// A part that has not come for so long is asked for elsewhere; it still counts when it comes. Twice what a part
-/// takes alone on the slowest link so far (2 Mbit/s), and a sixth of the time in which a document is to be in force.
-pub const PART_WITHIN: Duration = Duration::from_millis(300);
+/// Time after which a part is requested from another source. A part that arrives later is still
+/// accepted.
+pub const PART_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Who can send parts of a document. Agents come last: what they have may be older than what keepers are about
-/// to tell of.
+/// A source of document parts. Agents are ordered last, as their version may be older than that of
+/// the keepers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DocumentSource {
     /// A keeper, by its address.
     Keeper(SocketAddr),
-    /// An agent, by the number of its session.
+    /// An agent, by its session number.
     Agent(u64),
 }
 
 impl DocumentSource {
-    /// What it is, as a word for the log.
+    /// The kind of the source, as a value for log lines.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Keeper(_) => "keeper",
@@ -36,188 +36,194 @@
     }
 }
 
-/// What follows from an event.
+/// What the caller has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchStep {
-    /// Ask a source for a part, and call [`DocumentFetch::next`] after [`PART_WITHIN`].
-    Ask(DocumentSource, PartRequest),
-    /// A document has come whole; this source sent the last part. Call [`DocumentFetch::next`] after it is taken.
-    Whole(Document, DocumentSource),
+    /// Send the request to the source, and call [`DocumentFetch::next_step`] again after
+    /// [`PART_TIMEOUT`].
+    Request(DocumentSource, PartRequest),
+    /// The document is complete; the source sent the last part. Call [`DocumentFetch::next_step`]
+    /// once the document is in force.
+    Complete(Document, DocumentSource),
 }
 
-/// A document of which parts are still to come.
+/// A document that is partly received.
 #[derive(Debug)]
 struct Transfer {
     version: u64,
     bytes: Vec<u8>,
-    /// Of the whole that the parts so far belong to; none before the first.
+    /// The digest of the packed document that the received parts belong to; `None` before the first
+    /// part.
     digest: Option<u64>,
-    /// Whom the next part was asked of, and when.
-    asked: Option<(DocumentSource, Time)>,
+    /// The source of the outstanding request and when it was sent.
+    request: Option<(DocumentSource, Time)>,
 }
 
-/// A node's fetching of documents.
+/// The state of a node's document transfers.
 #[derive(Debug, Default)]
 pub struct DocumentFetch {
-    /// The newest version that has come whole.
-    have: u64,
-    /// The version that each source has told of, where it is newer.
+    /// The newest version that was completely received.
+    version: u64,
+    /// The version that each source advertises, if newer than `version`.
     offers: BTreeMap<DocumentSource, u64>,
     transfer: Option<Transfer>,
-    /// Who was asked last: the next part is asked of the source after it.
-    last: Option<DocumentSource>,
+    /// The source of the latest request; the next one goes to the source after it.
+    last_source: Option<DocumentSource>,
 }
 
 impl DocumentFetch {
-    /// The newest version that has come whole; 0 for none.
+    /// The newest version that was completely received; 0 if none.
     pub fn version(&self) -> u64 {
-        self.have
+        self.version
     }
 
-    /// Whether someone has told of a version that has not come yet.
+    /// Whether a source advertises a newer version than the one received.
     pub fn is_behind(&self) -> bool {
         !self.offers.is_empty()
     }
 
-    /// A source tells the version that it has.
-    pub fn offered(
+    /// Handles a source's advertisement of its version.
+    pub fn version_offered(
         &mut self,
         now: Time,
         source: DocumentSource,
         version: u64,
     ) -> Option<FetchStep> {
-        if version > self.have {
+        if version > self.version {
             self.offers.insert(source, version);
         } else {
             self.offers.remove(&source);
         }
-        self.next(now)
+        self.next_step(now)
     }
 
-    /// A source answers; `None` where it has no such version any more.
-    pub fn answered(
+    /// Handles a source's answer; `None` means that it no longer has the requested version.
+    pub fn part_answered(
         &mut self,
         now: Time,
         source: DocumentSource,
         part: Option<DocumentPart>,
     ) -> Option<FetchStep> {
         match part {
-            Some(part) => self.take_part(now, source, part),
-            None => self.refused(now, source),
+            Some(part) => self.accept_part(now, source, part),
+            None => self.handle_missing_version(now, source),
         }
     }
 
-    /// A source can't be asked any more.
-    pub fn gone(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
+    /// Handles the loss of the connection to a source.
+    pub fn source_gone(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
         self.offers.remove(&source);
-        self.ask_again_if_asked(source);
-        self.next(now)
+        self.cancel_request_to(source);
+        self.next_step(now)
     }
 
-    /// What to ask for next, and of whom. A source that has let its time pass is not asked before it tells of a
-    /// version again.
-    pub fn next(&mut self, now: Time) -> Option<FetchStep> {
-        if let Some((source, at)) = self.transfer.as_ref().and_then(|transfer| transfer.asked) {
-            if now.since(at) < PART_WITHIN {
+    /// The next request to send, if any. A source that timed out is not asked again until it
+    /// advertises a version again.
+    pub fn next_step(&mut self, now: Time) -> Option<FetchStep> {
+        if let Some((source, at)) = self.transfer.as_ref().and_then(|transfer| transfer.request) {
+            if now.since(at) < PART_TIMEOUT {
                 return None;
             }
             self.offers.remove(&source);
-            self.ask_again_if_asked(source);
+            self.cancel_request_to(source);
         }
         let newest = self.offers.values().copied().max()?;
-        // Nobody is left who has what was being fetched.
+        // No source has the version of the current transfer any more.
         self.transfer.take_if(|transfer| transfer.version > newest);
-        let begin = || Transfer { version: newest, bytes: Vec::new(), digest: None, asked: None };
-        let version = self.transfer.get_or_insert_with(begin).version;
+        let start = || Transfer { version: newest, bytes: Vec::new(), digest: None, request: None };
+        let version = self.transfer.get_or_insert_with(start).version;
         let source = self.next_source(version)?;
         let transfer = self.transfer.as_mut()?;
-        transfer.asked = Some((source, now));
-        self.last = Some(source);
+        transfer.request = Some((source, now));
+        self.last_source = Some(source);
         let request = PartRequest { version, offset: transfer.bytes.len() };
-        Some(FetchStep::Ask(source, request))
+        Some(FetchStep::Request(source, request))
     }
 
-    /// The source after the last one that has a version, or a newer one: keepers remember some that were replaced.
+    /// The next source in turn that has this version or a newer one, as keepers keep some replaced
+    /// versions. Agents are used only if no keeper qualifies.
     fn next_source(&self, version: u64) -> Option<DocumentSource> {
         let has = |(_, offer): &(&DocumentSource, &u64)| **offer >= version;
-        let have: Vec<DocumentSource> =
+        let available: Vec<DocumentSource> =
             self.offers.iter().filter(has).map(|(source, _)| *source).collect();
         let is_keeper = |source: &&DocumentSource| matches!(source, DocumentSource::Keeper(_));
-        let keepers = have.iter().filter(is_keeper).count();
-        let first = if keepers > 0 { &have[..keepers] } else { &have[..] };
-        let after = first.iter().find(|source| self.last.is_some_and(|last| **source > last));
-        after.or(first.first()).copied()
+        let keepers = available.iter().filter(is_keeper).count();
+        let first = if keepers > 0 { &available[..keepers] } else { &available[..] };
+        let next = first.iter().find(|source| self.last_source.is_some_and(|last| **source > last));
+        next.or(first.first()).copied()
     }
 
-    fn take_part(
+    fn accept_part(
         &mut self,
         now: Time,
         source: DocumentSource,
         part: DocumentPart,
     ) -> Option<FetchStep> {
         let transfer = self.transfer.as_mut()?;
-        // A part that was asked for elsewhere as well comes twice.
+        // A part that was requested from two sources arrives twice.
         if part.version != transfer.version || part.offset != transfer.bytes.len() {
             return None;
         }
         if transfer.digest.is_some_and(|digest| digest != part.digest) {
-            return self.take_other(now, source);
+            return self.handle_digest_mismatch(now, source);
         }
         transfer.digest = Some(part.digest);
         transfer.bytes.extend_from_slice(&part.bytes);
-        transfer.asked = None;
-        // One that was given up as late is there after all.
+        transfer.request = None;
+        // The source may have been removed after a timeout.
         self.offers.entry(source).or_insert(part.version);
         if transfer.bytes.len() < part.total && !part.bytes.is_empty() {
-            return self.next(now);
+            return self.next_step(now);
         }
         let Transfer { version, bytes, .. } = self.transfer.take()?;
         let is_whole = bytes.len() == part.total;
         let document = Document::unpack(version, bytes).filter(|_| is_whole);
         let Some(document) = document else {
-            // It says of itself that it is longer than all that there is, or is no document: not asked before it tells
-            // again.
+            // The parts do not add up to the announced length or can't be unpacked; the source is
+            // not asked again until it advertises a version again.
             self.offers.remove(&source);
-            return self.next(now);
+            return self.next_step(now);
         };
-        self.have = version;
+        self.version = version;
         self.offers.retain(|_, offer| *offer > version);
-        Some(FetchStep::Whole(document, source))
+        Some(FetchStep::Complete(document, source))
     }
 
-    /// A source packs the text in another way than the one before, as another release may: the others go on with what has
-    /// come, and where there are none, all of it is asked for again.
-    fn take_other(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
-        self.ask_again_if_asked(source);
+    /// Handles a part whose digest differs from that of the earlier parts, as when another release
+    /// packs the document differently. Other sources continue the transfer; if there are none, it
+    /// restarts from this source.
+    fn handle_digest_mismatch(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
+        self.cancel_request_to(source);
         let offer = self.offers.remove(&source);
         if self.offers.is_empty() {
             self.transfer = None;
             self.offers.extend(offer.map(|version| (source, version)));
         }
-        self.next(now)
+        self.next_step(now)
     }
 
-    /// A source has not the version that is being fetched: it has a newer one by now, or it is another life of it.
-    fn refused(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
-        let (asked, version) =
-            self.transfer.as_ref().map(|transfer| (transfer.asked, transfer.version))?;
-        if asked.is_none_or(|(asked, _)| asked != source) {
+    /// Handles a source that does not have the requested version, because it has a newer one or was
+    /// restarted.
+    fn handle_missing_version(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
+        let (request, version) =
+            self.transfer.as_ref().map(|transfer| (transfer.request, transfer.version))?;
+        if request.is_none_or(|(asked, _)| asked != source) {
             return None;
         }
         if self.offers.get(&source).is_some_and(|offer| *offer > version) {
             self.transfer = None;
         } else {
             self.offers.remove(&source);
-            self.ask_again_if_asked(source);
+            self.cancel_request_to(source);
         }
-        self.next(now)
+        self.next_step(now)
     }
 
-    fn ask_again_if_asked(&mut self, source: DocumentSource) {
+    fn cancel_request_to(&mut self, source: DocumentSource) {
         if let Some(transfer) = &mut self.transfer
-            && transfer.asked.is_some_and(|(asked, _)| asked == source)
+            && transfer.request.is_some_and(|(asked, _)| asked == source)
         {
-            transfer.asked = None;
+            transfer.request = None;
         }
     }
 }
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper's state machine: the replicated log with the settings tree on it.
+//! The keeper's state machine: the replicated log with the settings state on top.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -8,50 +8,50 @@
 use thiserror::Error;
 use wire::{ChangeRequest, Document, HallOrder, PartRequest, WatchRequest};
 
-use crate::committed::{decode, encode};
+use crate::apply::{decode_state, encode_state};
+use crate::pending_calls::{PendingChange, PendingPull};
 use crate::registry::Registry;
-use crate::waits::{Puller, Waiter};
-use crate::{Action, Command, Event, LogCommand, Reply, State, Ticket, TreeReply};
+use crate::{Action, CallId, Event, LogCommand, Reply, SettingsChange, State, TreeReply};
 
-/// Versions shown to operators.
-const HISTORY: usize = 100;
+/// Maximum number of versions in a history reply.
+const HISTORY_VERSIONS_MAX: usize = 100;
 
 /// Why a keeper can't start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeeperError {
-    /// The journal's records lead to no log.
+    /// The journal's records can't be replayed.
     #[error("{0}")]
     Log(#[from] RecoverError),
-    /// The snapshot can't be read.
-    #[error("the snapshot can't be read")]
+    /// The state in the journal's snapshot can't be decoded.
+    #[error("the state in the journal's snapshot can't be decoded")]
     Snapshot,
 }
 
-/// One life of one keeper.
+/// A keeper, from one start of the process to its end.
 #[derive(Debug)]
 pub struct Keeper {
     pub(crate) replica: Replica,
     pub(crate) state: State,
-    /// Operators by the entry that holds their change, in its order: what follows from an event is the
-    /// same in each run.
-    pub(crate) waiters: BTreeMap<Index, Waiter>,
-    pub(crate) pullers: Vec<Puller>,
-    pub(crate) proposals: HashMap<ProposalId, Waiter>,
+    /// Pending changes by log index. Ordered, so that the order of replies is deterministic.
+    pub(crate) pending_changes: BTreeMap<Index, PendingChange>,
+    pub(crate) pending_pulls: Vec<PendingPull>,
+    pub(crate) proposals: HashMap<ProposalId, PendingChange>,
     next_proposal: u64,
     pub(crate) registry: Registry,
-    /// The last documents that were replaced, the newest last.
-    pub(crate) replaced: VecDeque<Document>,
-    /// The disk takes nothing more: the replica is handed nothing, as if it stood still.
+    /// Recently replaced documents, oldest first.
+    pub(crate) replaced_documents: VecDeque<Document>,
+    /// Whether the disk is full; the replica then receives no events.
     pub(crate) disk_full: bool,
 }
 
-/// The records of a keeper of a new cluster, with the tree that it begins with.
+/// The journal records that a founding keeper of a new cluster starts with.
 pub fn initial_records(members: Vec<NodeName>, tree: Tree) -> Vec<Record> {
-    consensus::initial_records(members, encode(&State::new(tree)))
+    consensus::initial_records(members, encode_state(&State::new(tree)))
 }
 
 impl Keeper {
-    /// A keeper from its journal's records; `seed` is any number.
+    /// Restores a keeper from its journal records. `seed` randomizes the election timer and the
+    /// revisions of the list of nodes.
     pub fn recover(
         name: NodeName,
         records: Vec<Record>,
@@ -60,178 +60,211 @@
         now: Time,
     ) -> Result<Self, KeeperError> {
         let replica = Replica::recover(name, records, timing, seed, now)?;
-        let state = decode(replica.snapshot())?;
+        let state = decode_state(replica.snapshot())?;
         let mut keeper = Self {
             replica,
             state,
-            waiters: BTreeMap::new(),
-            pullers: Vec::new(),
+            pending_changes: BTreeMap::new(),
+            pending_pulls: Vec::new(),
             proposals: HashMap::new(),
             next_proposal: 0,
             registry: Registry::new(seed),
-            replaced: VecDeque::new(),
+            replaced_documents: VecDeque::new(),
             disk_full: false,
         };
         keeper.apply_recovered(now);
         Ok(keeper)
     }
 
-    /// Applies what the journal showed to be committed, so that nodes are told of it at once, and
-    /// not only after an election. Nobody waits yet, and it was reported when it was committed first:
-    /// the actions that follow are dropped.
+    /// Applies the entries that the journal records as committed, so that nodes are served before
+    /// an election. There are no callers yet, so the resulting actions are dropped.
     fn apply_recovered(&mut self, now: Time) {
-        self.registry.document_is(self.state.document_version());
-        self.registry.halls_are(self.state.halls().revision);
-        let mut dropped = Vec::new();
+        self.registry.set_document_version(self.state.document_version());
+        self.registry.set_halls_revision(self.state.halls().revision);
+        let mut ignored = Vec::new();
         for entry in self.replica.recovered_entries() {
-            self.commit(now, &entry, &mut dropped);
+            self.apply_entry(now, &entry, &mut ignored);
         }
     }
 
-    /// Takes an event and adds the actions that follow.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if self.disk_full {
             self.handle_without_disk(now, event, out);
         } else {
             self.handle_with_disk(now, event, out);
         }
-        self.end_waits(now, out);
+        self.expire_pending_calls(now, out);
     }
 
     fn handle_with_disk(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Change(ticket, request) => self.change(now, ticket, request, out),
-            Event::Read(ticket) => self.read(now, ticket, out),
-            Event::History(ticket) => {
-                let history = Reply::History(self.state.history(HISTORY));
-                self.if_sure(now, ticket, history, out);
+            Event::Change(call, request) => self.propose_change(now, call, request, out),
+            Event::ReadTree(call) => self.read_tree(now, call, out),
+            Event::ReadHistory(call) => {
+                let history = Reply::History(self.state.history(HISTORY_VERSIONS_MAX));
+                self.reply_if_leader(now, call, history, out);
             }
-            Event::Replace(ticket, document) => self.replace(now, ticket, document, out),
-            Event::Fetch(ticket) => {
+            Event::ReplaceDocument(call, document) => {
+                self.propose_document(now, call, document, out)
+            }
+            Event::ReadDocument(call) => {
                 let reply = Reply::Document(self.state.document().cloned());
-                self.if_sure(now, ticket, reply, out);
+                self.reply_if_leader(now, call, reply, out);
             }
-            Event::OrderHall(ticket, order) => self.order_hall(now, ticket, order, out),
-            Event::ReadHalls(ticket) => {
+            Event::HallCommand(call, command) => self.propose_hall_command(now, call, command, out),
+            Event::ReadHalls(call) => {
                 let halls = Reply::Halls(self.state.halls().clone());
-                self.if_sure(now, ticket, halls, out);
+                self.reply_if_leader(now, call, halls, out);
             }
-            Event::Watch(ticket, request) => self.watch(now, ticket, request, out),
-            Event::Part(ticket, request) => self.part(ticket, request, out),
-            Event::Resign => self.drive(now, consensus::Event::Resign, out),
-            Event::Pull(ticket, request) => self.pull(now, ticket, &request, out),
-            Event::Peer(from, message) => {
-                self.drive(now, consensus::Event::Message { from, message }, out);
+            Event::Watch(call, request) => self.register_watcher(now, call, request, out),
+            Event::FetchPart(call, request) => self.reply_with_part(call, request, out),
+            Event::Resign => self.step_replica(now, consensus::Event::Resign, out),
+            Event::Pull(call, request) => self.pull(now, call, &request, out),
+            Event::PeerMessage(from, message) => {
+                self.step_replica(now, consensus::Event::Message { from, message }, out);
             }
-            Event::Tick => self.drive(now, consensus::Event::Tick, out),
+            Event::Tick => self.step_replica(now, consensus::Event::Tick, out),
         }
     }
 
-    pub(crate) fn watch(
+    pub(crate) fn register_watcher(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         request: WatchRequest,
         out: &mut Vec<Action>,
     ) {
-        let ended = self.registry.watch(now, ticket, request);
-        self.answer_watchers(ended, out);
+        let watchers = self.registry.watch(now, call, request);
+        self.answer_watchers(watchers, out);
     }
 
-    /// What is committed here is sent whether or not this keeper leads.
-    pub(crate) fn part(&self, ticket: Ticket, request: PartRequest, out: &mut Vec<Action>) {
-        let documents = self.state.document().into_iter().chain(&self.replaced);
+    /// Replies with a part of a committed document, whether or not this keeper leads.
+    pub(crate) fn reply_with_part(
+        &self,
+        call: CallId,
+        request: PartRequest,
+        out: &mut Vec<Action>,
+    ) {
+        let documents = self.state.document().into_iter().chain(&self.replaced_documents);
         let part = documents.filter_map(|document| document.part(request)).next();
-        out.push(Action::Respond(ticket, Reply::Part(part)));
+        out.push(Action::Respond(call, Reply::Part(part)));
     }
 
-    /// The version in force here.
+    /// The committed version of the settings tree.
     pub fn version(&self) -> u64 {
         self.state.version()
     }
 
-    /// The state machine's state.
+    /// The committed state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// How many nodes are registered here.
-    pub fn registered(&self) -> usize {
+    /// The number of nodes registered at this keeper.
+    pub fn registered_nodes(&self) -> usize {
         self.registry.len()
     }
 
-    /// Names keepers that one which is no member asks to be brought up to date by.
+    /// Sets the keepers to ask for the leader while this keeper is not a member.
     pub fn set_contacts(&mut self, contacts: Vec<NodeName>) {
         self.replica.set_contacts(contacts);
     }
 
-    /// Whether it is sure to lead now, and takes changes.
-    pub fn is_sure(&self, now: Time) -> bool {
-        !self.disk_full && self.replica.is_sure(now)
+    /// Whether this keeper is the confirmed leader and its disk is not full, so that it accepts
+    /// changes.
+    pub fn is_confirmed_leader(&self, now: Time) -> bool {
+        !self.disk_full && self.replica.is_confirmed_leader(now)
     }
 
-    /// The replica below.
+    /// The replica of the log.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    fn change(&mut self, now: Time, ticket: Ticket, request: ChangeRequest, out: &mut Vec<Action>) {
-        if !self.is_sure(now) {
-            return self.unsure(ticket, out);
+    fn propose_change(
+        &mut self,
+        now: Time,
+        call: CallId,
+        request: ChangeRequest,
+        out: &mut Vec<Action>,
+    ) {
+        if !self.is_confirmed_leader(now) {
+            return self.reply_not_leader(call, out);
         }
         if let Some(first) = self.state.result(&request.change) {
-            return out.push(Action::Respond(ticket, Reply::Change(first.clone())));
+            return out.push(Action::Respond(call, Reply::Change(first.clone())));
         }
-        let command = LogCommand::Change(Command { request, taken: now });
-        self.propose(now, ticket, &command, out);
+        let command = LogCommand::Change(SettingsChange { request, accepted_at: now });
+        self.propose(now, call, &command, out);
     }
 
-    /// A version that is not above the one in force changes nothing and is acknowledged: what is
-    /// in force lasts.
-    fn replace(&mut self, now: Time, ticket: Ticket, document: Document, out: &mut Vec<Action>) {
-        if !self.is_sure(now) {
-            return self.unsure(ticket, out);
+    /// Replaces the document. A version that is not above the committed one changes nothing and is
+    /// acknowledged at once.
+    fn propose_document(
+        &mut self,
+        now: Time,
+        call: CallId,
+        document: Document,
+        out: &mut Vec<Action>,
+    ) {
+        if !self.is_confirmed_leader(now) {
+            return self.reply_not_leader(call, out);
         }
         if document.version <= self.state.document_version() {
-            return out.push(Action::Respond(ticket, Reply::Replaced));
+            return out.push(Action::Respond(call, Reply::Replaced));
         }
-        self.propose(now, ticket, &LogCommand::Replace(document), out);
+        self.propose(now, call, &LogCommand::Replace(document), out);
     }
 
-    /// Orders have no version: the log's order is theirs. Each goes through the log, also one that what is
-    /// committed fulfils already, as the opposite order may be under way before it.
-    fn order_hall(&mut self, now: Time, ticket: Ticket, order: HallOrder, out: &mut Vec<Action>) {
-        if !self.is_sure(now) {
-            return self.unsure(ticket, out);
+    /// Empties or refills a hall. Hall commands carry no version and take effect in log order. A
+    /// command that the committed state already satisfies is proposed as well, as the opposite
+    /// command may still be uncommitted in the log before it.
+    fn propose_hall_command(
+        &mut self,
+        now: Time,
+        call: CallId,
+        command: HallOrder,
+        out: &mut Vec<Action>,
+    ) {
+        if !self.is_confirmed_leader(now) {
+            return self.reply_not_leader(call, out);
         }
-        self.propose(now, ticket, &LogCommand::Hall(order), out);
+        self.propose(now, call, &LogCommand::Hall(command), out);
     }
 
-    fn propose(&mut self, now: Time, ticket: Ticket, command: &LogCommand, out: &mut Vec<Action>) {
-        let command = serde_json::to_vec(command).expect("plain structs become JSON");
+    fn propose(&mut self, now: Time, call: CallId, command: &LogCommand, out: &mut Vec<Action>) {
+        let command = serde_json::to_vec(command).expect("the value can be serialized as JSON");
         self.next_proposal += 1;
         let id = ProposalId(self.next_proposal);
-        self.proposals.insert(id, Waiter::new(now, ticket));
-        self.drive(now, consensus::Event::Propose { id, command }, out);
+        self.proposals.insert(id, PendingChange::new(now, call));
+        self.step_replica(now, consensus::Event::Propose { id, command }, out);
     }
 
-    fn read(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Action>) {
+    fn read_tree(&mut self, now: Time, call: CallId, out: &mut Vec<Action>) {
         let tree = self.state.tree().to_ini();
         let reply = Reply::Tree(TreeReply { version: self.state.version(), tree });
-        self.if_sure(now, ticket, reply, out);
+        self.reply_if_leader(now, call, reply, out);
     }
 
-    /// Replies where this keeper is sure to lead, so that what it has is the newest there is.
-    pub(crate) fn if_sure(&self, now: Time, ticket: Ticket, reply: Reply, out: &mut Vec<Action>) {
-        if self.is_sure(now) {
-            out.push(Action::Respond(ticket, reply));
+    /// Sends the reply only if this keeper is the confirmed leader, so that callers never read an
+    /// outdated state.
+    pub(crate) fn reply_if_leader(
+        &self,
+        now: Time,
+        call: CallId,
+        reply: Reply,
+        out: &mut Vec<Action>,
+    ) {
+        if self.is_confirmed_leader(now) {
+            out.push(Action::Respond(call, reply));
         } else {
-            self.unsure(ticket, out);
+            self.reply_not_leader(call, out);
         }
     }
 
-    pub(crate) fn unsure(&self, ticket: Ticket, out: &mut Vec<Action>) {
+    pub(crate) fn reply_not_leader(&self, call: CallId, out: &mut Vec<Action>) {
         let leader = self.replica.leader().cloned();
-        out.push(Action::Respond(ticket, Reply::Unsure(leader)));
+        out.push(Action::Respond(call, Reply::NotLeader(leader)));
     }
 }
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -1,23 +1,23 @@
-//! The settings tree as keepers keep it: a replicated log of changes, versions, deltas for nodes.
+//! The settings store of the keepers: a replicated log of changes with versions and deltas.
 //!
-//! Beside the tree they keep one document, which operators replace as a whole, and a list of the
-//! nodes that are registered, which is not replicated.
+//! Besides the settings tree it holds one document, which operators replace as a whole, the emptied
+//! halls, and a list of registered nodes, which is not replicated.
 //!
-//! No clock, socket or disk in here: [`Keeper::handle`] takes a time and an event and gives the
-//! actions that follow.
+//! The crate does no I/O and reads no clock: [`Keeper::handle`] takes the current time and an event
+//! and returns the actions to perform.
 
-mod committed;
+mod apply;
 mod event;
 mod fetch;
 mod full_disk;
 mod keeper;
+mod pending_calls;
 mod registry;
 mod roster;
 mod state;
-mod waits;
 
-pub use event::{Action, Event, News, Reply, Ticket, TreeReply};
-pub use fetch::{DocumentFetch, DocumentSource, FetchStep, PART_WITHIN};
+pub use event::{Action, CallId, Event, LogEvent, Reply, TreeReply};
+pub use fetch::{DocumentFetch, DocumentSource, FetchStep, PART_TIMEOUT};
 pub use keeper::{Keeper, KeeperError, initial_records};
-pub use roster::{RememberedNode, Roster, RosterWork};
-pub use state::{Command, LogCommand, State, Version};
+pub use roster::{Roster, RosterWork, StoredNode};
+pub use state::{LogCommand, SettingsChange, State, TreeVersion};
--- a/components/keeper/src/registry.rs
+++ b/components/keeper/src/registry.rs
@@ -1,10 +1,10 @@
-//! The nodes that are registered at this keeper, and those of them that wait for news.
+//! The nodes registered at this keeper, and those of them that wait for updates.
 //!
-//! The list is soft state: every node registers at every keeper it knows, again and again, so that
-//! a keeper which has just started has the whole list within a second.
+//! The list is soft state: every node registers repeatedly at every keeper it knows, so a keeper
+//! that has just started soon has the complete list.
 //!
-//! Only entries are told of, and only when they change: most changes are of agents, which nobody looks for. A node that has an
-//! earlier list is told what has changed since, as rows and nodes both grow with the fleet.
+//! Only entries are listed, as no node looks up agents. A node that has an earlier revision of the
+//! list receives the changes since then instead of the whole list.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -13,59 +13,59 @@
 use model::{NodeName, Time};
 use wire::{ListChange, ListNews, NodeInfo, NodeList, NodeRole, WatchRequest};
 
-use crate::Ticket;
-
-/// How long a node waits for news; it asks again at once.
-const WATCH_TIME: Duration = Duration::from_millis(1_000);
-/// A node that has not asked for so long is no longer listed.
-const EXPIRY: Duration = Duration::from_millis(4_000);
-/// A changed list is told this long after the first change, so that nodes which start together
-/// are told of together.
-const GATHER: Duration = Duration::from_millis(50);
-/// Changes of the list that are remembered for each entry in it: a restart is two. A node that has missed more is told
-/// the whole list.
+use crate::CallId;
+
+/// Maximum time until a waiting node is answered; it then asks again at once.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time without a request after which a node is removed.
+const NODE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Delay between the first change of the list and its notification, so that nodes which start
+/// together cause one notification.
+const NOTIFY_DELAY: Duration = Duration::from_millis(50);
+/// Number of changes kept per listed entry. A node that has missed more receives the whole list.
 const CHANGES_KEPT_PER_ENTRY: usize = 5;
-/// Bits of a revision that count up; the others tell the keeper's lives apart.
+/// Number of low bits of a revision that count changes; the high bits hold the seed and so differ
+/// between starts of the keeper.
 const REVISION_BITS: u32 = 24;
 
-/// Nodes that do the same.
+/// Nodes with the same role and service.
 type Group = (NodeRole, Arc<str>);
 
-/// A node that waits.
+/// A node that waits for updates.
 #[derive(Clone, Debug)]
 pub(crate) struct Watcher {
-    pub ticket: Ticket,
-    /// The nodes that it is one of.
+    pub call: CallId,
+    /// The group of the node.
     pub group: Group,
-    /// The document that it was told of.
+    /// The document version that the node has.
     document: u64,
-    /// The emptied halls that it was told of.
+    /// The revision of the emptied halls that the node has.
     pub halls: u64,
-    /// The list that it has; `None` where it takes those of other keepers.
+    /// The revision of the list that the node has; `None` if it takes the list from other keepers.
     pub revision: Option<u64>,
-    /// The digest of the keepers that it was told of.
+    /// The digest of the keeper names that the node has.
     pub keepers: u64,
 }
 
-/// The list and who waits.
+/// The registered nodes and the waiting ones.
 #[derive(Debug)]
 pub(crate) struct Registry {
     nodes: BTreeMap<NodeName, (NodeInfo, Time)>,
-    /// How many nodes each group has.
-    sizes: BTreeMap<Group, u32>,
+    /// The number of nodes in each group.
+    group_sizes: BTreeMap<Group, u32>,
     revision: u64,
-    /// The entries that the last revisions changed, the newest last.
+    /// The entry that each of the last revisions changed, oldest first.
     changes: VecDeque<NodeName>,
-    /// The document in force.
-    document: u64,
+    /// The version of the committed document.
+    document_version: u64,
     /// The revision of the emptied halls.
-    halls: u64,
-    /// Who waits, by when they are answered at the latest: at each event only those are looked at whose time is over.
-    watchers: BTreeMap<(Time, Ticket), Watcher>,
-    /// No node is silent for too long before: until then none is looked at.
-    expires_from: Option<Time>,
-    /// When a changed list is told.
-    tell_at: Option<Time>,
+    halls_revision: u64,
+    /// The waiting nodes, ordered by deadline so that expired ones are found without a scan.
+    watchers: BTreeMap<(Time, CallId), Watcher>,
+    /// No node expires before this time; `None` if no node is registered.
+    next_expiry_at: Option<Time>,
+    /// When the watchers are notified of a changed list.
+    notify_at: Option<Time>,
 }
 
 impl Registry {
@@ -73,14 +73,14 @@
         let revision = (seed << REVISION_BITS) | 1;
         Self {
             nodes: BTreeMap::new(),
-            sizes: BTreeMap::new(),
+            group_sizes: BTreeMap::new(),
             revision,
             changes: VecDeque::new(),
-            document: 0,
-            halls: 0,
+            document_version: 0,
+            halls_revision: 0,
             watchers: BTreeMap::new(),
-            expires_from: None,
-            tell_at: None,
+            next_expiry_at: None,
+            notify_at: None,
         }
     }
 
@@ -88,95 +88,99 @@
         self.nodes.len()
     }
 
-    /// Registers a node; returns it as one to answer where there is news already.
-    pub fn watch(&mut self, now: Time, ticket: Ticket, request: WatchRequest) -> Vec<Watcher> {
+    /// Registers a node. Returns it as a watcher to answer at once if it is outdated.
+    pub fn watch(&mut self, now: Time, call: CallId, request: WatchRequest) -> Vec<Watcher> {
         let WatchRequest { node, document, revision, halls, keepers } = request;
         let group = group_of(&node);
-        let known = self.nodes.insert(node.name.clone(), (node.clone(), now)).map(|(node, _)| node);
-        if known.as_ref() != Some(&node) {
-            *self.sizes.entry(group.clone()).or_default() += 1;
-            let was_entry = known.is_some_and(|before| self.leave_group(&before));
+        let previous =
+            self.nodes.insert(node.name.clone(), (node.clone(), now)).map(|(node, _)| node);
+        if previous.as_ref() != Some(&node) {
+            *self.group_sizes.entry(group.clone()).or_default() += 1;
+            let was_entry = previous.is_some_and(|node| self.leave_group(&node));
             if was_entry || node.role == NodeRole::Entry {
-                self.changed(now, node.name.clone());
+                self.record_change(now, node.name.clone());
             }
         }
-        self.expires_from.get_or_insert(now + EXPIRY);
-        let watcher = Watcher { ticket, group, document, halls, revision, keepers };
-        let settled = self.tell_at.is_none() && lacks_list(revision, self.revision);
-        if document < self.document || halls < self.halls || settled {
+        self.next_expiry_at.get_or_insert(now + NODE_TIMEOUT);
+        let watcher = Watcher { call, group, document, halls, revision, keepers };
+        let list_ready = self.notify_at.is_none() && is_list_outdated(revision, self.revision);
+        if document < self.document_version || halls < self.halls_revision || list_ready {
             return vec![watcher];
         }
-        self.watchers.insert((now + WATCH_TIME, ticket), watcher);
+        self.watchers.insert((now + WATCH_TIMEOUT, call), watcher);
         Vec::new()
     }
 
-    /// A document came into force; returns who has to be told.
-    pub fn document_is(&mut self, version: u64) -> Vec<Watcher> {
-        self.document = version;
-        self.take(|watcher| watcher.document < version)
+    /// Sets the document version; returns the watchers to answer.
+    pub fn set_document_version(&mut self, version: u64) -> Vec<Watcher> {
+        self.document_version = version;
+        self.take_matching(|watcher| watcher.document < version)
     }
 
-    /// Other halls are emptied; returns who has to be told.
-    pub fn halls_are(&mut self, revision: u64) -> Vec<Watcher> {
-        self.halls = revision;
-        self.take(|watcher| watcher.halls < revision)
+    /// Sets the revision of the emptied halls; returns the watchers to answer.
+    pub fn set_halls_revision(&mut self, revision: u64) -> Vec<Watcher> {
+        self.halls_revision = revision;
+        self.take_matching(|watcher| watcher.halls < revision)
     }
 
-    /// Lets time pass; returns who has to be answered.
+    /// Checks the timers; returns the watchers to answer.
     pub fn tick(&mut self, now: Time) -> Vec<Watcher> {
         self.expire(now);
-        let mut over = self.take_over(now);
-        if self.tell_at.is_some_and(|at| at <= now) {
-            self.tell_at = None;
+        let mut expired = self.take_expired(now);
+        if self.notify_at.is_some_and(|at| at <= now) {
+            self.notify_at = None;
             let revision = self.revision;
-            over.extend(self.take(|watcher| lacks_list(watcher.revision, revision)));
+            expired
+                .extend(self.take_matching(|watcher| is_list_outdated(watcher.revision, revision)));
         }
-        over
+        expired
     }
 
-    /// Nodes that have been silent for too long are no longer listed.
+    /// Removes nodes that have been silent for too long.
     fn expire(&mut self, now: Time) {
-        if self.expires_from.is_none_or(|from| now < from) {
+        if self.next_expiry_at.is_none_or(|from| now < from) {
             return;
         }
-        let over: Vec<NodeInfo> = self
+        let expired: Vec<NodeInfo> = self
             .nodes
             .values()
-            .filter(|(_, heard)| now.since(*heard) >= EXPIRY)
+            .filter(|(_, last_contact)| now.since(*last_contact) >= NODE_TIMEOUT)
             .map(|(node, _)| node.clone())
             .collect();
-        for node in over {
+        for node in expired {
             self.nodes.remove(&node.name);
             if self.leave_group(&node) {
-                self.changed(now, node.name);
+                self.record_change(now, node.name);
             }
         }
-        let longest_silent = self.nodes.values().map(|(_, heard)| *heard).min();
-        self.expires_from = longest_silent.map(|heard| heard + EXPIRY);
+        let oldest_contact = self.nodes.values().map(|(_, last_contact)| *last_contact).min();
+        self.next_expiry_at = oldest_contact.map(|last_contact| last_contact + NODE_TIMEOUT);
     }
 
-    /// Takes out those who have waited as long as they may.
-    fn take_over(&mut self, now: Time) -> Vec<Watcher> {
-        let mut over = Vec::new();
+    /// Removes and returns the watchers whose deadline has passed.
+    fn take_expired(&mut self, now: Time) -> Vec<Watcher> {
+        let mut expired = Vec::new();
         while let Some(first) = self.watchers.first_entry()
             && first.key().0 <= now
         {
-            over.push(first.remove());
+            expired.push(first.remove());
         }
-        over
+        expired
     }
 
-    /// When the next tick is due.
+    /// When the next tick is due; `None` if nothing is scheduled.
     pub fn next_timer(&self) -> Option<Time> {
         let first = self.watchers.first_key_value().map(|((until, _), _)| *until);
-        first.into_iter().chain(self.tell_at).min()
+        first.into_iter().chain(self.notify_at).min()
     }
 
-    /// What a node is told that has a list of this keeper, or none.
-    pub fn list_news(&self, revision: Option<u64>) -> Option<ListNews> {
+    /// The update of the list for a node that has this revision; `None` if the node is up to date
+    /// or takes the list from other keepers.
+    pub fn list_update(&self, revision: Option<u64>) -> Option<ListNews> {
         let revision = revision.filter(|revision| *revision != self.revision)?;
-        // A revision of an earlier life of this keeper is far away from the present ones.
-        let missed = self.revision.checked_sub(revision).and_then(|by| usize::try_from(by).ok());
+        // A revision from an earlier start of this keeper differs in the high bits, so the
+        // difference exceeds the number of kept changes.
+        let missed = self.revision.checked_sub(revision).and_then(|n| usize::try_from(n).ok());
         let known = missed.filter(|missed| *missed <= self.changes.len());
         Some(known.map_or_else(|| ListNews::Whole(self.list()), |missed| self.last_changes(missed)))
     }
@@ -199,45 +203,46 @@
         ListNews::Change(change)
     }
 
-    /// How many nodes do the same as one that waits.
-    pub fn peers(&self, watcher: &Watcher) -> u32 {
-        self.sizes.get(&watcher.group).copied().unwrap_or(0)
+    /// The number of nodes in the watcher's group.
+    pub fn group_size(&self, watcher: &Watcher) -> u32 {
+        self.group_sizes.get(&watcher.group).copied().unwrap_or(0)
     }
 
-    /// How many entries are listed.
-    fn entries(&self) -> usize {
-        let of_entries = self.sizes.iter().filter(|((role, _), _)| *role == NodeRole::Entry);
+    /// The number of listed entries.
+    fn entry_count(&self) -> usize {
+        let of_entries = self.group_sizes.iter().filter(|((role, _), _)| *role == NodeRole::Entry);
         of_entries.map(|(_, size)| *size as usize).sum()
     }
 
-    /// A node is no longer what it was; returns whether it was an entry.
+    /// Removes a node from its group; returns whether it was an entry.
     fn leave_group(&mut self, node: &NodeInfo) -> bool {
-        if let Some(size) = self.sizes.get_mut(&group_of(node)) {
+        if let Some(size) = self.group_sizes.get_mut(&group_of(node)) {
             *size = size.saturating_sub(1);
         }
         node.role == NodeRole::Entry
     }
 
-    fn changed(&mut self, now: Time, entry: NodeName) {
+    fn record_change(&mut self, now: Time, entry: NodeName) {
         self.revision += 1;
         self.changes.push_back(entry);
-        let most = CHANGES_KEPT_PER_ENTRY * self.entries().max(1);
-        while self.changes.len() > most {
+        let limit = CHANGES_KEPT_PER_ENTRY * self.entry_count().max(1);
+        while self.changes.len() > limit {
             self.changes.pop_front();
         }
-        self.tell_at.get_or_insert(now + GATHER);
+        self.notify_at.get_or_insert(now + NOTIFY_DELAY);
     }
 
-    fn take(&mut self, which: impl Fn(&Watcher) -> bool) -> Vec<Watcher> {
-        let chosen = self.watchers.iter().filter(|(_, watcher)| which(watcher));
-        let chosen: Vec<(Time, Ticket)> = chosen.map(|(key, _)| *key).collect();
-        chosen.iter().filter_map(|key| self.watchers.remove(key)).collect()
+    fn take_matching(&mut self, matches: impl Fn(&Watcher) -> bool) -> Vec<Watcher> {
+        let matching = self.watchers.iter().filter(|(_, watcher)| matches(watcher));
+        let matching: Vec<(Time, CallId)> = matching.map(|(key, _)| *key).collect();
+        matching.iter().filter_map(|key| self.watchers.remove(key)).collect()
     }
 }
 
-/// Whether a node that has a revision of the list, or takes none, has to be told of a newer one.
-fn lacks_list(has: Option<u64>, newest: u64) -> bool {
-    has.is_some_and(|revision| revision != newest)
+/// Whether a node that has this revision of the list needs an update; a node with `None` never
+/// does.
+fn is_list_outdated(revision: Option<u64>, newest: u64) -> bool {
+    revision.is_some_and(|revision| revision != newest)
 }
 
 fn group_of(node: &NodeInfo) -> Group {
--- a/components/keeper/src/roster.rs
+++ b/components/keeper/src/roster.rs
@@ -1,11 +1,11 @@
-//! The nodes that a keeper remembers across its lives, and which of them it calls when it is back.
+//! The nodes that a keeper knows across restarts, and which of them it calls after a start.
 //!
-//! Nodes without a disk know of keepers only what their settings name, three addresses. Where everything has
-//! lost power, other keepers may be up first, and nobody asks them. So a keeper that starts calls the nodes that it knew before,
-//! and they ask it.
+//! Nodes without a disk know only the keepers that their settings name. After a power loss of the
+//! whole fleet, other keepers may start first and would be unknown to the nodes. A starting keeper
+//! therefore calls the nodes that it knew before, and they then register.
 //!
-//! A call is a hint and may be lost: a node that does not ask is called again for some seconds. What is remembered is a hint
-//! as well, and neither replicated nor part of the journal.
+//! A call may be lost and is repeated for a few seconds. The stored list is only a hint; it is
+//! neither replicated nor part of the journal.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -15,81 +15,89 @@
 use serde::{Deserialize, Serialize};
 use wire::NodeInfo;
 
-/// From one call to the next. Hosts that lost power together start within some 0.3 s of each other.
-const CALL_EVERY: Duration = Duration::from_millis(60);
-/// A node that has not asked for so long after the keeper's start is called no more: the hosts of a hall are
-/// back within seconds, and nodes ask the keepers that their settings name by themselves.
-const CALLED_FOR: Duration = Duration::from_secs(5);
-/// A keeper that starts remembers what it knew before for so long, as nodes ask it one after the other.
-const SETTLED: Duration = Duration::from_secs(2);
-/// From one store to the next, at least: a store is three syncs of a disk, some 30 ms.
-const STORE_EVERY: Duration = Duration::from_secs(1);
-/// A node that has not asked for so long is forgotten at the next store.
-const FORGOTTEN: Duration = Duration::from_secs(60);
+/// Interval between calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(60);
+/// Time after the start for which nodes that have not registered are called. Later, nodes find the
+/// keeper through their settings.
+const CALL_PERIOD: Duration = Duration::from_secs(5);
+/// Delay of the first store after a start, so that the nodes that register one after another are
+/// stored together.
+const FIRST_STORE_DELAY: Duration = Duration::from_secs(2);
+/// Minimum interval between two stores, as each store syncs the disk several times.
+const STORE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without contact after which a node is removed at the next store.
+const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// A node as it is remembered.
+/// A node as stored on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RememberedNode {
-    /// Its name.
+pub struct StoredNode {
+    /// The node's name.
     pub name: NodeName,
-    /// Its host; nodes listen for calls at one port.
+    /// The node's host. All nodes listen for calls on the same port.
     pub host: IpAddr,
 }
 
-/// What is to be done.
+/// The work that is due.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RosterWork {
     /// Hosts to call.
     pub call: Vec<IpAddr>,
-    /// What to remember from now on, where it is something else than before.
-    pub store: Option<Vec<RememberedNode>>,
+    /// The nodes to store on disk; `None` if the stored list is up to date.
+    pub store: Option<Vec<StoredNode>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownNode {
     host: IpAddr,
-    /// When it asked last; none where it has not since the keeper's start.
-    heard: Option<Time>,
+    /// When the node last registered; `None` if it has not since the keeper's start.
+    last_contact: Option<Time>,
 }
 
-/// The nodes that one life of a keeper knows, and knew before.
+/// The nodes known to a keeper, including those stored before its start.
 #[derive(Debug)]
 pub struct Roster {
-    began: Time,
-    nodes: BTreeMap<NodeName, Known>,
-    /// When nodes that have not asked are called next.
+    started_at: Time,
+    nodes: BTreeMap<NodeName, KnownNode>,
+    /// When the nodes that have not registered are called next.
     call_at: Option<Time>,
-    /// When something else is to be remembered than before.
+    /// When the changed list is stored.
     store_at: Option<Time>,
-    /// Nothing is stored before.
-    store_from: Time,
+    /// Earliest time of the next store.
+    store_not_before: Time,
 }
 
 impl Roster {
-    /// A keeper starts that remembers these nodes.
-    pub fn new(now: Time, remembered: Vec<RememberedNode>) -> Self {
-        let known = |node: RememberedNode| (node.name, Known { host: node.host, heard: None });
-        let nodes: BTreeMap<NodeName, Known> = remembered.into_iter().map(known).collect();
+    /// Creates the roster of a starting keeper from the nodes stored on disk.
+    pub fn new(now: Time, stored: Vec<StoredNode>) -> Self {
+        let known =
+            |node: StoredNode| (node.name, KnownNode { host: node.host, last_contact: None });
+        let nodes: BTreeMap<NodeName, KnownNode> = stored.into_iter().map(known).collect();
         let call_at = (!nodes.is_empty()).then_some(now);
-        Self { began: now, nodes, call_at, store_at: None, store_from: now + SETTLED }
+        Self {
+            started_at: now,
+            nodes,
+            call_at,
+            store_at: None,
+            store_not_before: now + FIRST_STORE_DELAY,
+        }
     }
 
-    /// A node asks this keeper.
-    pub fn heard(&mut self, now: Time, node: &NodeInfo) {
+    /// Records that a node registered at this keeper.
+    pub fn record_contact(&mut self, now: Time, node: &NodeInfo) {
         let host = node.address.ip();
-        let known = Known { host, heard: Some(now) };
-        let before = self.nodes.insert(node.name.clone(), known);
-        if before.is_none_or(|before| before.host != host) {
-            self.store_at.get_or_insert(self.store_from.max(now));
+        let known = KnownNode { host, last_contact: Some(now) };
+        let previous = self.nodes.insert(node.name.clone(), known);
+        if previous.is_none_or(|previous| previous.host != host) {
+            self.store_at.get_or_insert(self.store_not_before.max(now));
         }
     }
 
-    /// What is due.
+    /// Returns the work that is due.
     pub fn tick(&mut self, now: Time) -> RosterWork {
         RosterWork { call: self.due_calls(now), store: self.due_store(now) }
     }
 
-    /// When something is due next.
+    /// When work is due next.
     pub fn next_timer(&self) -> Option<Time> {
         self.call_at.into_iter().chain(self.store_at).min()
     }
@@ -98,21 +106,22 @@
         if self.call_at.is_none_or(|at| now < at) {
             return Vec::new();
         }
-        let absent = self.nodes.values().filter(|known| known.heard.is_none());
-        let hosts: Vec<IpAddr> = absent.map(|known| known.host).collect();
-        let next = now + CALL_EVERY;
-        let goes_on = !hosts.is_empty() && next.since(self.began) < CALLED_FOR;
-        self.call_at = goes_on.then_some(next);
+        let unregistered = self.nodes.values().filter(|known| known.last_contact.is_none());
+        let hosts: Vec<IpAddr> = unregistered.map(|known| known.host).collect();
+        let next = now + CALL_INTERVAL;
+        let calls_continue = !hosts.is_empty() && next.since(self.started_at) < CALL_PERIOD;
+        self.call_at = calls_continue.then_some(next);
         hosts
     }
 
-    fn due_store(&mut self, now: Time) -> Option<Vec<RememberedNode>> {
+    fn due_store(&mut self, now: Time) -> Option<Vec<StoredNode>> {
         self.store_at.filter(|at| *at <= now)?;
         self.store_at = None;
-        self.store_from = now + STORE_EVERY;
-        let began = self.began;
-        self.nodes.retain(|_, known| now.since(known.heard.unwrap_or(began)) < FORGOTTEN);
-        let node = |(name, known): (&NodeName, &Known)| RememberedNode {
+        self.store_not_before = now + STORE_INTERVAL;
+        let started_at = self.started_at;
+        self.nodes
+            .retain(|_, known| now.since(known.last_contact.unwrap_or(started_at)) < FORGET_AFTER);
+        let node = |(name, known): (&NodeName, &KnownNode)| StoredNode {
             name: name.clone(),
             host: known.host,
         };
--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -1,4 +1,5 @@
-//! The state that every replica reaches by applying the same commands in the same order.
+//! The replicated state machine: every replica reaches the same state by applying the same commands
+//! in log order.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -8,83 +9,89 @@
 use settings::{Catalog, Edit, SectionPath, Tree};
 use wire::{ChangeRequest, ChangeResult, Document, EmptiedHalls, HallOrder, PullReply};
 
-/// Changes whose first answers are remembered: over a week at 1,200 a day.
+/// Number of changes whose results are kept, to answer repeated requests with the first result.
 const RESULTS_KEPT: usize = 10_000;
-/// Versions whose edits are kept for nodes that lag; a longer lag gets the whole tree.
+/// Number of versions whose edits are kept; a node that is further behind receives the whole tree.
 const VERSIONS_KEPT: usize = 2_000;
 
-/// What an entry of the log holds.
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum LogCommand {
     /// A change of the settings tree.
-    Change(Command),
-    /// A whole document.
+    Change(SettingsChange),
+    /// A replacement of the whole document.
     Replace(Document),
-    /// A hall is to be emptied or refilled.
+    /// A command to empty or refill a hall.
     Hall(HallOrder),
 }
 
-/// A change as it stands in the log, with the leader's time when it took it.
+/// A change of the settings tree with the leader's time, so that every replica applies it with the
+/// same time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Command {
-    /// The change.
+pub struct SettingsChange {
+    /// The change as the operator sent it.
     pub request: ChangeRequest,
-    /// When the leader took it.
-    pub taken: Time,
+    /// When the leader accepted the request.
+    #[serde(rename = "taken")]
+    pub accepted_at: Time,
 }
 
-/// The edits of one version.
+/// One version of the settings tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Version {
-    /// The version.
+pub struct TreeVersion {
+    /// The number of the version.
     pub version: u64,
-    /// When the leader took the change.
-    pub taken: Time,
-    /// What it changed.
+    /// When the leader accepted the change.
+    #[serde(rename = "taken")]
+    pub accepted_at: Time,
+    /// The edits since the previous version.
     pub edits: Vec<Edit>,
 }
 
-/// The settings tree with what is remembered of its changes.
+/// The committed state: the settings tree with its recent history, the document and the emptied
+/// halls.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
     version: u64,
     tree: Tree,
-    recent: VecDeque<Version>,
+    #[serde(rename = "recent")]
+    recent_versions: VecDeque<TreeVersion>,
     results: HashMap<String, ChangeResult>,
-    /// Ids of remembered changes, oldest first.
-    order: VecDeque<String>,
-    /// The operators' document of the highest version.
+    /// The ids of the changes in `results`, oldest first.
+    #[serde(rename = "order")]
+    result_ids: VecDeque<String>,
+    /// The document with the highest version.
     #[serde(default)]
     document: Option<Document>,
-    /// The halls that get no new work.
+    /// The emptied halls.
     #[serde(default)]
     halls: EmptiedHalls,
 }
 
 impl State {
-    /// Version 1 of a fleet: the tree that a new keeper starts from.
+    /// The initial state of a new cluster, with the tree as version 1.
     pub fn new(tree: Tree) -> Self {
         Self { version: 1, tree, ..Self::default() }
     }
 
-    /// The version in force.
+    /// The current version of the settings tree.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The document in force.
+    /// The current document.
     pub fn document(&self) -> Option<&Document> {
         self.document.as_ref()
     }
 
-    /// The version of the document in force; 0 where there is none.
+    /// The version of the current document; 0 if there is none.
     pub fn document_version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// Takes a document, unless its version is not above the one in force.
-    pub fn replace(&mut self, document: Document) -> bool {
+    /// Replaces the document if the new version is higher; returns whether it did.
+    pub fn replace_document(&mut self, document: Document) -> bool {
         let higher = document.version > self.document_version();
         if higher {
             self.document = Some(document);
@@ -92,95 +99,99 @@
         higher
     }
 
-    /// The halls that get no new work.
+    /// The emptied halls.
     pub fn halls(&self) -> &EmptiedHalls {
         &self.halls
     }
 
-    /// Carries an order for a hall out; returns whether it changes anything.
-    pub fn order_hall(&mut self, order: HallOrder) -> bool {
-        self.halls.apply(order)
+    /// Applies a hall command; returns whether it changes anything.
+    pub fn apply_hall_command(&mut self, command: HallOrder) -> bool {
+        self.halls.apply(command)
     }
 
-    /// The tree in force.
+    /// The current settings tree.
     pub fn tree(&self) -> &Tree {
         &self.tree
     }
 
-    /// Applies a command. The result depends on nothing but the state and the command.
-    pub fn apply(&mut self, command: &Command) -> ChangeResult {
-        let request = &command.request;
+    /// Applies a change. Deterministic: the result depends only on the state and the change.
+    pub fn apply_change(&mut self, change: &SettingsChange) -> ChangeResult {
+        let request = &change.request;
         if let Some(first) = self.results.get(&request.change) {
             return first.clone();
         }
-        let result = self.decide(command);
+        let result = self.apply_new_change(change);
         self.results.insert(request.change.clone(), result.clone());
-        self.order.push_back(request.change.clone());
-        if self.order.len() > RESULTS_KEPT
-            && let Some(oldest) = self.order.pop_front()
+        self.result_ids.push_back(request.change.clone());
+        if self.result_ids.len() > RESULTS_KEPT
+            && let Some(oldest) = self.result_ids.pop_front()
         {
             self.results.remove(&oldest);
         }
         result
     }
 
-    /// The first answer of a change, while it is remembered.
+    /// The result of an earlier change with this id, if it is still kept.
     pub fn result(&self, change: &str) -> Option<&ChangeResult> {
         self.results.get(change)
     }
 
-    fn decide(&mut self, command: &Command) -> ChangeResult {
-        let request = &command.request;
-        if let Some(conflict) = self.conflict(request) {
+    fn apply_new_change(&mut self, change: &SettingsChange) -> ChangeResult {
+        let request = &change.request;
+        if let Some(conflict) = self.find_conflict(request) {
             return conflict;
         }
         let invalid = |reason: String| ChangeResult::Invalid { reason };
         if request.edits.is_empty() {
             return invalid("no edits".to_owned());
         }
-        let edits = match self.with_previous_view(command) {
+        let edits = match self.edits_with_previous_view(change) {
             Ok(edits) => edits,
             Err(reason) => return invalid(reason),
         };
         match self.tree.with(&edits) {
-            Ok(tree) => self.accept(tree, edits, command.taken),
+            Ok(tree) => self.accept_version(tree, edits, change.accepted_at),
             Err(error) => invalid(error.to_string()),
         }
     }
 
-    fn accept(&mut self, tree: Tree, edits: Vec<Edit>, taken: Time) -> ChangeResult {
+    fn accept_version(&mut self, tree: Tree, edits: Vec<Edit>, accepted_at: Time) -> ChangeResult {
         self.version += 1;
         self.tree = tree;
-        self.recent.push_back(Version { version: self.version, taken, edits });
-        if self.recent.len() > VERSIONS_KEPT {
-            self.recent.pop_front();
+        self.recent_versions.push_back(TreeVersion { version: self.version, accepted_at, edits });
+        if self.recent_versions.len() > VERSIONS_KEPT {
+            self.recent_versions.pop_front();
         }
         ChangeResult::Accepted { version: self.version }
     }
 
-    /// Sections that both the change and others since its base version touch.
-    fn conflict(&self, request: &ChangeRequest) -> Option<ChangeResult> {
+    /// Reports a conflict if the base version is unknown, or if a later version changed one of the
+    /// same sections.
+    fn find_conflict(&self, request: &ChangeRequest) -> Option<ChangeResult> {
         let conflict = |sections| Some(ChangeResult::Conflict { version: self.version, sections });
         if request.base_version > self.version {
             return conflict(Vec::new());
         }
         let behind = self.version - request.base_version;
-        let known = self.recent.len() as u64;
-        let own: BTreeSet<&SectionPath> = request.edits.iter().map(Edit::section).collect();
-        if behind > known {
-            return conflict(own.iter().map(|path| path.to_string()).collect());
+        let kept = self.recent_versions.len() as u64;
+        let changed_sections: BTreeSet<&SectionPath> =
+            request.edits.iter().map(Edit::section).collect();
+        if behind > kept {
+            return conflict(changed_sections.iter().map(|path| path.to_string()).collect());
         }
-        let since = self.recent.iter().filter(|v| v.version > request.base_version);
-        let others: BTreeSet<&SectionPath> =
+        let since = self.recent_versions.iter().filter(|v| v.version > request.base_version);
+        let later_sections: BTreeSet<&SectionPath> =
             since.flat_map(|version| version.edits.iter().map(Edit::section)).collect();
-        let both: Vec<String> = own.intersection(&others).map(|path| path.to_string()).collect();
-        if both.is_empty() { None } else { conflict(both) }
+        let conflicting: Vec<String> =
+            changed_sections.intersection(&later_sections).map(|path| path.to_string()).collect();
+        if conflicting.is_empty() { None } else { conflict(conflicting) }
     }
 
-    /// Adds to a change of the claim view the view before, which must agree as well until no
-    /// claim made under it alone can count any more.
-    fn with_previous_view(&self, command: &Command) -> Result<Vec<Edit>, String> {
-        let mut edits = command.request.edits.clone();
+    /// The edits of a change, with the previous claim view added if the change replaces the claim
+    /// view. Both views have to agree until claims that only the previous view granted have
+    /// expired.
+    fn edits_with_previous_view(&self, change: &SettingsChange) -> Result<Vec<Edit>, String> {
+        let mut edits = change.request.edits.clone();
         let fleet = SectionPath::fleet();
         let key_of = |edit: &Edit| match edit {
             Edit::Set { section, key, .. } | Edit::Unset { section, key } => {
@@ -193,44 +204,44 @@
         if keys.iter().any(|key| key.starts_with("previous_claim_view")) {
             return Err("[fleet] previous_claim_view: written by the keeper only".to_owned());
         }
-        let before = Catalog::new(self.version, &self.tree).fleet().clone();
-        if !keys.iter().any(|key| key == "claim_view") || before.claim_view.is_empty() {
+        let previous = Catalog::new(self.version, &self.tree).fleet().clone();
+        if !keys.iter().any(|key| key == "claim_view") || previous.claim_view.is_empty() {
             return Ok(edits);
         }
-        if command.taken <= before.previous_claim_view_until {
-            let left = before.previous_claim_view_until.since(command.taken).as_secs();
+        if change.accepted_at <= previous.previous_claim_view_until {
+            let left = previous.previous_claim_view_until.since(change.accepted_at).as_secs();
             return Err(format!("[fleet] claim_view: changed before; again in {left} s"));
         }
-        let until = command.taken
-            + before.retention
-            + before.settings_age_max
-            + before.clock_skew * 2
+        let until = change.accepted_at
+            + previous.retention
+            + previous.settings_age_max
+            + previous.clock_skew * 2
             + Duration::from_secs(1);
         let set =
             |key: &str, value| Edit::Set { section: fleet.clone(), key: key.to_owned(), value };
-        edits.push(set("previous_claim_view", before.claim_view.join(" ")));
+        edits.push(set("previous_claim_view", previous.claim_view.join(" ")));
         let millis = (until.as_micros() / 1_000).to_string();
         edits.push(set("previous_claim_view_until_ms", millis));
         Ok(edits)
     }
 
-    /// The last versions, oldest first.
-    pub fn history(&self, count: usize) -> Vec<Version> {
-        let skipped = self.recent.len().saturating_sub(count);
-        self.recent.iter().skip(skipped).cloned().collect()
+    /// The last `count` versions, oldest first.
+    pub fn history(&self, count: usize) -> Vec<TreeVersion> {
+        let skipped = self.recent_versions.len().saturating_sub(count);
+        self.recent_versions.iter().skip(skipped).cloned().collect()
     }
 
-    /// What a node needs that has a version, or none.
-    pub fn since(&self, have: Option<u64>) -> PullReply {
+    /// The update for a node that has version `have`, or no version at all.
+    pub fn update_since(&self, have: Option<u64>) -> PullReply {
         let snapshot = || PullReply::Snapshot { version: self.version, tree: self.tree.clone() };
         let Some(have) = have else { return snapshot() };
         if have >= self.version {
             return PullReply::Current;
         }
-        if self.version - have > self.recent.len() as u64 {
+        if self.version - have > self.recent_versions.len() as u64 {
             return snapshot();
         }
-        let newer = self.recent.iter().filter(|version| version.version > have);
+        let newer = self.recent_versions.iter().filter(|version| version.version > have);
         let edits: Vec<Vec<Edit>> = newer.map(|version| version.edits.clone()).collect();
         let edit_count: usize = edits.iter().map(Vec::len).sum();
         if edit_count > self.tree.paths().count() * settings::SERVICE_KEYS.len() {
--- a/components/keeper/tests/support/mod.rs
+++ b/components/keeper/tests/support/mod.rs
@@ -1,51 +1,51 @@
-//! One keeper that leads alone, with the records that it stored.
+//! A single keeper with its journal records.
 
-// Each test file uses a part of it.
+// Not every test file uses all helpers.
 #![allow(dead_code)]
 
 use std::time::Duration;
 
 use consensus::{Record, Timing};
-use keeper::{Action, Event, Keeper, Reply, Ticket, initial_records};
+use keeper::{Action, CallId, Event, Keeper, Reply, initial_records};
 use model::{Incarnation, NodeName, Time};
 use settings::Tree;
 use wire::{NodeInfo, NodeRole};
 
 pub const START: Time = Time::from_millis(1_000_000);
 
-/// A keeper with the records that it stored.
-pub struct One {
+/// A keeper that is the only voter, with the records that it stored.
+pub struct SingleKeeper {
     pub keeper: Keeper,
     pub records: Vec<Record>,
     pub now: Time,
-    tickets: u64,
+    calls: u64,
 }
 
-impl One {
-    /// One that leads.
+impl SingleKeeper {
+    /// A new keeper that leads.
     pub fn new() -> Self {
         let name = NodeName::new("k1");
         let records = initial_records(vec![name], Tree::default());
-        let mut one = Self::from_records(records);
-        one.run_for(Duration::from_secs(2));
-        one
+        let mut single = Self::from_records(records);
+        single.run_for(Duration::from_secs(2));
+        single
     }
 
-    /// One that has just started with what its disk holds.
+    /// A keeper just restored from these records.
     pub fn from_records(records: Vec<Record>) -> Self {
         let name = NodeName::new("k1");
         let keeper = Keeper::recover(name, records.clone(), Timing::default(), 1, START);
-        Self { keeper: keeper.expect("the records are sound"), records, now: START, tickets: 0 }
+        Self { keeper: keeper.expect("the records are valid"), records, now: START, calls: 0 }
     }
 
-    /// Its next life, once it leads.
+    /// The keeper after a restart, once it leads again.
     pub fn restart(&self) -> Self {
-        let mut again = Self::from_records(self.records.clone());
-        again.run_for(Duration::from_secs(2));
-        again
+        let mut restarted = Self::from_records(self.records.clone());
+        restarted.run_for(Duration::from_secs(2));
+        restarted
     }
 
-    pub fn handle(&mut self, event: Event) -> Vec<(Ticket, Reply)> {
+    pub fn handle(&mut self, event: Event) -> Vec<(CallId, Reply)> {
         let mut actions = Vec::new();
         self.keeper.handle(self.now, event, &mut actions);
         let mut replies = Vec::new();
@@ -53,14 +53,14 @@
             match action {
                 Action::Store(records) => self.records.extend(records),
                 Action::Rewrite(records) => self.records = records,
-                Action::Respond(ticket, reply) => replies.push((ticket, reply)),
+                Action::Respond(call, reply) => replies.push((call, reply)),
                 _ => {}
             }
         }
         replies
     }
 
-    pub fn run_for(&mut self, time: Duration) -> Vec<(Ticket, Reply)> {
+    pub fn run_for(&mut self, time: Duration) -> Vec<(CallId, Reply)> {
         let end = self.now + time;
         let mut replies = Vec::new();
         while self.now < end {
@@ -70,17 +70,17 @@
         replies
     }
 
-    pub fn ticket(&mut self) -> Ticket {
-        self.tickets += 1;
-        Ticket(self.tickets)
+    pub fn next_call_id(&mut self) -> CallId {
+        self.calls += 1;
+        CallId(self.calls)
     }
 
-    /// Asks, and returns the reply that comes at once or a moment later.
-    pub fn reply_to(&mut self, event: impl FnOnce(Ticket) -> Event) -> Option<Reply> {
-        let ticket = self.ticket();
-        let mut replies = self.handle(event(ticket));
+    /// Makes a call and returns its reply, if it arrives within 50 ms.
+    pub fn reply_to(&mut self, event: impl FnOnce(CallId) -> Event) -> Option<Reply> {
+        let call = self.next_call_id();
+        let mut replies = self.handle(event(call));
         replies.extend(self.run_for(Duration::from_millis(50)));
-        replies.into_iter().find(|(to, _)| *to == ticket).map(|(_, reply)| reply)
+        replies.into_iter().find(|(to, _)| *to == call).map(|(_, reply)| reply)
     }
 }
 
--- a/daemon/src/keeper_role/decide.rs
+++ b/daemon/src/keeper_role/decide.rs
@@ -8,7 +8,7 @@
 use async_channel::Sender;
 use consensus::Message;
 use journal::{Journal, JournalError};
-use keeper::{Action, Event, Keeper, Reply, Roster, RosterWork, Ticket};
+use keeper::{Action, CallId, Event, Keeper, Reply, Roster, RosterWork};
 use model::{NodeName, Time};
 use spdlog::error;
 
@@ -103,7 +103,7 @@
     keeper: Keeper,
     storage: Storage,
     peers: Sender<ToPeers>,
-    waiting: HashMap<Ticket, Sender<Reply>>,
+    waiting: HashMap<CallId, Sender<Reply>>,
     next_ticket: u64,
     actions: Vec<Action>,
     /// When the last input or tick came.
@@ -160,22 +160,22 @@
 
     fn ask(&mut self, now: Time, ask: Ask, reply: Sender<Reply>) {
         if let (Ask::Watch(request), Some(link)) = (&ask, &mut self.roster) {
-            link.roster.heard(now, &request.node);
+            link.roster.record_contact(now, &request.node);
         }
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
+        let ticket = CallId(self.next_ticket);
         self.waiting.insert(ticket, reply);
         let event = match ask {
             Ask::Change(request) => Event::Change(ticket, request),
-            Ask::Read => Event::Read(ticket),
-            Ask::History => Event::History(ticket),
+            Ask::Read => Event::ReadTree(ticket),
+            Ask::History => Event::ReadHistory(ticket),
             Ask::Pull(request) => Event::Pull(ticket, request),
-            Ask::Replace(document) => Event::Replace(ticket, document),
-            Ask::Fetch => Event::Fetch(ticket),
-            Ask::OrderHall(order) => Event::OrderHall(ticket, order),
+            Ask::Replace(document) => Event::ReplaceDocument(ticket, document),
+            Ask::Fetch => Event::ReadDocument(ticket),
+            Ask::OrderHall(order) => Event::HallCommand(ticket, order),
             Ask::ReadHalls => Event::ReadHalls(ticket),
             Ask::Watch(request) => Event::Watch(ticket, request),
-            Ask::Part(request) => Event::Part(ticket, request),
+            Ask::Part(request) => Event::FetchPart(ticket, request),
         };
         self.keeper.handle(now, event, &mut self.actions);
     }
@@ -185,7 +185,7 @@
         let halls = self.keeper.state().halls();
         KeeperStatus {
             name: self.name.to_string(),
-            leads: self.keeper.is_sure(now),
+            leads: self.keeper.is_confirmed_leader(now),
             leader: replica.leader().map(ToString::to_string),
             term: replica.term(),
             committed: replica.committed(),
@@ -193,7 +193,7 @@
             document: self.keeper.state().document_version(),
             emptied_halls: halls.halls.iter().map(ToString::to_string).collect(),
             halls_revision: halls.revision,
-            nodes: self.keeper.registered(),
+            nodes: self.keeper.registered_nodes(),
             voters: replica.voters().iter().map(ToString::to_string).collect(),
             blank: replica.is_blank(),
             journal_bytes: self.storage.bytes(),
@@ -214,7 +214,7 @@
     /// Tries to store what a full disk has refused.
     fn store_again(&mut self) -> Result<(), JournalError> {
         if let Some(full_for) = self.storage.store_again(self.now)? {
-            self.keeper.disk_has_room();
+            self.keeper.disk_is_writable();
             news_lines::disk_has_room(self.log.as_ref(), &self.name, full_for);
         }
         Ok(())
@@ -225,7 +225,7 @@
         // The keeper has nothing to store while it knows that its disk is full.
         if !self.storage.is_full() {
             match self.storage.store(self.now, &actions) {
-                Err(error) if error.is_full() && !self.keeper.votes_alone() => {
+                Err(error) if error.is_full() && !self.keeper.is_only_voter() => {
                     self.disk_is_full(actions);
                     return Ok(());
                 }
@@ -258,7 +258,7 @@
                         let _ = waiting.try_send(reply);
                     }
                 }
-                Action::News(news) => news_lines::write(self.log.as_ref(), &self.name, &news),
+                Action::Log(news) => news_lines::write(self.log.as_ref(), &self.name, &news),
             }
         }
     }
@@ -272,7 +272,7 @@
         match input {
             Input::Ask(ask, reply) => self.ask(now, ask, reply),
             Input::Peer(from, message) => {
-                self.keeper.handle(now, Event::Peer(from, message), &mut self.actions);
+                self.keeper.handle(now, Event::PeerMessage(from, message), &mut self.actions);
             }
             Input::Resign => self.keeper.handle(now, Event::Resign, &mut self.actions),
             Input::Contacts(contacts) => self.keeper.set_contacts(contacts),
--- a/soak/src/keepers/halls.rs
+++ b/soak/src/keepers/halls.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use keeper::{Event, Reply, Ticket};
+use keeper::{CallId, Event, Reply};
 use model::Time;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -48,7 +48,7 @@
     /// Orders that were acknowledged.
     pub acknowledged: u64,
     /// When each copy of an order was sent.
-    sent: HashMap<Ticket, Time>,
+    sent: HashMap<CallId, Time>,
 }
 
 impl HallOrders {
@@ -100,7 +100,7 @@
         let to = halls.rng.random_range(0..keepers);
         let asker = Asker::Hall { hall: number, order };
         let ordered = HallOrder { hall: name(number), takes_work };
-        let ticket = self.ask(to, asker, |ticket| Event::OrderHall(ticket, ordered));
+        let ticket = self.ask(to, asker, |ticket| Event::HallCommand(ticket, ordered));
         if let Some(halls) = &mut self.halls {
             halls.sent.insert(ticket, self.now);
         }
@@ -109,7 +109,7 @@
 
     /// Whether whoever sent a copy of an order has closed its connection by now. A keeper that reads the order reads that
     /// as well, and does not carry it out (`an_order_whose_operator_has_left_is_not_carried_out`).
-    pub(super) fn has_sender_left(&self, ticket: Ticket) -> bool {
+    pub(super) fn has_sender_left(&self, ticket: CallId) -> bool {
         let sent = self.halls.as_ref().and_then(|halls| halls.sent.get(&ticket));
         sent.is_some_and(|at| self.now.since(*at) > PATIENCE)
     }
@@ -220,7 +220,7 @@
         let Some(halls) = &self.halls else { return };
         let leader = self.keepers.iter().find_map(|keeper| {
             let keeper = keeper.keeper.as_ref()?;
-            keeper.replica().is_sure(self.now).then(|| keeper.state().halls().clone())
+            keeper.replica().is_confirmed_leader(self.now).then(|| keeper.state().halls().clone())
         });
         let Some(told) = leader else { return };
         let wrong: Vec<String> = halls
--- a/soak/src/keepers/operators.rs
+++ b/soak/src/keepers/operators.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use keeper::{Event, Reply, Ticket};
+use keeper::{CallId, Event, Reply};
 use rand::Rng;
 use settings::{Edit, SectionPath, Tree};
 use wire::{ChangeRequest, ChangeResult};
@@ -35,7 +35,7 @@
         }
         let newest = self.checks.newest_told();
         let to = self.any_keeper();
-        self.ask(to, Asker::Read { operator, newest }, Event::Read);
+        self.ask(to, Asker::Read { operator, newest }, Event::ReadTree);
     }
 
     pub fn any_keeper(&mut self) -> usize {
@@ -43,7 +43,7 @@
     }
 
     /// Someone got a reply, or noticed that there will be none.
-    pub fn replied(&mut self, ticket: Ticket, reply: Option<Reply>) {
+    pub fn replied(&mut self, ticket: CallId, reply: Option<Reply>) {
         match (self.waiting.remove(&ticket), reply) {
             (Some(Asker::Read { operator, newest }), Some(Reply::Tree(tree))) => {
                 let Ok(parsed) = Tree::from_ini(&tree.tree) else {
--- a/soak/src/keepers/world.rs
+++ b/soak/src/keepers/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use consensus::{Message, Record, Replica, Timing};
-use keeper::{Action, Event, Keeper, News, Reply, Ticket, initial_records};
+use keeper::{Action, CallId, Event, Keeper, LogEvent, Reply, initial_records};
 use model::{NodeName, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -34,9 +34,9 @@
     /// A question reaches a keeper, in a life.
     Ask { to: usize, event: Event },
     /// A reply reaches the one who asked.
-    Reply { ticket: Ticket, reply: Reply },
+    Reply { ticket: CallId, reply: Reply },
     /// A question or its reply was lost, and the one who asked notices.
-    Lost { ticket: Ticket },
+    Lost { ticket: CallId },
     /// A keeper's timers.
     Tick(usize),
     /// An operator does something.
@@ -102,7 +102,7 @@
     pub keepers: Vec<Disked>,
     pub nodes: Vec<NodeState>,
     pub checks: KeeperChecks,
-    pub waiting: HashMap<Ticket, Asker>,
+    pub waiting: HashMap<CallId, Asker>,
     pub changes: u64,
     pub arrangement: Arrangement,
     /// None where nobody empties halls.
@@ -252,7 +252,7 @@
         match happening {
             Happening::Message { to, from, message } => {
                 let from = self.keepers[from].name.clone();
-                self.deliver(to, Event::Peer(from, message));
+                self.deliver(to, Event::PeerMessage(from, message));
             }
             Happening::Ask { to, event } => self.deliver(to, event),
             Happening::Reply { ticket, reply } => self.replied(ticket, Some(reply)),
@@ -305,7 +305,7 @@
         let messages = planned.filter_map(|planned| match self.contents.get(&planned.1) {
             Some(Happening::Message { to, from, message }) if *to == number => {
                 let from = self.keepers[*from].name.clone();
-                Some((planned, Event::Peer(from, message.clone())))
+                Some((planned, Event::PeerMessage(from, message.clone())))
             }
             _ => None,
         });
@@ -315,7 +315,7 @@
     /// Whether a keeper is sure to lead.
     pub fn someone_leads(&self) -> bool {
         let keepers = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
-        keepers.into_iter().any(|keeper| keeper.replica().is_sure(self.now))
+        keepers.into_iter().any(|keeper| keeper.replica().is_confirmed_leader(self.now))
     }
 
     fn deliver(&mut self, number: usize, event: Event) {
@@ -331,7 +331,7 @@
             }
             return self.plan_tick(number);
         }
-        if matches!(event, Event::OrderHall(ticket, _) if self.has_sender_left(ticket)) {
+        if matches!(event, Event::HallCommand(ticket, _) if self.has_sender_left(ticket)) {
             return;
         }
         let Some(machine) = &mut self.keepers[number].keeper else { return };
@@ -356,22 +356,22 @@
                 }
                 self.after(way, Happening::Reply { ticket, reply });
             }
-            Action::News(News::Log(consensus::News::Leads(term))) => {
+            Action::Log(LogEvent::Replica(consensus::LogEvent::BecameLeader(term))) => {
                 self.checks.leads(self.now, &name, term);
             }
-            Action::News(News::Log(consensus::News::Violation(violation))) => {
+            Action::Log(LogEvent::Replica(consensus::LogEvent::Violation(violation))) => {
                 self.checks.violation(self.now, format!("breach at {name}: {violation}"));
             }
-            Action::News(News::Unreadable(index)) => {
+            Action::Log(LogEvent::UnreadableEntry(index)) => {
                 self.checks.violation(self.now, format!("{name} can't read entry {index}"));
             }
-            Action::News(News::Version(version)) => {
+            Action::Log(LogEvent::SettingsVersion(version)) => {
                 let state = self.keepers[number].keeper.as_ref().map(|k| k.state().clone());
                 if let Some(state) = state.filter(|state| state.version() == version) {
                     self.checks.seen(self.now, version, state.tree());
                 }
             }
-            Action::News(_) => {}
+            Action::Log(_) => {}
         }
     }
 
@@ -403,9 +403,9 @@
     }
 
     /// Asks a keeper; the one who asked notices when nothing comes back.
-    pub fn ask(&mut self, to: usize, asker: Asker, event: impl FnOnce(Ticket) -> Event) -> Ticket {
+    pub fn ask(&mut self, to: usize, asker: Asker, event: impl FnOnce(CallId) -> Event) -> CallId {
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
+        let ticket = CallId(self.next_ticket);
         self.waiting.insert(ticket, asker);
         let way = self.way();
         // A keeper that is cut off from the others may still be reached, and believe that it leads.
@@ -424,7 +424,7 @@
     fn check_end(&mut self) {
         let leader = self.keepers.iter().find_map(|keeper| {
             let keeper = keeper.keeper.as_ref()?;
-            keeper.replica().is_sure(self.now).then(|| keeper.state().version())
+            keeper.replica().is_confirmed_leader(self.now).then(|| keeper.state().version())
         });
         let Some(version) = leader else {
             return self.checks.violation(self.end, "nobody is sure to lead after the calm");
