--- a/bench/src/policy/tokens.rs
+++ b/bench/src/policy/tokens.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use agent::{Agent, CallId, Reply, Request};
-use entry::{Connection, Entry, Event, Ticket};
+use entry::{Connection, Entry, Event};
 use execution::{Session, TaskOutcome};
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, TaskKey, Time, Verdict};
 use settings::{Catalog, Tree};
@@ -187,8 +187,8 @@
             deadline_ms: Some(deadline.as_millis() as u64),
             repeatable: !self.claims,
         };
-        let ticket = Ticket(number as u64);
-        self.deliver_to_entry(entry, Event::Submit { ticket, request, relayed: false });
+        let call = entry::CallId(number as u64);
+        self.deliver_to_entry(entry, Event::Submit { call, request, relayed: false });
     }
 
     fn deliver_to_entry(&mut self, number: usize, event: Event) {
@@ -203,7 +203,7 @@
         use entry::Action;
         let number = |name: &NodeName| name.as_str()[1..].parse().unwrap_or(0);
         match action {
-            Action::Respond { ticket, reply } => self.respond(ticket, &reply),
+            Action::Respond { call, reply } => self.respond(call, &reply),
             Action::Claim { holder, request } => {
                 let called = Called::Claim(request.submission);
                 self.call(entry, number(&holder), Request::Claim(request), called);
@@ -306,8 +306,8 @@
         }
     }
 
-    fn respond(&mut self, ticket: Ticket, reply: &RelayReply) {
-        let job = &self.workload.jobs[ticket.0 as usize];
+    fn respond(&mut self, call: entry::CallId, reply: &RelayReply) {
+        let job = &self.workload.jobs[call.0 as usize];
         match reply {
             Ok(_) => {
                 let response = (self.clock.now + CLIENT_LINK).since(job.at);
--- a/bench/src/slopes/entry.rs
+++ b/bench/src/slopes/entry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use claims::ClaimReply;
-use entry::{Action, Connection, Entry, Event, Setup, Ticket};
+use entry::{Action, CallId, Connection, Entry, Event, Setup};
 use execution::TaskOutcome;
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, Time};
 use settings::{Catalog, Tree};
@@ -87,8 +87,8 @@
             deadline_ms: Some(60_000),
             repeatable: false,
         };
-        let ticket = Ticket(self.submissions);
-        self.events.push_back(Event::Submit { ticket, request, relayed: false });
+        let call = CallId(self.submissions);
+        self.events.push_back(Event::Submit { call, request, relayed: false });
     }
 
     /// Handles events until none is left; agents answer starts at once where `answer` says so.
--- a/components/entry/src/claiming.rs
+++ b/components/entry/src/claiming.rs
@@ -152,8 +152,8 @@
         out: &mut Vec<Action>,
     ) {
         let Some(job) = self.table.get_mut(id) else { return };
-        for ticket in std::mem::take(&mut job.waiters) {
-            out.push(Action::Respond { ticket, reply: reply.clone() });
+        for call in std::mem::take(&mut job.waiters) {
+            out.push(Action::Respond { call, reply: reply.clone() });
         }
     }
 
--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -77,11 +77,11 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Submit { ticket, request, relayed } => {
-                self.submit(now, ticket, request, relayed, out);
+            Event::Submit { call, request, relayed } => {
+                self.submit(now, call, request, relayed, out);
             }
-            Event::Fetch { ticket, submission, relayed } => {
-                self.fetch(now, ticket, submission, relayed, out);
+            Event::Fetch { call, submission, relayed } => {
+                self.fetch(now, call, submission, relayed, out);
             }
             Event::Up { connection, info } => self.up(now, connection, &info, out),
             Event::Down { agent, connection } => self.down(&agent, connection, out),
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -17,7 +17,7 @@
 
 /// A caller that waits for an outcome, numbered by the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ticket(pub u64);
+pub struct CallId(pub u64);
 
 /// A connection to an agent, numbered by the daemon; a number is never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
     /// A caller submits work.
     Submit {
         /// Where the outcome goes.
-        ticket: Ticket,
+        call: CallId,
         /// The work.
         request: RelayRequest,
         /// Whether another entry hands it over, taking this one for its owner.
@@ -45,7 +45,7 @@
     /// A caller asks for the outcome of a submission.
     Fetch {
         /// Where the outcome goes.
-        ticket: Ticket,
+        call: CallId,
         /// The submission.
         submission: SubmissionId,
         /// Whether another entry asks, taking this one for the owner.
@@ -163,7 +163,7 @@
     /// Tells a caller the outcome.
     Respond {
         /// Which caller.
-        ticket: Ticket,
+        call: CallId,
         /// The outcome.
         reply: RelayReply,
     },
--- a/components/entry/src/inquiry.rs
+++ b/components/entry/src/inquiry.rs
@@ -8,12 +8,12 @@
 
 use crate::claiming::{ROUND_TIME, owner_lost};
 use crate::table::Due;
-use crate::{Action, Entry, OwnerCall, Ticket};
+use crate::{Action, CallId, Entry, OwnerCall};
 
 /// The callers that ask for one submission.
 #[derive(Clone, Debug)]
 pub(crate) struct Inquiry {
-    tickets: Vec<Ticket>,
+    calls: Vec<CallId>,
     stage: Stage,
 }
 
@@ -39,15 +39,15 @@
         &mut self,
         now: Time,
         id: SubmissionId,
-        ticket: Ticket,
+        call: CallId,
         out: &mut Vec<Action>,
     ) {
         if let Some(inquiry) = self.inquiries.get_mut(&id) {
-            return inquiry.tickets.push(ticket);
+            return inquiry.calls.push(call);
         }
         let round = Round::new(self.views.holders(id, now));
         let holders = round.holders();
-        self.inquiries.insert(id, Inquiry { tickets: vec![ticket], stage: Stage::Holders(round) });
+        self.inquiries.insert(id, Inquiry { calls: vec![call], stage: Stage::Holders(round) });
         for holder in holders {
             if !self.targets.is_up(&holder) {
                 self.record_answer(id, &holder, Vote::None);
@@ -124,8 +124,8 @@
         out: &mut Vec<Action>,
     ) {
         let Some(inquiry) = self.inquiries.remove(&id) else { return };
-        for ticket in inquiry.tickets {
-            out.push(Action::Respond { ticket, reply: reply.clone() });
+        for call in inquiry.calls {
+            out.push(Action::Respond { call, reply: reply.clone() });
         }
     }
 }
--- a/components/entry/src/intake.rs
+++ b/components/entry/src/intake.rs
@@ -11,7 +11,7 @@
 
 use crate::gather::Gather;
 use crate::job::{Job, Phase};
-use crate::{Action, Entry, Ticket};
+use crate::{Action, CallId, Entry};
 
 /// Deadline of a request whose kind is unknown, while its refusal is being proved.
 const REFUSAL_DEADLINE: Duration = Duration::from_secs(2);
@@ -23,7 +23,7 @@
     pub(crate) fn submit(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         request: RelayRequest,
         relayed: bool,
         out: &mut Vec<Action>,
@@ -32,18 +32,18 @@
         let texts = request.tasks.iter().map(|text| &**text);
         let digest = Digest::of(&request.service, &request.kind, request.repeatable, texts);
         if self.table.get(request.submission).is_some() {
-            return self.join(now, ticket, digest, request, out);
+            return self.join(now, call, digest, request, out);
         }
         let Some(catalog) = self.catalog.clone() else {
             let failure = Failure::new(Code::NotReady, Verdict::MayHaveRun, "no settings yet");
-            return respond(ticket, Err(failure.retry_after(RETRY_AFTER_MS)), out);
+            return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), out);
         };
         if let Err(failure) = check_age(request.submission, &catalog, now) {
             self.count_refusal(failure.code);
-            return respond(ticket, Err(failure), out);
+            return respond(call, Err(failure), out);
         }
         let checked = self.check(now, &catalog, &request);
-        let job = self.new_job(now, ticket, digest, &catalog, &request);
+        let job = self.new_job(now, call, digest, &catalog, &request);
         if request.repeatable {
             return self.take_repeatable(now, job, &request, checked, out);
         }
@@ -54,7 +54,7 @@
     fn join(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         digest: Digest,
         request: RelayRequest,
         out: &mut Vec<Action>,
@@ -63,31 +63,31 @@
         let id = request.submission;
         let Some(job) = self.table.get_mut(id) else { return };
         if job.digest != digest {
-            return respond(ticket, Err(conflict(id)), out);
+            return respond(call, Err(conflict(id)), out);
         }
         match &mut job.phase {
-            Phase::Done(reply) => respond(ticket, reply.clone(), out),
+            Phase::Done(reply) => respond(call, reply.clone(), out),
             Phase::Refused { failure, until } if now < *until => {
                 // An answer that says so may be on its way, so it has to stay true for a while.
-                respond(ticket, Err(failure.clone()), out);
+                respond(call, Err(failure.clone()), out);
             }
             Phase::Undecided | Phase::Refused { .. } => {
-                self.take_up(now, ticket, request, out);
+                self.take_up(now, call, request, out);
             }
-            _ => job.waiters.push(ticket),
+            _ => job.waiters.push(call),
         }
     }
 
     /// Takes a submission again that was claimed, or nearly, and has not started.
-    fn take_up(&mut self, now: Time, ticket: Ticket, request: RelayRequest, out: &mut Vec<Action>) {
+    fn take_up(&mut self, now: Time, call: CallId, request: RelayRequest, out: &mut Vec<Action>) {
         let id = request.submission;
         let Some(catalog) = self.catalog.clone() else { return };
         if let Err(failure) = check_age(id, &catalog, now) {
-            return respond(ticket, Err(failure), out);
+            return respond(call, Err(failure), out);
         }
         let checked = self.check(now, &catalog, &request);
         let Some(job) = self.table.get_mut(id) else { return };
-        job.waiters.push(ticket);
+        job.waiters.push(call);
         job.kind = catalog.kind(&request.service, &request.kind).cloned();
         let until = deadline_at(now, &catalog, job.kind.as_deref(), &request);
         let owned = matches!(job.phase, Phase::Refused { .. });
@@ -168,7 +168,7 @@
     fn new_job(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         digest: Digest,
         catalog: &Catalog,
         request: &RelayRequest,
@@ -187,7 +187,7 @@
             kind,
             claimed_before: false,
             may_relay: true,
-            waiters: vec![ticket],
+            waiters: vec![call],
             phase: Phase::Undecided,
         }
     }
@@ -253,39 +253,39 @@
     pub(crate) fn fetch(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        call: CallId,
         submission: SubmissionId,
         relayed: bool,
         out: &mut Vec<Action>,
     ) {
         if let Some(job) = self.table.get_mut(submission) {
             match &job.phase {
-                Phase::Done(reply) => return respond(ticket, reply.clone(), out),
+                Phase::Done(reply) => return respond(call, reply.clone(), out),
                 Phase::Undecided | Phase::Refused { .. } => {
-                    return respond(ticket, Err(not_started()), out);
+                    return respond(call, Err(not_started()), out);
                 }
-                _ => return job.waiters.push(ticket),
+                _ => return job.waiters.push(call),
             }
         }
         if relayed {
             let message = "its owner does not know the submission";
             let failure = Failure::new(Code::UnknownId, Verdict::MayHaveRun, message);
-            return respond(ticket, Err(failure), out);
+            return respond(call, Err(failure), out);
         }
         let Some(catalog) = self.catalog.clone() else {
             let failure = Failure::new(Code::NotReady, Verdict::MayHaveRun, "no settings yet");
-            return respond(ticket, Err(failure.retry_after(RETRY_AFTER_MS)), out);
+            return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), out);
         };
         if let Err(failure) = check_age(submission, &catalog, now) {
-            return respond(ticket, Err(failure), out);
+            return respond(call, Err(failure), out);
         }
-        self.inquire(now, submission, ticket, out);
+        self.inquire(now, submission, call, out);
     }
 }
 
 /// Answers one caller.
-pub(crate) fn respond(ticket: Ticket, reply: RelayReply, out: &mut Vec<Action>) {
-    out.push(Action::Respond { ticket, reply });
+pub(crate) fn respond(call: CallId, reply: RelayReply, out: &mut Vec<Action>) {
+    out.push(Action::Respond { call, reply });
 }
 
 /// The answer to a question for a submission that was refused or undecided.
--- a/components/entry/src/job.rs
+++ b/components/entry/src/job.rs
@@ -8,7 +8,7 @@
 use wire::{RelayReply, RelayRequest};
 
 use crate::gather::Gather;
-use crate::{OwnerCall, Ticket};
+use crate::{CallId, OwnerCall};
 
 /// Where a submission stands.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
     pub claimed_before: bool,
     /// Whether it may be handed to another entry; not where another handed it over.
     pub may_relay: bool,
-    pub waiters: Vec<Ticket>,
+    pub waiters: Vec<CallId>,
     pub phase: Phase,
 }
 
--- a/components/entry/tests/entry.rs
+++ b/components/entry/tests/entry.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use claims::{Claim, ClaimReply, LookupReply};
-use entry::{Action, Connection, Entry, Event, OwnerCall, Setup, Ticket};
+use entry::{Action, CallId, Connection, Entry, Event, OwnerCall, Setup};
 use model::{Code, Digest, Failure, Incarnation, NodeName, NodeRef, SubmissionId, Time, Verdict};
 use settings::{Catalog, Tree};
 use wire::{AgentInfo, RelayReply, RelayRequest, SyncReply};
@@ -40,13 +40,13 @@
 struct Bench {
     entry: Entry,
     now: Time,
-    tickets: u64,
+    calls: u64,
 }
 
 impl Bench {
     fn new() -> Self {
         let setup = Setup { node: node("e1"), hall: "h1".to_owned() };
-        let mut bench = Self { entry: Entry::new(setup), now: NOW, tickets: 0 };
+        let mut bench = Self { entry: Entry::new(setup), now: NOW, calls: 0 };
         let tree = Tree::from_ini(TREE).unwrap();
         bench.handle(Event::Settings { catalog: Arc::new(Catalog::new(1, &tree)) });
         for number in 1..=3u64 {
@@ -75,9 +75,9 @@
     }
 
     fn submit(&mut self) -> Vec<Action> {
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
-        self.handle(Event::Submit { ticket, request: request(), relayed: false })
+        self.calls += 1;
+        let call = CallId(self.calls);
+        self.handle(Event::Submit { call, request: request(), relayed: false })
     }
 
     fn claimed(&mut self, holder: &str, reply: ClaimReply) -> Vec<Action> {
@@ -127,8 +127,8 @@
 #[test]
 fn an_answer_to_a_question_is_no_vote_for_a_claim() {
     let mut bench = Bench::new();
-    let ticket = Ticket(99);
-    bench.handle(Event::Fetch { ticket, submission: id(), relayed: false });
+    let call = CallId(99);
+    bench.handle(Event::Fetch { call, submission: id(), relayed: false });
     bench.submit();
     for holder in ["a1", "a2", "a3"] {
         let reply = Some(LookupReply::Free);
--- a/daemon/src/entry_role/decide.rs
+++ b/daemon/src/entry_role/decide.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use entry::{Action, Entry, Event, News, Setup, Ticket};
+use entry::{Action, CallId, Entry, Event, News, Setup};
 use futures::channel::oneshot;
 use model::{SubmissionId, Time};
 use serde::Serialize;
@@ -72,7 +72,7 @@
     shared: Arc<Shared>,
     links: Sender<LinkInput>,
     decisions: DecisionLog,
-    callers: HashMap<Ticket, oneshot::Sender<RelayReply>>,
+    callers: HashMap<CallId, oneshot::Sender<RelayReply>>,
     next_ticket: u64,
     actions: Vec<Action>,
     counters_every: Duration,
@@ -121,8 +121,8 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Respond { ticket, reply } => {
-                if let Some(caller) = self.callers.remove(&ticket) {
+            Action::Respond { call, reply } => {
+                if let Some(caller) = self.callers.remove(&call) {
                     // A caller that hung up can come back for its answer.
                     let _ = caller.send(reply);
                 }
@@ -136,11 +136,11 @@
 
     fn call(&mut self, now: Time, ask: Ask, relayed: bool, reply: oneshot::Sender<RelayReply>) {
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
-        self.callers.insert(ticket, reply);
+        let call = CallId(self.next_ticket);
+        self.callers.insert(call, reply);
         let event = match ask {
-            Ask::Submit(request) => Event::Submit { ticket, request, relayed },
-            Ask::Fetch(submission) => Event::Fetch { ticket, submission, relayed },
+            Ask::Submit(request) => Event::Submit { call, request, relayed },
+            Ask::Fetch(submission) => Event::Fetch { call, submission, relayed },
         };
         self.event(now, event);
     }
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -75,7 +75,7 @@
         };
         self.checks.asked(id);
         let caller = Caller::Client { id, asked: self.now, deadline };
-        self.ask(entry, caller, |ticket| Event::Submit { ticket, request, relayed: false });
+        self.ask(entry, caller, |call| Event::Submit { call, request, relayed: false });
     }
 
     /// A client asks for an outcome.
@@ -90,7 +90,7 @@
         let caller = Caller::Client { id, asked: self.now, deadline: Duration::from_secs(15) };
         self.checks.asked(id);
         let submission = id;
-        self.ask(entry, caller, |ticket| Event::Fetch { ticket, submission, relayed: false });
+        self.ask(entry, caller, |call| Event::Fetch { call, submission, relayed: false });
     }
 
     fn living_entry(&mut self) -> Option<usize> {
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use agent::{CallId, Reply, Request};
-use entry::{Connection, Entry, Event, OwnerCall, Ticket};
+use entry::{Connection, Entry, Event, OwnerCall};
 use model::{NodeRef, SubmissionId};
 use rand::Rng;
 use wire::{HelloRequest, RelayReply, RelayRequest};
@@ -78,7 +78,7 @@
         use entry::Action;
         self.trace("entry", number, &action);
         match action {
-            Action::Respond { ticket, reply } => self.respond(number, ticket, reply),
+            Action::Respond { call, reply } => self.respond(number, call, reply),
             Action::Claim { holder, request } => {
                 self.call_by_name(number, &holder, Request::Claim(request));
             }
@@ -225,18 +225,18 @@
     }
 
     /// Submits or asks at an entry.
-    pub fn ask(&mut self, entry: usize, caller: Caller, ask: impl FnOnce(Ticket) -> Event) {
+    pub fn ask(&mut self, entry: usize, caller: Caller, ask: impl FnOnce(entry::CallId) -> Event) {
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
+        let call = entry::CallId(self.next_ticket);
         let node = &mut self.entries[entry];
         let life = node.node.life;
-        node.callers.insert(ticket, caller);
+        node.callers.insert(call, caller);
         let wait = self.within(self.behaviour.delay);
-        self.after(wait, Happening::ToEntry(entry, life, ask(ticket)));
+        self.after(wait, Happening::ToEntry(entry, life, ask(call)));
     }
 
-    fn respond(&mut self, entry: usize, ticket: Ticket, reply: RelayReply) {
-        match self.entries[entry].callers.remove(&ticket) {
+    fn respond(&mut self, entry: usize, call: entry::CallId, reply: RelayReply) {
+        match self.entries[entry].callers.remove(&call) {
             Some(Caller::Client { id, asked, deadline }) => {
                 self.client_answered(id, asked, deadline, &reply);
             }
@@ -250,11 +250,7 @@
 
     fn relay(&mut self, from: usize, call: OwnerCall, owner: &NodeRef, request: RelayRequest) {
         let id = request.submission;
-        self.ask_peer(from, call, owner, id, |ticket| Event::Submit {
-            ticket,
-            request,
-            relayed: true,
-        });
+        self.ask_peer(from, call, owner, id, |call| Event::Submit { call, request, relayed: true });
     }
 
     fn fetch_at(
@@ -264,8 +260,8 @@
         owner: &NodeRef,
         submission: SubmissionId,
     ) {
-        self.ask_peer(from, call, owner, submission, |ticket| Event::Fetch {
-            ticket,
+        self.ask_peer(from, call, owner, submission, |call| Event::Fetch {
+            call,
             submission,
             relayed: true,
         });
@@ -277,7 +273,7 @@
         call: OwnerCall,
         owner: &NodeRef,
         id: SubmissionId,
-        ask: impl FnOnce(Ticket) -> Event,
+        ask: impl FnOnce(entry::CallId) -> Event,
     ) {
         let life = self.entries[from].node.life;
         let to = self.entries.iter().position(|entry| entry.node.name == owner.name);
--- a/soak/src/nodes.rs
+++ b/soak/src/nodes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use agent::Agent;
-use entry::{Entry, OwnerCall, Ticket};
+use entry::{CallId, Entry, OwnerCall};
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, Time};
 
 /// More lives than a node has in a run.
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(crate) struct EntryNode {
     pub node: Node<Entry>,
-    pub callers: HashMap<Ticket, Caller>,
+    pub callers: HashMap<CallId, Caller>,
     /// Settings version that it has.
     pub settings: u64,
 }
