--- a/bench/src/policy/tokens.rs
+++ b/bench/src/policy/tokens.rs
@@ -243,7 +243,7 @@
                     self.clock.after(self.workload.link, happening);
                 }
                 agent::Action::Run { key, .. } => self.run_task(number, key),
-                agent::Action::News(_) => {}
+                agent::Action::Log(_) => {}
             }
         }
     }
--- a/components/agent/src/agent.rs
+++ b/components/agent/src/agent.rs
@@ -12,7 +12,7 @@
 
 use crate::sessions::Sessions;
 use crate::tasks::Running;
-use crate::{Action, CallId, Event, News, Reply, Request};
+use crate::{Action, CallId, Event, LogEvent, Reply, Request};
 
 /// Memory for outcomes that wait to be settled, in bytes.
 const OUTCOME_BYTES: usize = 4 * 1024 * 1024;
@@ -138,7 +138,7 @@
                 self.counters.stale += 1;
                 return;
             }
-            out.push(Action::News(News::SessionOpened(session, hello.entry)));
+            out.push(Action::Log(LogEvent::SessionOpened(session, hello.entry)));
             let reply = Reply::Hello(self.info());
             return self.reply(call, reply, out);
         }
@@ -210,7 +210,7 @@
     fn close(&mut self, session: Session, out: &mut Vec<Action>) {
         if self.sessions.close(session) {
             self.ledger.close(session);
-            out.push(Action::News(News::SessionClosed(session)));
+            out.push(Action::Log(LogEvent::SessionClosed(session)));
         }
     }
 
@@ -221,7 +221,7 @@
         }
         self.settings_version = version;
         self.fleet = fleet;
-        out.push(Action::News(News::Settings(version)));
+        out.push(Action::Log(LogEvent::Settings(version)));
     }
 
     fn leave(&mut self, out: &mut Vec<Action>) {
@@ -229,7 +229,7 @@
             return;
         }
         self.ledger.leave();
-        out.push(Action::News(News::Leaving));
+        out.push(Action::Log(LogEvent::Leaving));
         self.tell_all(|news| news.leaving = true, out);
     }
 
@@ -246,7 +246,7 @@
                 state.news = SyncReply::default();
             }
             if idle > 0 {
-                out.push(Action::News(News::LeaseEnded(session, idle)));
+                out.push(Action::Log(LogEvent::LeaseEnded(session, idle)));
             }
         }
         if now.since(self.expired).as_secs() >= 1 {
@@ -259,12 +259,12 @@
     fn check_drained(&mut self, out: &mut Vec<Action>) {
         if self.ledger.is_leaving() && self.running.is_empty() && !self.drained {
             self.drained = true;
-            out.push(Action::News(News::Drained));
+            out.push(Action::Log(LogEvent::Drained));
         }
     }
 
     pub(crate) fn breach(&mut self, breach: Breach, out: &mut Vec<Action>) {
         self.counters.breaches += 1;
-        out.push(Action::News(News::Breach(breach)));
+        out.push(Action::Log(LogEvent::Breach(breach)));
     }
 }
--- a/components/agent/src/event.rs
+++ b/components/agent/src/event.rs
@@ -112,12 +112,12 @@
         deadline: Time,
     },
     /// Reports a change of state.
-    News(News),
+    Log(LogEvent),
 }
 
 /// A change of an agent's state, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum LogEvent {
     /// An entry opened a session.
     SessionOpened(Session, model::NodeRef),
     /// A session is gone.
--- a/components/agent/src/exchange.rs
+++ b/components/agent/src/exchange.rs
@@ -7,7 +7,7 @@
 use telemetry::MessageKind;
 use wire::{SyncReply, SyncRequest};
 
-use crate::{Action, Agent, CallId, News, Reply};
+use crate::{Action, Agent, CallId, LogEvent, Reply};
 
 /// Exchanges of one session that wait; an entry that asks again while one waits adds another.
 const EXCHANGES_WAITING: usize = 4;
@@ -79,7 +79,7 @@
     /// The target can't be reached: its slots are no use until it is tried again.
     pub(crate) fn pause(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.paused_until.is_none() {
-            out.push(Action::News(News::TargetUnreachable));
+            out.push(Action::Log(LogEvent::TargetUnreachable));
         }
         self.paused_until = Some(now + TARGET_RETRY);
         self.ledger.pause();
--- a/components/agent/src/lib.rs
+++ b/components/agent/src/lib.rs
@@ -10,4 +10,4 @@
 mod tasks;
 
 pub use agent::{Agent, Setup};
-pub use event::{Action, CallId, Event, News, Reply, Request};
+pub use event::{Action, CallId, Event, LogEvent, Reply, Request};
--- a/components/agent/tests/agent.rs
+++ b/components/agent/tests/agent.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use agent::{Action, Agent, CallId, Event, News, Reply, Request, Setup};
+use agent::{Action, Agent, CallId, Event, LogEvent, Reply, Request, Setup};
 use execution::{Session, TaskOutcome};
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, TaskKey, Time};
 use settings::{Catalog, Tree};
@@ -171,7 +171,7 @@
     let ended = Event::Ended { key: key(0), outcome: TaskOutcome::Answer("4A".into()) };
     let actions = bench.handle(ended);
     assert!(start_reply(&actions).is_some_and(|reply| !reply.token));
-    let drained = |action: &Action| matches!(action, Action::News(News::Drained));
+    let drained = |action: &Action| matches!(action, Action::Log(LogEvent::Drained));
     assert!(actions.iter().any(drained));
 }
 
--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -15,7 +15,7 @@
 use crate::service::Service;
 use crate::table::{Due, Table};
 use crate::targets::Targets;
-use crate::{Action, Event, News, OwnerCall};
+use crate::{Action, Event, LogEvent, OwnerCall};
 
 /// What an entry knows of itself at its start.
 #[derive(Clone, Debug)]
@@ -174,7 +174,7 @@
             return self.breach(breach, out);
         }
         self.views = views(catalog.fleet());
-        out.push(Action::News(News::Settings(catalog.version())));
+        out.push(Action::Log(LogEvent::Settings(catalog.version())));
         self.catalog = Some(catalog);
         self.confirmed = self.confirmed.max(now);
     }
@@ -197,7 +197,7 @@
         let stale = self.settings_are_stale(now);
         if stale != self.stale {
             self.stale = stale;
-            out.push(Action::News(News::SettingsStale(stale)));
+            out.push(Action::Log(LogEvent::SettingsStale(stale)));
         }
     }
 
@@ -255,7 +255,7 @@
         out: &mut Vec<Action>,
     ) {
         let Some(job) = self.table.get(id) else { return };
-        out.push(Action::Decide(self.decision(id, job, step, estimate)));
+        out.push(Action::LogDecision(self.decision(id, job, step, estimate)));
     }
 
     pub(crate) fn decision(
@@ -279,7 +279,7 @@
 
     pub(crate) fn breach(&mut self, breach: Breach, out: &mut Vec<Action>) {
         self.counters.breaches += 1;
-        out.push(Action::News(News::Breach(breach)));
+        out.push(Action::Log(LogEvent::Breach(breach)));
     }
 
     /// Numbers the next call to an owner.
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -225,14 +225,14 @@
         submission: SubmissionId,
     },
     /// Reports a decision.
-    Decide(Decision),
+    LogDecision(Decision),
     /// Reports a change of state.
-    News(News),
+    Log(LogEvent),
 }
 
 /// A change of an entry's state, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum LogEvent {
     /// A target can be placed on.
     TargetUp(NodeRef),
     /// A target can't be reached.
--- a/components/entry/src/exchange.rs
+++ b/components/entry/src/exchange.rs
@@ -5,7 +5,7 @@
 use telemetry::MessageKind;
 use wire::{AgentInfo, SyncReply, SyncRequest};
 
-use crate::{Action, Connection, Entry, News};
+use crate::{Action, Connection, Entry, LogEvent};
 
 /// Penalty of a straggling target: it is used when no other has an idle slot.
 const STRAGGLING: u8 = 1;
@@ -26,7 +26,7 @@
             self.leave_pool(target);
         }
         let target = self.targets.up(info, connection, &self.setup.hall, now);
-        out.push(Action::News(News::TargetUp(info.agent.clone())));
+        out.push(Action::Log(LogEvent::TargetUp(info.agent.clone())));
         if !self.targets.get(target).leaving {
             self.set_profile(target);
             self.services.entry(info.service.clone()).or_default().slots += info.slots;
@@ -40,7 +40,7 @@
         let Some(target) = self.targets.on(agent, connection) else { return };
         self.leave_pool(target);
         self.targets.get_mut(target).link = None;
-        out.push(Action::News(News::TargetDown(agent.clone())));
+        out.push(Action::Log(LogEvent::TargetDown(agent.clone())));
     }
 
     /// The platform says that a host leaves: no new work for its target.
@@ -51,7 +51,7 @@
         }
         self.leave_pool(target);
         self.targets.get_mut(target).leaving = true;
-        out.push(Action::News(News::TargetLeaving(agent.clone())));
+        out.push(Action::Log(LogEvent::TargetLeaving(agent.clone())));
     }
 
     /// Takes a target out of its service's pool.
@@ -200,7 +200,7 @@
             let Some(service) = self.services.get_mut(&at.service) else { continue };
             let idle = service.pool.take(target, u32::MAX);
             if idle > 0 {
-                out.push(Action::News(News::LeaseEnded(name, idle)));
+                out.push(Action::Log(LogEvent::LeaseEnded(name, idle)));
             }
             service.set_asked(target, 0);
         }
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -19,4 +19,4 @@
 mod targets;
 
 pub use entry::{Entry, Setup};
-pub use event::{Action, Answers, CallId, Connection, Event, News, OwnerCall};
+pub use event::{Action, Answers, CallId, Connection, Event, LogEvent, OwnerCall};
--- a/components/entry/src/place.rs
+++ b/components/entry/src/place.rs
@@ -13,7 +13,7 @@
 use crate::job::Phase;
 use crate::kinds::{Flight, Kinds};
 use crate::table::Due;
-use crate::{Action, Connection, Entry, News};
+use crate::{Action, Connection, Entry, LogEvent};
 
 impl Entry {
     /// Lets an admitted job wait for slots and places what can be placed at once.
@@ -245,7 +245,7 @@
         let at = self.targets.get_mut(target);
         if let Some(straggling) = at.note_time(over_mean) {
             let name = at.node.name.clone();
-            out.push(Action::News(News::Straggling(name, straggling)));
+            out.push(Action::Log(LogEvent::Straggling(name, straggling)));
             self.set_profile(target);
         }
     }
--- a/daemon/src/agent_role/decide.rs
+++ b/daemon/src/agent_role/decide.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use agent::{Action, Agent, CallId, Event, News, Reply, Request, Setup};
+use agent::{Action, Agent, CallId, Event, LogEvent, Reply, Request, Setup};
 use async_channel::Sender;
 use execution::{Session, TaskOutcome};
 use futures::channel::oneshot;
@@ -114,28 +114,30 @@
             Action::Run { key, task, deadline } => {
                 drop(self.runs.send_blocking(Run { key, task, deadline }));
             }
-            Action::News(news) => self.news(&news),
+            Action::Log(news) => self.news(&news),
         }
     }
 
-    fn news(&mut self, news: &News) {
+    fn news(&mut self, news: &LogEvent) {
         let name = &self.setup.node.name;
         match news {
-            News::SessionOpened(session, entry) => {
+            LogEvent::SessionOpened(session, entry) => {
                 info!("agent {}: session {} of entry {}", name, session.0, entry);
             }
-            News::SessionClosed(session) => info!("agent {}: session {} closed", name, session.0),
-            News::LeaseEnded(session, tokens) => {
+            LogEvent::SessionClosed(session) => {
+                info!("agent {}: session {} closed", name, session.0)
+            }
+            LogEvent::LeaseEnded(session, tokens) => {
                 warn!("agent {}: took {} tokens of silent session {}", name, tokens, session.0);
             }
-            News::TargetUnreachable => warn!("agent {}: its target can't be reached", name),
-            News::Leaving => info!("agent {}: leaving, no new work", name),
-            News::Drained => {
+            LogEvent::TargetUnreachable => warn!("agent {}: its target can't be reached", name),
+            LogEvent::Leaving => info!("agent {}: leaving, no new work", name),
+            LogEvent::Drained => {
                 info!("agent {}: drained", name);
                 self.shared.drained.store(true, Ordering::Release);
             }
-            News::Settings(version) => info!("agent {}: settings {} in force", name, version),
-            News::Breach(breach) => error!("agent {}: BREACH: {}", name, breach),
+            LogEvent::Settings(version) => info!("agent {}: settings {} in force", name, version),
+            LogEvent::Breach(breach) => error!("agent {}: BREACH: {}", name, breach),
         }
     }
 
--- a/daemon/src/entry_role/decide.rs
+++ b/daemon/src/entry_role/decide.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use entry::{Action, CallId, Entry, Event, News, Setup};
+use entry::{Action, CallId, Entry, Event, LogEvent, Setup};
 use futures::channel::oneshot;
 use model::{SubmissionId, Time};
 use serde::Serialize;
@@ -127,8 +127,8 @@
                     let _ = caller.send(reply);
                 }
             }
-            Action::Decide(decision) => self.decisions.add(decision),
-            Action::News(news) => log_news(&self.name, &news),
+            Action::LogDecision(decision) => self.decisions.add(decision),
+            Action::Log(news) => log_news(&self.name, &news),
             // The links' thread only ever passes actions on, so a full ring empties soon.
             action => drop(self.links.send_blocking(LinkInput::Action(action))),
         }
@@ -212,21 +212,23 @@
     }
 }
 
-fn log_news(name: &str, news: &News) {
+fn log_news(name: &str, news: &LogEvent) {
     match news {
-        News::TargetUp(agent) => info!("entry {}: agent {} is up", name, agent),
-        News::TargetDown(agent) => warn!("entry {}: agent {} is out of reach", name, agent),
-        News::TargetLeaving(agent) => info!("entry {}: agent {} is leaving", name, agent),
-        News::Straggling(agent, true) => warn!("entry {}: agent {} straggles", name, agent),
-        News::Straggling(agent, false) => info!("entry {}: agent {} keeps up again", name, agent),
-        News::LeaseEnded(agent, tokens) => {
+        LogEvent::TargetUp(agent) => info!("entry {}: agent {} is up", name, agent),
+        LogEvent::TargetDown(agent) => warn!("entry {}: agent {} is out of reach", name, agent),
+        LogEvent::TargetLeaving(agent) => info!("entry {}: agent {} is leaving", name, agent),
+        LogEvent::Straggling(agent, true) => warn!("entry {}: agent {} straggles", name, agent),
+        LogEvent::Straggling(agent, false) => {
+            info!("entry {}: agent {} keeps up again", name, agent)
+        }
+        LogEvent::LeaseEnded(agent, tokens) => {
             warn!("entry {}: gave up {} tokens of silent agent {}", name, tokens, agent);
         }
-        News::Settings(version) => info!("entry {}: settings {} in force", name, version),
-        News::SettingsStale(true) => {
+        LogEvent::Settings(version) => info!("entry {}: settings {} in force", name, version),
+        LogEvent::SettingsStale(true) => {
             warn!("entry {}: settings unconfirmed, taking no new work", name);
         }
-        News::SettingsStale(false) => info!("entry {}: settings confirmed", name),
-        News::Breach(breach) => error!("entry {}: BREACH: {}", name, breach),
+        LogEvent::SettingsStale(false) => info!("entry {}: settings confirmed", name),
+        LogEvent::Breach(breach) => error!("entry {}: BREACH: {}", name, breach),
     }
 }
--- a/daemon/src/entry_role/links.rs
+++ b/daemon/src/entry_role/links.rs
@@ -266,7 +266,7 @@
                 let reply = links.peers.fetch(&owner.name, submission).await;
                 links.tell(Event::Relayed { call, submission, reply }).await;
             }),
-            Action::Respond { .. } | Action::Decide(_) | Action::News(_) => {}
+            Action::Respond { .. } | Action::LogDecision(_) | Action::Log(_) => {}
         }
     }
 }
--- a/soak/src/agents.rs
+++ b/soak/src/agents.rs
@@ -77,10 +77,10 @@
         match action {
             agent::Action::Reply { call, reply } => self.agent_replies(call, reply),
             agent::Action::Run { key, task, .. } => self.target_takes(number, key, &task),
-            agent::Action::News(agent::News::Breach(breach)) => {
+            agent::Action::Log(agent::LogEvent::Breach(breach)) => {
                 self.checks.violation(self.now, format!("breach at an agent: {breach}"));
             }
-            agent::Action::News(_) => {}
+            agent::Action::Log(_) => {}
         }
     }
 
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -98,10 +98,10 @@
             Action::Fetch { call, owner, submission } => {
                 self.fetch_at(number, call, &owner, submission);
             }
-            Action::News(entry::News::Breach(breach)) => {
+            Action::Log(entry::LogEvent::Breach(breach)) => {
                 self.checks.violation(self.now, format!("breach at an entry: {breach}"));
             }
-            Action::Decide(_) | Action::News(_) => {}
+            Action::LogDecision(_) | Action::Log(_) => {}
         }
     }
 
