--- a/bench/src/policy/tokens.rs
+++ b/bench/src/policy/tokens.rs
@@ -125,7 +125,7 @@
             self.entries.push(Entry::new(setup));
             let catalog = catalog.clone();
             self.deliver_to_entry(number, Event::Settings { catalog });
-            self.deliver_to_entry(number, Event::Entries { count: SHARES.len() as u32 });
+            self.deliver_to_entry(number, Event::EntryCount { count: SHARES.len() as u32 });
             self.clock.after(TICK, Happening::EntryTick(number));
             for agent in 0..TARGETS {
                 let request = Request::Hello(HelloRequest { entry: entry_node(number) });
@@ -259,18 +259,18 @@
         let connection = Connection(agent as u64);
         let name = agent_node(agent).name;
         let event = match (called, reply) {
-            (Called::Hello, Reply::Hello(info)) => Event::Up { connection, info },
+            (Called::Hello, Reply::Hello(info)) => Event::Connected { connection, info },
             (Called::Claim(submission), Reply::Claim(reply)) => {
-                Event::Claimed { holder: name, submission, reply: Some(reply) }
+                Event::ClaimReplied { holder: name, submission, reply: Some(reply) }
             }
             (Called::Start(key), Reply::Start(reply)) => {
-                Event::Started { agent: name, connection, key, reply: Some(reply) }
+                Event::StartReplied { agent: name, connection, key, reply: Some(reply) }
             }
             (Called::Settle(key), Reply::Settle(reply)) => {
-                Event::Settled { agent: name, key, reply: Some(reply) }
+                Event::SettleReplied { agent: name, key, reply: Some(reply) }
             }
             (Called::Sync, Reply::Sync(reply)) => {
-                Event::Synced { agent: name, connection, reply: Some(reply) }
+                Event::SyncReplied { agent: name, connection, reply: Some(reply) }
             }
             _ => return,
         };
@@ -283,8 +283,8 @@
         let name = agent_node(number).name;
         for entry in 0..self.entries.len() {
             let connection = Connection(number as u64);
-            self.deliver_to_entry(entry, Event::Down { agent: name.clone(), connection });
-            self.deliver_to_entry(entry, Event::Dead { agent: name.clone() });
+            self.deliver_to_entry(entry, Event::Disconnected { agent: name.clone(), connection });
+            self.deliver_to_entry(entry, Event::AgentDead { agent: name.clone() });
         }
         let lost = |(_, (agent, _)): &(&CallId, &(usize, Called))| *agent == number;
         let mut calls: Vec<CallId> = self.calls.iter().filter(lost).map(|(id, _)| *id).collect();
@@ -296,10 +296,10 @@
             let agent = name.clone();
             let event = match called {
                 Called::Claim(submission) => {
-                    Event::Claimed { holder: agent, submission, reply: None }
+                    Event::ClaimReplied { holder: agent, submission, reply: None }
                 }
-                Called::Start(key) => Event::Started { agent, connection, key, reply: None },
-                Called::Settle(key) => Event::Settled { agent, key, reply: None },
+                Called::Start(key) => Event::StartReplied { agent, connection, key, reply: None },
+                Called::Settle(key) => Event::SettleReplied { agent, key, reply: None },
                 Called::Hello | Called::Sync => continue,
             };
             self.deliver_to_entry(entry, event);
--- a/bench/src/slopes/entry.rs
+++ b/bench/src/slopes/entry.rs
@@ -67,10 +67,10 @@
                 leaving: false,
             };
             let connection = Connection(number as u64);
-            driver.events.push_back(Event::Up { connection, info });
+            driver.events.push_back(Event::Connected { connection, info });
             let reply = Some(SyncReply { granted: slots, ..SyncReply::default() });
             let agent = NodeName::new(&name);
-            driver.events.push_back(Event::Synced { agent, connection, reply });
+            driver.events.push_back(Event::SyncReplied { agent, connection, reply });
         }
         driver.run(false);
         driver
@@ -107,7 +107,7 @@
         match action {
             Action::Claim { holder, request } => {
                 let (submission, reply) = (request.submission, Some(ClaimReply::Granted));
-                self.events.push_back(Event::Claimed { holder, submission, reply });
+                self.events.push_back(Event::ClaimReplied { holder, submission, reply });
             }
             Action::Start { agent, connection, request } => {
                 self.started += 1;
@@ -115,7 +115,7 @@
                 let reply = Some(StartReply { result: StartResult::Ended(outcome), token: true });
                 let key = request.key;
                 if answer {
-                    self.events.push_back(Event::Started { agent, connection, key, reply });
+                    self.events.push_back(Event::StartReplied { agent, connection, key, reply });
                 }
             }
             Action::Respond { .. } => self.answered += 1,
--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -83,32 +83,34 @@
             Event::Fetch { call, submission, relayed } => {
                 self.fetch(now, call, submission, relayed, out);
             }
-            Event::Up { connection, info } => self.up(now, connection, &info, out),
-            Event::Down { agent, connection } => self.down(&agent, connection, out),
-            Event::Dead { agent } => self.dead(now, &agent, out),
+            Event::Connected { connection, info } => self.up(now, connection, &info, out),
+            Event::Disconnected { agent, connection } => self.down(&agent, connection, out),
+            Event::AgentDead { agent } => self.dead(now, &agent, out),
             Event::Suspected { agent, suspected } => self.suspected(&agent, suspected),
-            Event::Leaving { agent } => self.leaving(&agent, out),
-            Event::Claimed { holder, submission, reply } => {
+            Event::AgentLeaving { agent } => self.leaving(&agent, out),
+            Event::ClaimReplied { holder, submission, reply } => {
                 let vote = reply.as_ref().map_or(claims::Vote::None, claims::Vote::from);
                 self.vote(now, &holder, submission, vote, out);
             }
-            Event::LookedUp { holder, submission, reply } => {
+            Event::LookupReplied { holder, submission, reply } => {
                 let vote = reply.as_ref().map_or(claims::Vote::None, claims::Vote::from);
                 self.looked_up(&holder, submission, vote, out);
             }
-            Event::Started { agent, connection, key, reply } => {
+            Event::StartReplied { agent, connection, key, reply } => {
                 self.started(now, &agent, connection, key, reply, out);
             }
-            Event::Settled { agent, key, reply } => self.settled(now, &agent, key, reply, out),
-            Event::Synced { agent, connection, reply } => {
+            Event::SettleReplied { agent, key, reply } => {
+                self.settled(now, &agent, key, reply, out)
+            }
+            Event::SyncReplied { agent, connection, reply } => {
                 self.synced(now, &agent, connection, reply, out);
             }
-            Event::Relayed { call, submission, reply } => {
+            Event::OwnerReplied { call, submission, reply } => {
                 self.relayed(now, call, submission, reply, out);
             }
             Event::Settings { catalog } => self.settings(now, catalog, out),
-            Event::Confirmed { at } => self.confirmed = self.confirmed.max(at),
-            Event::Entries { count } => self.entries = count.max(1),
+            Event::SettingsConfirmed { at } => self.confirmed = self.confirmed.max(at),
+            Event::EntryCount { count } => self.entries = count.max(1),
             Event::Tick => {}
         }
         self.tick(now, out);
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -52,21 +52,21 @@
         relayed: bool,
     },
     /// A connection to an agent opened a session.
-    Up {
+    Connected {
         /// The connection.
         connection: Connection,
         /// What the agent says of itself.
         info: AgentInfo,
     },
     /// A connection to an agent is gone.
-    Down {
+    Disconnected {
         /// The agent.
         agent: NodeName,
         /// The connection.
         connection: Connection,
     },
     /// An agent's process is known to be dead; nobody will tell what it had started.
-    Dead {
+    AgentDead {
         /// The agent.
         agent: NodeName,
     },
@@ -78,12 +78,12 @@
         suspected: bool,
     },
     /// The platform's list says that a host leaves.
-    Leaving {
+    AgentLeaving {
         /// The agent on it.
         agent: NodeName,
     },
     /// A holder replied to a claim.
-    Claimed {
+    ClaimReplied {
         /// The holder.
         holder: NodeName,
         /// The submission.
@@ -92,7 +92,7 @@
         reply: Option<ClaimReply>,
     },
     /// A holder said whose claim holds.
-    LookedUp {
+    LookupReplied {
         /// The holder.
         holder: NodeName,
         /// The submission.
@@ -101,7 +101,7 @@
         reply: Option<LookupReply>,
     },
     /// An agent replied to a start.
-    Started {
+    StartReplied {
         /// The agent.
         agent: NodeName,
         /// The connection that the start was sent on.
@@ -112,7 +112,7 @@
         reply: Option<StartReply>,
     },
     /// An agent told a task's fate.
-    Settled {
+    SettleReplied {
         /// The agent.
         agent: NodeName,
         /// The task.
@@ -121,7 +121,7 @@
         reply: Option<SettleReply>,
     },
     /// An agent replied to a token exchange.
-    Synced {
+    SyncReplied {
         /// The agent.
         agent: NodeName,
         /// The connection of the exchange.
@@ -130,7 +130,7 @@
         reply: Option<SyncReply>,
     },
     /// The owner of a submission replied to a relay or a fetch.
-    Relayed {
+    OwnerReplied {
         /// The call that it replied to.
         call: OwnerCall,
         /// The submission.
@@ -144,12 +144,12 @@
         catalog: Arc<Catalog>,
     },
     /// The settings in force were the newest at this time.
-    Confirmed {
+    SettingsConfirmed {
         /// When.
         at: Time,
     },
     /// How many entries share the targets, this one included.
-    Entries {
+    EntryCount {
         /// The number.
         count: u32,
     },
@@ -234,9 +234,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// A target can be placed on.
-    TargetUp(NodeRef),
+    TargetConnected(NodeRef),
     /// A target can't be reached.
-    TargetDown(NodeName),
+    TargetDisconnected(NodeName),
     /// A target takes no more work.
     TargetLeaving(NodeName),
     /// A target is slow beside the others, or no more.
--- a/components/entry/src/exchange.rs
+++ b/components/entry/src/exchange.rs
@@ -26,7 +26,7 @@
             self.leave_pool(target);
         }
         let target = self.targets.up(info, connection, &self.setup.hall, now);
-        out.push(Action::Log(LogEvent::TargetUp(info.agent.clone())));
+        out.push(Action::Log(LogEvent::TargetConnected(info.agent.clone())));
         if !self.targets.get(target).leaving {
             self.set_profile(target);
             self.services.entry(info.service.clone()).or_default().slots += info.slots;
@@ -40,7 +40,7 @@
         let Some(target) = self.targets.on(agent, connection) else { return };
         self.leave_pool(target);
         self.targets.get_mut(target).link = None;
-        out.push(Action::Log(LogEvent::TargetDown(agent.clone())));
+        out.push(Action::Log(LogEvent::TargetDisconnected(agent.clone())));
     }
 
     /// The platform says that a host leaves: no new work for its target.
--- a/components/entry/tests/entry.rs
+++ b/components/entry/tests/entry.rs
@@ -61,9 +61,9 @@
                 leaving: false,
             };
             let connection = Connection(number);
-            bench.handle(Event::Up { connection, info });
+            bench.handle(Event::Connected { connection, info });
             let reply = Some(SyncReply { granted: 1, ..SyncReply::default() });
-            bench.handle(Event::Synced { agent: NodeName::new(&name), connection, reply });
+            bench.handle(Event::SyncReplied { agent: NodeName::new(&name), connection, reply });
         }
         bench
     }
@@ -82,7 +82,7 @@
 
     fn claimed(&mut self, holder: &str, reply: ClaimReply) -> Vec<Action> {
         let holder = NodeName::new(holder);
-        self.handle(Event::Claimed { holder, submission: id(), reply: Some(reply) })
+        self.handle(Event::ClaimReplied { holder, submission: id(), reply: Some(reply) })
     }
 }
 
@@ -133,7 +133,7 @@
     for holder in ["a1", "a2", "a3"] {
         let reply = Some(LookupReply::Free);
         let holder = NodeName::new(holder);
-        let actions = bench.handle(Event::LookedUp { holder, submission: id(), reply });
+        let actions = bench.handle(Event::LookupReplied { holder, submission: id(), reply });
         assert_eq!(starts(&actions), 0);
     }
 }
@@ -151,7 +151,8 @@
     bench.claimed("a1", other_claim());
     bench.claimed("a2", other_claim());
     let refusal = Failure::new(Code::Overloaded, Verdict::NotRun, "full");
-    let late = |call| Event::Relayed { call, submission: id(), reply: Some(Err(refusal.clone())) };
+    let late =
+        |call| Event::OwnerReplied { call, submission: id(), reply: Some(Err(refusal.clone())) };
     assert_eq!(outcome(&bench.handle(late(OwnerCall(1)))), None);
     let current = bench.handle(late(OwnerCall(2)));
     assert_eq!(failure(&current), Some((Code::Overloaded, Verdict::NotRun)));
@@ -166,7 +167,7 @@
     bench.now = NOW + Duration::from_millis(501);
     let refusal = Failure::new(Code::Overloaded, Verdict::NotRun, "full");
     let reply = Some(Err(refusal));
-    let actions = bench.handle(Event::Relayed { call: OwnerCall(1), submission: id(), reply });
+    let actions = bench.handle(Event::OwnerReplied { call: OwnerCall(1), submission: id(), reply });
     assert_eq!(failure(&actions), Some((Code::Overloaded, Verdict::MayHaveRun)));
 }
 
@@ -190,7 +191,7 @@
     assert_eq!(failure(&refused), Some((Code::NotReady, Verdict::NotRun)));
     bench.now = bench.now + Duration::from_secs(2);
     let at = bench.now;
-    bench.handle(Event::Confirmed { at });
+    bench.handle(Event::SettingsConfirmed { at });
     bench.submit();
     assert_eq!(bench.entry.counters().active, 1);
 }
--- a/daemon/src/entry_role/decide.rs
+++ b/daemon/src/entry_role/decide.rs
@@ -192,7 +192,9 @@
             Input::Settings(Update::Catalog(catalog)) => {
                 self.event(now, Event::Settings { catalog });
             }
-            Input::Settings(Update::Confirmed(at)) => self.event(now, Event::Confirmed { at }),
+            Input::Settings(Update::Confirmed(at)) => {
+                self.event(now, Event::SettingsConfirmed { at })
+            }
             Input::Status(reply) => {
                 // The one who asked may be gone.
                 let _ = reply.try_send(self.status(now));
@@ -214,8 +216,10 @@
 
 fn log_news(name: &str, news: &LogEvent) {
     match news {
-        LogEvent::TargetUp(agent) => info!("entry {}: agent {} is up", name, agent),
-        LogEvent::TargetDown(agent) => warn!("entry {}: agent {} is out of reach", name, agent),
+        LogEvent::TargetConnected(agent) => info!("entry {}: agent {} is up", name, agent),
+        LogEvent::TargetDisconnected(agent) => {
+            warn!("entry {}: agent {} is out of reach", name, agent)
+        }
         LogEvent::TargetLeaving(agent) => info!("entry {}: agent {} is leaving", name, agent),
         LogEvent::Straggling(agent, true) => warn!("entry {}: agent {} straggles", name, agent),
         LogEvent::Straggling(agent, false) => {
--- a/daemon/src/entry_role/links.rs
+++ b/daemon/src/entry_role/links.rs
@@ -122,14 +122,14 @@
                 Ok(stream) => self.session(&agent, stream).await,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
                     // Nobody listens there: the process is gone.
-                    self.tell(Event::Dead { agent: agent.clone() }).await;
+                    self.tell(Event::AgentDead { agent: agent.clone() }).await;
                 }
                 Err(_) => {}
             }
             Timer::after(RETRY_PAUSE).await;
         }
         self.kept.borrow_mut().retain(|kept| *kept != agent);
-        self.tell(Event::Dead { agent }).await;
+        self.tell(Event::AgentDead { agent }).await;
     }
 
     /// One connection from its first call to its end.
@@ -155,11 +155,11 @@
         let hello = HelloRequest { entry: self.life.clone() };
         let Ok(info) = client.hello(net::call_context(), hello).await else { return };
         let connection = self.opened(agent, client, keep, &info);
-        self.tell(Event::Up { connection, info }).await;
+        self.tell(Event::Connected { connection, info }).await;
         // Ends, with an error, when the dispatch does.
         let _ = ended.recv().await;
         self.open.borrow_mut().remove(agent);
-        self.tell(Event::Down { agent: agent.clone(), connection }).await;
+        self.tell(Event::Disconnected { agent: agent.clone(), connection }).await;
     }
 
     fn opened(
@@ -185,7 +185,7 @@
         self.spawn(async move {
             // What the connection had under way fails first.
             net::pause(GIVE_UP_TIME).await;
-            links.tell(Event::Dead { agent }).await;
+            links.tell(Event::AgentDead { agent }).await;
         });
     }
 
@@ -212,7 +212,7 @@
                         Some(client) => client.start(net::call_context(), request).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::Started { agent, connection, key, reply }).await;
+                    links.tell(Event::StartReplied { agent, connection, key, reply }).await;
                 });
             }
             Action::Sync { agent, connection, request } => {
@@ -222,7 +222,7 @@
                         Some(client) => client.sync(net::call_context(), request).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::Synced { agent, connection, reply }).await;
+                    links.tell(Event::SyncReplied { agent, connection, reply }).await;
                 });
             }
             Action::Claim { holder, request } => {
@@ -233,7 +233,7 @@
                         Some(client) => client.claim(net::call_context(), request).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::Claimed { holder, submission, reply }).await;
+                    links.tell(Event::ClaimReplied { holder, submission, reply }).await;
                 });
             }
             Action::Lookup { holder, submission } => {
@@ -243,7 +243,7 @@
                         Some(client) => client.lookup(net::call_context(), submission).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::LookedUp { holder, submission, reply }).await;
+                    links.tell(Event::LookupReplied { holder, submission, reply }).await;
                 });
             }
             Action::Settle { agent, request } => {
@@ -254,17 +254,17 @@
                         Some(client) => client.settle(net::call_context(), request).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::Settled { agent, key, reply }).await;
+                    links.tell(Event::SettleReplied { agent, key, reply }).await;
                 });
             }
             Action::Relay { call, owner, request } => self.spawn(async move {
                 let submission = request.submission;
                 let reply = links.peers.relay(&owner.name, request).await;
-                links.tell(Event::Relayed { call, submission, reply }).await;
+                links.tell(Event::OwnerReplied { call, submission, reply }).await;
             }),
             Action::Fetch { call, owner, submission } => self.spawn(async move {
                 let reply = links.peers.fetch(&owner.name, submission).await;
-                links.tell(Event::Relayed { call, submission, reply }).await;
+                links.tell(Event::OwnerReplied { call, submission, reply }).await;
             }),
             Action::Respond { .. } | Action::LogDecision(_) | Action::Log(_) => {}
         }
--- a/daemon/src/entry_role/mod.rs
+++ b/daemon/src/entry_role/mod.rs
@@ -147,10 +147,10 @@
             let leaving = list
                 .of_role(Role::Agent)
                 .filter(|host| host.state == HostState::Leaving)
-                .map(|host| entry::Event::Leaving { agent: host.name.clone() });
+                .map(|host| entry::Event::AgentLeaving { agent: host.name.clone() });
             let live = list.of_role(Role::Entry).filter(|host| host.state == HostState::Live);
             let count = u32::try_from(live.count()).unwrap_or(u32::MAX);
-            let mut events = leaving.chain([entry::Event::Entries { count }]);
+            let mut events = leaving.chain([entry::Event::EntryCount { count }]);
             let all_told = events.all(|event| ring.send_blocking(Input::Event(event)).is_ok());
             all_told && links.send_blocking(LinkInput::Hosts(list.clone())).is_ok()
         })
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -35,7 +35,7 @@
         let catalog = self.catalogs[version as usize - 1].clone();
         self.deliver_to_entry(number, life, Event::Settings { catalog });
         let count = self.entries.len() as u32;
-        self.deliver_to_entry(number, life, Event::Entries { count });
+        self.deliver_to_entry(number, life, Event::EntryCount { count });
         for agent in 0..self.agents.len() {
             let wait = self.within(Duration::from_millis(20));
             self.after(wait, Happening::Dial(number, agent));
@@ -192,7 +192,7 @@
         let (life, reference) = (node.life, node.reference());
         if self.agents[agent].node.machine.is_none() {
             let agent_name = self.agents[agent].node.name.clone();
-            self.deliver_to_entry(entry, life, Event::Dead { agent: agent_name });
+            self.deliver_to_entry(entry, life, Event::AgentDead { agent: agent_name });
             let wait = Duration::from_millis(200);
             return self.after(wait, Happening::Dial(entry, agent));
         }
@@ -211,7 +211,7 @@
                 self.after(wait, Happening::ToEntry(link.entry, link.entry_life, event));
             }
         }
-        let down = Event::Down { agent: agent_name, connection: Connection(id) };
+        let down = Event::Disconnected { agent: agent_name, connection: Connection(id) };
         let wait = self.within(Duration::from_millis(5));
         self.after(wait, Happening::ToEntry(link.entry, link.entry_life, down));
         // Frames on their way may reach the agent before it learns of the break, or not at all.
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -152,7 +152,7 @@
         }
         let name = self.agents[agent].node.name.clone();
         let entry_life = self.entries[entry].node.life;
-        self.deliver_to_entry(entry, entry_life, Event::Leaving { agent: name });
+        self.deliver_to_entry(entry, entry_life, Event::AgentLeaving { agent: name });
     }
 
     fn target_unreachable(&mut self, number: usize) {
--- a/soak/src/network.rs
+++ b/soak/src/network.rs
@@ -165,42 +165,42 @@
     let connection = Connection(link);
     let agent = agent.clone();
     Some(match (called, reply) {
-        (Called::Hello, Some(Reply::Hello(info))) => Event::Up { connection, info },
+        (Called::Hello, Some(Reply::Hello(info))) => Event::Connected { connection, info },
         (Called::Hello, _) => return None,
         (Called::Claim(submission), reply) => {
             let reply = match reply {
                 Some(Reply::Claim(reply)) => Some(reply),
                 _ => None,
             };
-            Event::Claimed { holder: agent, submission, reply }
+            Event::ClaimReplied { holder: agent, submission, reply }
         }
         (Called::Lookup(submission), reply) => {
             let reply = match reply {
                 Some(Reply::Lookup(reply)) => Some(reply),
                 _ => None,
             };
-            Event::LookedUp { holder: agent, submission, reply }
+            Event::LookupReplied { holder: agent, submission, reply }
         }
         (Called::Start(key), reply) => {
             let reply = match reply {
                 Some(Reply::Start(reply)) => Some(reply),
                 _ => None,
             };
-            Event::Started { agent, connection, key, reply }
+            Event::StartReplied { agent, connection, key, reply }
         }
         (Called::Settle(key), reply) => {
             let reply = match reply {
                 Some(Reply::Settle(reply)) => Some(reply),
                 _ => None,
             };
-            Event::Settled { agent, key, reply }
+            Event::SettleReplied { agent, key, reply }
         }
         (Called::Sync, reply) => {
             let reply = match reply {
                 Some(Reply::Sync(reply)) => Some(reply),
                 _ => None,
             };
-            Event::Synced { agent, connection, reply }
+            Event::SyncReplied { agent, connection, reply }
         }
     })
 }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -301,7 +301,7 @@
                 self.target_ends(agent, life, key, outcome);
             }
             Happening::PeerReply(entry, life, call, submission, reply) => {
-                self.deliver_to_entry(entry, life, Event::Relayed { call, submission, reply });
+                self.deliver_to_entry(entry, life, Event::OwnerReplied { call, submission, reply });
             }
             Happening::EntryTick(entry) => {
                 self.entries[entry].node.tick_at = None;
