--- a/components/agent/src/exchange.rs
+++ b/components/agent/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use execution::{Session, Turn};
+use execution::{Session, TokenChange};
 use model::Time;
 use telemetry::MessageKind;
 use wire::{SyncReply, SyncRequest};
@@ -29,8 +29,8 @@
             let oldest = state.waiting.pop_front();
             oldest.into_iter().for_each(|call| self.reply_sync(call, news, out));
         }
-        self.ledger.give_back(session, request.returned);
-        self.ledger.want(session, request.wanted);
+        self.ledger.take_back(session, request.returned);
+        self.ledger.set_wanted(session, request.wanted);
         let leaving = self.ledger.is_leaving();
         self.tell(session, |news| news.leaving |= leaving, out);
     }
@@ -62,14 +62,14 @@
     }
 
     pub(crate) fn give_turns(&mut self, out: &mut Vec<Action>) {
-        let mut turns = Vec::new();
-        self.ledger.turns(&mut turns);
-        for turn in turns {
-            match turn {
-                Turn::Grant(session, count) => {
+        let mut changes = Vec::new();
+        self.ledger.rebalance(&mut changes);
+        for change in changes {
+            match change {
+                TokenChange::Grant(session, count) => {
                     self.tell(session, |news| news.granted += count, out);
                 }
-                Turn::Recall(session, count) => {
+                TokenChange::Recall(session, count) => {
                     self.tell(session, |news| news.recalled += count, out);
                 }
             }
--- a/components/agent/src/tasks.rs
+++ b/components/agent/src/tasks.rs
@@ -30,7 +30,7 @@
             let token = self.unspent_token(session);
             return self.reply_start(call, StartResult::Unknown, token, out);
         }
-        if let Some(known) = self.table.look(request.key, &request.owner) {
+        if let Some(known) = self.table.peek(request.key, &request.owner) {
             return self.start_known(session, call, &request, known, out);
         }
         if now >= request.deadline {
@@ -54,7 +54,7 @@
         let keep_until = self.window().kept_until(request.key.submission);
         let outcome = self.table.start(request.key, &request.owner, keep_until);
         debug_assert_eq!(outcome, StartOutcome::Starts);
-        self.ledger.want(session, request.wanted);
+        self.ledger.set_wanted(session, request.wanted);
         self.counters.started += 1;
         let running = Running { session, starts: vec![call], settles: Vec::new() };
         self.running.insert(request.key, running);
--- a/components/execution/src/ledger.rs
+++ b/components/execution/src/ledger.rs
@@ -1,7 +1,7 @@
-//! Slot tokens: who may start work on this target without asking.
+//! The ledger of slot tokens, which allow entries to start tasks without asking for a slot first.
 //!
-//! Each idle slot is free, or lent to exactly one entry's session as a token. Tokens travel on
-//! messages that flow anyway: a start spends one, its answer gives it back.
+//! An idle slot is either free or lent to exactly one session as a token. Starting a task spends a
+//! token, and the reply to the start returns it.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -10,23 +10,23 @@
 
 use crate::waiters::Waiters;
 
-/// One connection of one entry, numbered by the agent.
+/// Identifies a connection of an entry; allocated by the agent's daemon and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Session(pub u64);
 
-/// What a session has.
+/// The tokens and tasks of a session.
 #[derive(Clone, Copy, Debug, Default)]
 struct Account {
-    /// Tokens lent and not spent.
+    /// Tokens lent and not yet spent.
     idle: u32,
-    /// Tasks running.
+    /// Running tasks, each of which uses a slot.
     busy: u32,
-    /// Of these, tokens lent since the session was last heard of: it asked for them, and is about
-    /// to spend them.
-    fresh: u32,
-    /// Tokens asked for and not yet lent.
+    /// Idle tokens lent since the last request of the session; not recalled, since the session will
+    /// probably spend them.
+    newly_lent: u32,
+    /// Tokens requested and not yet lent.
     wanted: u32,
-    /// Tokens asked back and not yet returned.
+    /// Tokens recalled and not yet returned.
     recalled: u32,
 }
 
@@ -35,9 +35,9 @@
         self.idle + self.busy
     }
 
-    /// Tokens that can be asked back.
+    /// Idle tokens that can be recalled.
     fn spare(self) -> u32 {
-        self.idle.saturating_sub(self.fresh)
+        self.idle.saturating_sub(self.newly_lent)
     }
 
     fn need(self) -> Need {
@@ -45,7 +45,7 @@
     }
 }
 
-/// How much a session waits for beside what it has; the greater, the more it needs a token.
+/// The demand of a session relative to the slots it has; the greatest need is served first.
 #[derive(Clone, Copy, Debug)]
 struct Need {
     wanted: u32,
@@ -67,7 +67,7 @@
 }
 
 impl Ord for Need {
-    /// Compares wanted / (total + 1), without fractions.
+    /// Compares `wanted / (total + 1)` by cross-multiplication.
     fn cmp(&self, other: &Self) -> Ordering {
         let left = u64::from(self.wanted) * u64::from(other.total + 1);
         let right = u64::from(other.wanted) * u64::from(self.total + 1);
@@ -75,21 +75,21 @@
     }
 }
 
-/// What the ledger wants told to a session.
+/// A change of a session's tokens, to be sent to its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// Lend it this many more tokens.
+pub enum TokenChange {
+    /// The session gets this many more tokens.
     Grant(Session, u32),
-    /// Ask it for this many idle tokens back.
+    /// The session must return this many idle tokens.
     Recall(Session, u32),
 }
 
-/// The tokens of one target's slots.
+/// The accounts of all sessions that share the slots of one target.
 #[derive(Debug)]
 pub struct Ledger {
     slots: u32,
-    /// Tasks of sessions that have gone since; their slots come back when they end.
-    orphans: u32,
+    /// Running tasks of closed sessions; their slots become free when the tasks end.
+    orphaned: u32,
     accounts: BTreeMap<Session, Account>,
     waiters: Waiters,
     leaving: bool,
@@ -97,11 +97,11 @@
 }
 
 impl Ledger {
-    /// A ledger of so many slots, all free.
+    /// Creates a ledger of `slots` free slots.
     pub fn new(slots: u32) -> Self {
         Self {
             slots,
-            orphans: 0,
+            orphaned: 0,
             accounts: BTreeMap::new(),
             waiters: Waiters::default(),
             leaving: false,
@@ -109,27 +109,27 @@
         }
     }
 
-    /// Slots neither running nor lent.
+    /// The number of slots that neither run a task nor are lent.
     pub fn free(&self) -> u32 {
         let used: u32 = self.accounts.values().map(|account| account.total()).sum();
-        self.slots - used - self.orphans
+        self.slots - used - self.orphaned
     }
 
-    /// Slots running a task.
+    /// The number of slots that run a task.
     pub fn busy(&self) -> u32 {
-        self.orphans + self.accounts.values().map(|account| account.busy).sum::<u32>()
+        self.orphaned + self.accounts.values().map(|account| account.busy).sum::<u32>()
     }
 
-    /// Tokens lent to a session and not spent.
+    /// The number of tokens lent to a session and not yet spent.
     pub fn idle(&self, session: Session) -> u32 {
         self.accounts.get(&session).map_or(0, |account| account.idle)
     }
 
-    /// Sets what a session asks for, in all; replaces what it asked before.
-    pub fn want(&mut self, session: Session, wanted: u32) {
+    /// Sets the number of tokens that a session requests; replaces its earlier request.
+    pub fn set_wanted(&mut self, session: Session, wanted: u32) {
         let account = self.accounts.entry(session).or_default();
         account.wanted = wanted;
-        account.fresh = 0;
+        account.newly_lent = 0;
         if wanted > 0 && !self.leaving {
             self.waiters.add(session);
         } else {
@@ -137,22 +137,24 @@
         }
     }
 
-    /// Takes idle tokens back from a session; more than it has is taken as all.
-    pub fn give_back(&mut self, session: Session, count: u32) {
+    /// Takes idle tokens back from a session, at most as many as it has.
+    pub fn take_back(&mut self, session: Session, count: u32) {
         let Some(account) = self.accounts.get_mut(&session) else { return };
         account.idle -= count.min(account.idle);
         account.recalled = 0;
     }
 
-    /// Takes every idle token of a session back: its lease ended.
+    /// Takes all idle tokens of a session back and cancels its request, since its lease ended;
+    /// returns the number of tokens.
     pub fn end_lease(&mut self, session: Session) -> u32 {
         let idle = self.idle(session);
-        self.give_back(session, idle);
-        self.want(session, 0);
+        self.take_back(session, idle);
+        self.set_wanted(session, 0);
         idle
     }
 
-    /// Spends a token for a start; a session without one gets a free slot where there is one.
+    /// Takes a slot for a start: a token of the session or else a free slot; false if there is
+    /// neither or the target takes no work.
     pub fn spend(&mut self, session: Session) -> bool {
         if self.leaving || self.paused {
             return false;
@@ -170,17 +172,17 @@
 
     /// Ends a task that a session started; returns whether the session keeps the token.
     ///
-    /// It goes to the session that waits for the most beside what it has, so that the slots are
-    /// shared by what waits at each entry; the one that has it keeps it among equals.
+    /// The session keeps it unless another waiting session has a greater need, so that the slots
+    /// are shared in proportion to the tasks that wait at each entry.
     pub fn finish(&mut self, session: Session) -> bool {
         let Some(account) = self.accounts.get_mut(&session) else {
-            self.orphans = self.orphans.saturating_sub(1);
+            self.orphaned = self.orphaned.saturating_sub(1);
             return false;
         };
-        debug_assert!(account.busy > 0, "a finished task was running");
+        debug_assert!(account.busy > 0, "a task that was not running finished");
         account.busy = account.busy.saturating_sub(1);
-        let own = account.need();
-        if self.leaving || self.paused || self.another_needs_more(session, own) {
+        let need = account.need();
+        if self.leaving || self.paused || self.another_needs_more(session, need) {
             return false;
         }
         if let Some(account) = self.accounts.get_mut(&session) {
@@ -195,15 +197,15 @@
         accounts.map(|account| account.need()).any(|need| need > own)
     }
 
-    /// Forgets a session whose connection is gone: its tokens are free, its tasks run on.
+    /// Removes a session whose connection closed: its tokens become free, its tasks keep running.
     pub fn close(&mut self, session: Session) {
         if let Some(account) = self.accounts.remove(&session) {
-            self.orphans += account.busy;
+            self.orphaned += account.busy;
         }
         self.waiters.remove(session);
     }
 
-    /// Lends no more: the target is leaving. Idle tokens are void at once.
+    /// Stops lending for good, since the target is leaving, and voids all idle tokens.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.end_all_leases();
@@ -216,13 +218,14 @@
         }
     }
 
-    /// Lends nothing for a while: the target can't be reached. Idle tokens are void at once.
+    /// Stops lending until [`Ledger::resume`], since the target is unreachable, and voids all idle
+    /// tokens.
     pub fn pause(&mut self) {
         self.paused = true;
         self.end_all_leases();
     }
 
-    /// Lends again.
+    /// Lends tokens again after a pause.
     pub fn resume(&mut self) {
         self.paused = false;
     }
@@ -232,8 +235,9 @@
         self.leaving
     }
 
-    /// Shares free tokens among those who wait, and asks idle ones back where none is free.
-    pub fn turns(&mut self, out: &mut Vec<Turn>) {
+    /// Grants free slots to the waiting sessions and, if some still wait, recalls idle tokens from
+    /// another session; appends the changes to `out`.
+    pub fn rebalance(&mut self, out: &mut Vec<TokenChange>) {
         if self.paused {
             return;
         }
@@ -241,12 +245,12 @@
         self.recall_idle(out);
     }
 
-    fn grant_free(&mut self, out: &mut Vec<Turn>) {
+    fn grant_free(&mut self, out: &mut Vec<TokenChange>) {
         for _ in 0..self.free() {
             let Some(session) = self.neediest() else { return };
             let Some(account) = self.accounts.get_mut(&session) else { return };
             account.idle += 1;
-            account.fresh += 1;
+            account.newly_lent += 1;
             account.wanted -= 1;
             if account.wanted == 0 {
                 self.waiters.remove(session);
@@ -255,48 +259,50 @@
         }
     }
 
-    /// The waiting session that needs a token most, the longest waiting of several.
+    /// The waiting session with the greatest need; of equals, the one that has waited longest.
     fn neediest(&self) -> Option<Session> {
         let need = |session: &Session| self.accounts.get(session).map(|account| account.need());
         let waiting = self.waiters.iter().filter(|session| need(session).is_some());
-        // Of equals the last is taken, so the longest waiting comes last.
+        // `max_by_key` returns the last of equal elements.
         let mut waiting: Vec<Session> = waiting.collect();
         waiting.reverse();
         waiting.into_iter().max_by_key(need)
     }
 
-    /// Asks the session with the most idle tokens for half of what it has more than the neediest.
-    fn recall_idle(&mut self, out: &mut Vec<Turn>) {
+    /// Recalls tokens from the session with the most spare ones, to even out its difference to the
+    /// neediest session. Only one recall is outstanding at a time.
+    fn recall_idle(&mut self, out: &mut Vec<TokenChange>) {
         let Some(neediest) = self.neediest() else { return };
         if self.accounts.values().any(|account| account.recalled > 0) {
             return;
         }
-        let needy = self.accounts.get(&neediest).copied().unwrap_or_default();
-        // One that waits itself will use what it has.
-        let lends = |(session, account): &(&Session, &mut Account)| {
+        let neediest_account = self.accounts.get(&neediest).copied().unwrap_or_default();
+        // A session that waits for tokens will use those it has.
+        let can_lend = |(session, account): &(&Session, &mut Account)| {
             **session != neediest && account.wanted == 0
         };
-        let others = self.accounts.iter_mut().filter(lends);
-        let Some((session, richest)) = others.max_by_key(|(_, account)| account.spare()) else {
+        let others = self.accounts.iter_mut().filter(can_lend);
+        let Some((session, lender)) = others.max_by_key(|(_, account)| account.spare()) else {
             return;
         };
-        if richest.spare() <= needy.idle {
+        if lender.spare() <= neediest_account.idle {
             return;
         }
-        let count = needy.wanted.min((richest.spare() - needy.idle).div_ceil(2));
-        richest.recalled = count;
-        out.push(Turn::Recall(*session, count));
+        let count =
+            neediest_account.wanted.min((lender.spare() - neediest_account.idle).div_ceil(2));
+        lender.recalled = count;
+        out.push(TokenChange::Recall(*session, count));
     }
 }
 
-fn add_grant(out: &mut Vec<Turn>, session: Session) {
-    for turn in out.iter_mut() {
-        if let Turn::Grant(granted, count) = turn
+fn add_grant(out: &mut Vec<TokenChange>, session: Session) {
+    for change in out.iter_mut() {
+        if let TokenChange::Grant(granted, count) = change
             && *granted == session
         {
             *count += 1;
             return;
         }
     }
-    out.push(Turn::Grant(session, 1));
+    out.push(TokenChange::Grant(session, 1));
 }
--- a/components/execution/src/lib.rs
+++ b/components/execution/src/lib.rs
@@ -1,8 +1,8 @@
-//! What an agent knows of the tasks it was asked to start, and who may use its slots.
+//! An agent's start table, which starts every task at most once, and its ledger of slot tokens.
 
 mod ledger;
 mod table;
 mod waiters;
 
-pub use ledger::{Ledger, Session, Turn};
+pub use ledger::{Ledger, Session, TokenChange};
 pub use table::{Limits, Settled, StartOutcome, StartTable, TaskOutcome};
--- a/components/execution/src/table.rs
+++ b/components/execution/src/table.rs
@@ -1,7 +1,8 @@
-//! The start table: a task starts once, whatever frames arrive.
+//! The start table, which starts every task at most once although frames are lost, repeated and
+//! reordered.
 //!
-//! An entry of the table never goes back: absent, then running, then ended; or absent, then barred.
-//! A barred task never starts here, which is what proves "not run".
+//! A record only moves from absent to running to ended, or from absent to barred. A barred task
+//! never starts here, which proves the verdict "not run".
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,16 +15,16 @@
 pub enum TaskOutcome {
     /// The target answered with this text.
     Answer(Arc<str>),
-    /// The target answered with an error: it ran.
+    /// The target answered with an error, so the task ran.
     Failed(String),
-    /// The target was lost before a whole answer: it may have run.
+    /// The target was lost before its answer was complete, so the task may have run.
     Lost(String),
-    /// The target could not be reached: it did not run, and won't under this key.
+    /// The target could not be reached, so the task did not run and won't under this key.
     NeverSent(String),
 }
 
 impl TaskOutcome {
-    /// Bytes of text held.
+    /// The size of the text, in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Self::Answer(text) => text.len(),
@@ -32,45 +33,45 @@
     }
 }
 
-/// What became of a request to start a task.
+/// The result of a request to start a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartOutcome {
-    /// It starts now.
+    /// The task is new and starts now.
     Starts,
-    /// It runs since an earlier frame.
+    /// The task is running since an earlier request.
     AlreadyRunning,
-    /// It ended; the outcome, where it is still held.
+    /// The task ended; the outcome if it is still held.
     AlreadyEnded(Option<TaskOutcome>),
-    /// It was settled as not run, and stays so.
+    /// The task was settled as not run and must not start.
     Barred,
-    /// Another owner started it: two entries believe that they own the submission.
+    /// Another owner started the task, so two entries believe that they own the submission.
     OtherOwner(NodeRef),
-    /// It is so old that an earlier start of it may have been forgotten.
+    /// The task is so old that an earlier start may have been forgotten.
     Forgotten,
 }
 
-/// The fate of a task, once asked for.
+/// The answer to the question whether a task ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settled {
-    /// It never started here and never will.
+    /// The task never started here and never will.
     NotRun,
-    /// It is running.
+    /// The task is running.
     Running,
-    /// It ended; the outcome, where it is still held.
+    /// The task ended; the outcome if it is still held.
     Ended(Option<TaskOutcome>),
-    /// It is so old that a start of it may have been forgotten.
+    /// The task is so old that its start may have been forgotten.
     Forgotten,
 }
 
-/// What the table may hold.
+/// The memory limits of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Memory for outcomes, in bytes; the oldest are dropped over it.
+    /// Greatest total size of the outcomes, in bytes; beyond it the oldest ones are dropped.
     pub outcome_bytes: usize,
 }
 
 #[derive(Clone, Debug)]
-enum State {
+enum TaskState {
     Running,
     Ended(Option<TaskOutcome>),
     Barred,
@@ -79,26 +80,26 @@
 #[derive(Clone, Debug)]
 struct Record {
     owner: Interned,
-    state: State,
+    state: TaskState,
 }
 
-/// The tasks that this life of an agent started or barred.
+/// The tasks that an agent process has started or barred.
 #[derive(Debug)]
 pub struct StartTable {
     limits: Limits,
     owners: Interner<NodeRef>,
     records: Map<TaskKey, Record>,
     expiry: Expiry<TaskKey>,
-    /// Tasks whose outcome is held, oldest first.
+    /// Ended tasks in the order of their ends, for dropping the oldest outcomes.
     held: VecDeque<TaskKey>,
     held_bytes: usize,
     running: usize,
-    /// Tasks of submissions made before this may have been forgotten.
+    /// Tasks of submissions that were made before this time may have been removed.
     forgotten_before: Time,
 }
 
 impl StartTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -112,36 +113,38 @@
         }
     }
 
-    /// Records a start, unless the task is known. `keep_until` is when it may be forgotten.
+    /// Records the start of a new task, which is kept until `keep_until`; for a known task returns
+    /// its state.
     pub fn start(&mut self, key: TaskKey, owner: &NodeRef, keep_until: Time) -> StartOutcome {
         if let Some(record) = self.records.get(&key) {
-            return self.known(record, owner);
+            return self.known_outcome(record, owner);
         }
         if self.may_be_forgotten(key) {
             return StartOutcome::Forgotten;
         }
-        self.insert(key, owner, State::Running, keep_until);
+        self.insert(key, owner, TaskState::Running, keep_until);
         self.running += 1;
         StartOutcome::Starts
     }
 
-    /// What a start of this task would find, without starting it; `None` where it would start.
-    pub fn look(&self, key: TaskKey, owner: &NodeRef) -> Option<StartOutcome> {
+    /// The result that a start of this task would have, without starting it; `None` if it would
+    /// start.
+    pub fn peek(&self, key: TaskKey, owner: &NodeRef) -> Option<StartOutcome> {
         match self.records.get(&key) {
-            Some(record) => Some(self.known(record, owner)),
+            Some(record) => Some(self.known_outcome(record, owner)),
             None => self.may_be_forgotten(key).then_some(StartOutcome::Forgotten),
         }
     }
 
-    /// Tells a task's fate; bars it where it never started.
+    /// Determines whether a task ran and bars it if it never started.
     pub fn settle(&mut self, key: TaskKey, owner: &NodeRef, keep_until: Time) -> Settled {
         match self.records.get(&key).map(|record| &record.state) {
-            Some(State::Running) => Settled::Running,
-            Some(State::Ended(outcome)) => Settled::Ended(outcome.clone()),
-            Some(State::Barred) => Settled::NotRun,
+            Some(TaskState::Running) => Settled::Running,
+            Some(TaskState::Ended(outcome)) => Settled::Ended(outcome.clone()),
+            Some(TaskState::Barred) => Settled::NotRun,
             None if self.may_be_forgotten(key) => Settled::Forgotten,
             None => {
-                self.insert(key, owner, State::Barred, keep_until);
+                self.insert(key, owner, TaskState::Barred, keep_until);
                 Settled::NotRun
             }
         }
@@ -149,15 +152,15 @@
 
     /// Records the end of a running task and keeps its outcome while memory allows.
     ///
-    /// Returns whether the task was running; anything else is a breach of the table's order.
+    /// Returns whether the task was running; false is an invariant violation in the caller.
     pub fn end(&mut self, key: TaskKey, outcome: TaskOutcome) -> bool {
         let Some(record) = self.records.get_mut(&key) else { return false };
-        if !matches!(record.state, State::Running) {
+        if !matches!(record.state, TaskState::Running) {
             return false;
         }
         self.held_bytes += outcome.bytes();
         self.held.push_back(key);
-        record.state = State::Ended(Some(outcome));
+        record.state = TaskState::Ended(Some(outcome));
         self.running -= 1;
         self.drop_oldest_outcomes();
         true
@@ -167,24 +170,24 @@
         key.submission.made() < self.forgotten_before
     }
 
-    /// Forgets tasks past their time; running ones stay. From then on nothing is known of
-    /// submissions made before `forgotten_before`.
+    /// Removes the tasks whose retention ended, except running ones. Afterwards unknown tasks of
+    /// submissions made before `forgotten_before` are reported as forgotten.
     pub fn expire(&mut self, forgotten_before: Time, now: Time) {
         self.forgotten_before = self.forgotten_before.max(forgotten_before);
         for key in self.expiry.due(now) {
             match self.records.get(&key).map(|record| &record.state) {
-                Some(State::Running) => self.expiry.insert(key, now),
+                Some(TaskState::Running) => self.expiry.insert(key, now),
                 _ => self.forget(key),
             }
         }
     }
 
-    /// How many tasks are running.
+    /// The number of running tasks.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// How many tasks are known.
+    /// The number of known tasks.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -194,19 +197,21 @@
         self.records.is_empty()
     }
 
-    /// Bytes of outcomes held.
+    /// The total size of the outcomes held, in bytes.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    fn insert(&mut self, key: TaskKey, owner: &NodeRef, state: State, keep_until: Time) {
+    fn insert(&mut self, key: TaskKey, owner: &NodeRef, state: TaskState, keep_until: Time) {
         let owner = self.owners.intern(owner);
         self.records.insert(key, Record { owner, state });
         self.expiry.insert(key, keep_until);
     }
 
     fn forget(&mut self, key: TaskKey) {
-        if let Some(Record { state: State::Ended(Some(outcome)), .. }) = self.records.remove(&key) {
+        if let Some(Record { state: TaskState::Ended(Some(outcome)), .. }) =
+            self.records.remove(&key)
+        {
             self.held_bytes -= outcome.bytes();
         }
     }
@@ -215,21 +220,21 @@
         while self.held_bytes > self.limits.outcome_bytes {
             let Some(key) = self.held.pop_front() else { return };
             let Some(record) = self.records.get_mut(&key) else { continue };
-            if let State::Ended(outcome) = &mut record.state {
+            if let TaskState::Ended(outcome) = &mut record.state {
                 self.held_bytes -= outcome.take().map_or(0, |outcome| outcome.bytes());
             }
         }
     }
 
-    fn known(&self, record: &Record, owner: &NodeRef) -> StartOutcome {
+    fn known_outcome(&self, record: &Record, owner: &NodeRef) -> StartOutcome {
         let first = self.owners.value(record.owner);
         if first != owner {
             return StartOutcome::OtherOwner(first.clone());
         }
         match &record.state {
-            State::Running => StartOutcome::AlreadyRunning,
-            State::Ended(outcome) => StartOutcome::AlreadyEnded(outcome.clone()),
-            State::Barred => StartOutcome::Barred,
+            TaskState::Running => StartOutcome::AlreadyRunning,
+            TaskState::Ended(outcome) => StartOutcome::AlreadyEnded(outcome.clone()),
+            TaskState::Barred => StartOutcome::Barred,
         }
     }
 }
--- a/components/execution/src/waiters.rs
+++ b/components/execution/src/waiters.rs
@@ -1,30 +1,30 @@
-//! Sessions that wait for tokens, the longest waiting first.
+//! The queue of sessions that wait for tokens.
 
 use std::collections::VecDeque;
 
 use crate::Session;
 
-/// A line of sessions; each is in it once.
+/// A queue of sessions without duplicates.
 #[derive(Debug, Default)]
 pub(crate) struct Waiters {
-    line: VecDeque<Session>,
+    queue: VecDeque<Session>,
 }
 
 impl Waiters {
-    /// Adds a session at the end, unless it waits already.
+    /// Appends a session unless it is in the queue already.
     pub(crate) fn add(&mut self, session: Session) {
-        if !self.line.contains(&session) {
-            self.line.push_back(session);
+        if !self.queue.contains(&session) {
+            self.queue.push_back(session);
         }
     }
 
-    /// Takes a session out.
+    /// Removes a session from the queue.
     pub(crate) fn remove(&mut self, session: Session) {
-        self.line.retain(|waiting| *waiting != session);
+        self.queue.retain(|waiting| *waiting != session);
     }
 
     /// The sessions, the longest waiting first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = Session> + '_ {
-        self.line.iter().copied()
+        self.queue.iter().copied()
     }
 }
--- a/components/execution/tests/execution.rs
+++ b/components/execution/tests/execution.rs
@@ -1,9 +1,11 @@
-//! Start tables and token ledgers under arbitrary orders of messages.
+//! Tests of the start table and the token ledger, also with messages in arbitrary order.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
-use execution::{Ledger, Limits, Session, Settled, StartOutcome, StartTable, TaskOutcome, Turn};
+use execution::{
+    Ledger, Limits, Session, Settled, StartOutcome, StartTable, TaskOutcome, TokenChange,
+};
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, TaskKey, Time};
 use proptest::prelude::*;
 
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn old_outcomes_are_dropped_but_their_end_is_known() {
+fn tasks_with_dropped_outcomes_are_still_known_as_ended() {
     let mut table = table();
     for index in 0..3 {
         table.start(task(index), &owner(1), KEPT);
@@ -55,7 +57,7 @@
 }
 
 #[test]
-fn running_tasks_outlive_their_retention() {
+fn running_tasks_are_kept_beyond_their_retention() {
     let mut table = table();
     table.start(task(0), &owner(1), KEPT);
     table.settle(task(1), &owner(1), KEPT);
@@ -87,7 +89,7 @@
 
 proptest! {
     #[test]
-    fn tasks_start_once_and_never_after_a_proof(messages in messages()) {
+    fn tasks_start_at_most_once_and_never_after_a_not_run_proof(messages in messages()) {
         let mut table = table();
         let mut started = HashSet::new();
         let mut proven = HashSet::new();
@@ -95,13 +97,13 @@
             match message {
                 Message::Start(index) => {
                     if table.start(task(index), &owner(1), KEPT) == StartOutcome::Starts {
-                        prop_assert!(started.insert(index), "started twice");
-                        prop_assert!(!proven.contains(&index), "started after a proof");
+                        prop_assert!(started.insert(index), "task started twice");
+                        prop_assert!(!proven.contains(&index), "started after it was settled as not run");
                     }
                 }
                 Message::Settle(index) => {
                     if table.settle(task(index), &owner(1), KEPT) == Settled::NotRun {
-                        prop_assert!(!started.contains(&index), "a proof after the start");
+                        prop_assert!(!started.contains(&index), "settled as not run after its start");
                         proven.insert(index);
                     }
                 }
@@ -110,7 +112,7 @@
                     prop_assert!(!ended || started.contains(&index));
                 }
                 Message::Expire(second) => {
-                    // Retention is 590 s: what the table forgets, it says so of.
+                    // The table must report the tasks that it removes as forgotten.
                     let now = Time::from_millis(second * 1_000);
                     table.expire(now - KEPT_FOR, now);
                 }
@@ -123,14 +125,14 @@
         let slots = 4;
         let mut ledger = Ledger::new(slots);
         let mut running: Vec<Session> = Vec::new();
-        // A closed connection's number is never used again.
+        // The id of a closed session is never reused.
         let mut connections = [0, 1, 2];
         for (step, entry, count) in steps {
             let entry = entry as usize;
             let session = Session(connections[entry]);
             match step {
-                0 => ledger.want(session, count),
-                1 => ledger.give_back(session, count),
+                0 => ledger.set_wanted(session, count),
+                1 => ledger.take_back(session, count),
                 2 => if ledger.spend(session) { running.push(session) },
                 3 => if let Some(first) = running.pop() { ledger.finish(first); },
                 4 => {
@@ -139,7 +141,7 @@
                 }
                 _ => { ledger.end_lease(session); }
             }
-            ledger.turns(&mut Vec::new());
+            ledger.rebalance(&mut Vec::new());
             let idle: u32 = connections.iter().map(|number| ledger.idle(Session(*number))).sum();
             prop_assert_eq!(ledger.busy() as usize, running.len());
             prop_assert_eq!(ledger.free() + ledger.busy() + idle, slots);
@@ -148,97 +150,99 @@
 }
 
 #[test]
-fn a_waiting_session_gets_idle_tokens_back_from_another() {
-    let (rich, poor) = (Session(1), Session(2));
+fn idle_tokens_are_recalled_for_a_waiting_session() {
+    let (holder, waiter) = (Session(1), Session(2));
     let mut ledger = Ledger::new(8);
-    let mut turns = Vec::new();
-    ledger.want(rich, 8);
-    ledger.turns(&mut turns);
-    assert_eq!(turns, [Turn::Grant(rich, 8)]);
-    turns.clear();
-    // Until it is heard of again, it is taken to be about to spend what it asked for.
-    ledger.want(poor, 2);
-    ledger.turns(&mut turns);
-    assert_eq!(turns, []);
-    ledger.want(rich, 0);
-    ledger.turns(&mut turns);
-    assert_eq!(turns, [Turn::Recall(rich, 2)]);
-    turns.clear();
-    ledger.give_back(rich, 2);
-    ledger.turns(&mut turns);
-    assert_eq!(turns, [Turn::Grant(poor, 2)]);
+    let mut changes = Vec::new();
+    ledger.set_wanted(holder, 8);
+    ledger.rebalance(&mut changes);
+    assert_eq!(changes, [TokenChange::Grant(holder, 8)]);
+    changes.clear();
+    // Granted tokens are not recalled before the next request of their session.
+    ledger.set_wanted(waiter, 2);
+    ledger.rebalance(&mut changes);
+    assert_eq!(changes, []);
+    ledger.set_wanted(holder, 0);
+    ledger.rebalance(&mut changes);
+    assert_eq!(changes, [TokenChange::Recall(holder, 2)]);
+    changes.clear();
+    ledger.take_back(holder, 2);
+    ledger.rebalance(&mut changes);
+    assert_eq!(changes, [TokenChange::Grant(waiter, 2)]);
 }
 
 #[test]
-fn a_stale_ask_does_not_hide_a_needier_session() {
-    let (rich, poor) = (Session(1), Session(2));
+fn a_withdrawn_request_does_not_block_another_session() {
+    let (holder, waiter) = (Session(1), Session(2));
     let mut ledger = Ledger::new(4);
-    ledger.want(rich, 9);
-    ledger.turns(&mut Vec::new());
-    // What it still asks for is taken back on the next message that goes to the agent anyway.
-    ledger.want(rich, 0);
-    ledger.want(poor, 2);
-    let mut turns = Vec::new();
-    ledger.turns(&mut turns);
-    assert_eq!(turns, [Turn::Recall(rich, 2)]);
-    ledger.give_back(rich, 2);
-    turns.clear();
-    ledger.turns(&mut turns);
-    assert_eq!(turns, [Turn::Grant(poor, 2)]);
+    ledger.set_wanted(holder, 9);
+    ledger.rebalance(&mut Vec::new());
+    // The first session withdraws the rest of its request.
+    ledger.set_wanted(holder, 0);
+    ledger.set_wanted(waiter, 2);
+    let mut changes = Vec::new();
+    ledger.rebalance(&mut changes);
+    assert_eq!(changes, [TokenChange::Recall(holder, 2)]);
+    ledger.take_back(holder, 2);
+    changes.clear();
+    ledger.rebalance(&mut changes);
+    assert_eq!(changes, [TokenChange::Grant(waiter, 2)]);
 }
 
 #[test]
-fn an_answer_takes_its_token_to_the_one_who_needs_it_more() {
-    let (rich, poor) = (Session(1), Session(2));
+fn a_finished_task_gives_its_token_to_the_session_with_the_greater_need() {
+    let (holder, waiter) = (Session(1), Session(2));
     let mut ledger = Ledger::new(2);
-    ledger.want(rich, 2);
-    ledger.turns(&mut Vec::new());
-    assert!(ledger.spend(rich) && ledger.spend(rich));
-    ledger.want(rich, 1);
-    ledger.want(poor, 1);
-    assert!(!ledger.finish(rich));
-    let mut turns = Vec::new();
-    ledger.turns(&mut turns);
-    assert_eq!(turns, [Turn::Grant(poor, 1)]);
-    assert!(ledger.finish(rich));
+    ledger.set_wanted(holder, 2);
+    ledger.rebalance(&mut Vec::new());
+    assert!(ledger.spend(holder) && ledger.spend(holder));
+    ledger.set_wanted(holder, 1);
+    ledger.set_wanted(waiter, 1);
+    assert!(!ledger.finish(holder));
+    let mut changes = Vec::new();
+    ledger.rebalance(&mut changes);
+    assert_eq!(changes, [TokenChange::Grant(waiter, 1)]);
+    assert!(ledger.finish(holder));
 }
 
 #[test]
-fn slots_are_shared_by_what_waits() {
+fn slots_are_shared_in_proportion_to_demand() {
     let (long, short) = (Session(1), Session(2));
     let mut ledger = Ledger::new(8);
-    ledger.want(long, 30);
-    ledger.want(short, 10);
-    let mut turns = Vec::new();
-    ledger.turns(&mut turns);
-    turns.sort_by_key(|turn| matches!(turn, Turn::Grant(session, _) if *session == short));
-    assert_eq!(turns, [Turn::Grant(long, 6), Turn::Grant(short, 2)]);
+    ledger.set_wanted(long, 30);
+    ledger.set_wanted(short, 10);
+    let mut changes = Vec::new();
+    ledger.rebalance(&mut changes);
+    changes.sort_by_key(
+        |change| matches!(change, TokenChange::Grant(session, _) if *session == short),
+    );
+    assert_eq!(changes, [TokenChange::Grant(long, 6), TokenChange::Grant(short, 2)]);
 }
 
 #[test]
-fn nothing_is_asked_back_from_one_who_waits() {
-    let (busy, poor) = (Session(1), Session(2));
+fn no_token_is_recalled_from_a_waiting_session() {
+    let (busy, waiter) = (Session(1), Session(2));
     let mut ledger = Ledger::new(2);
-    ledger.want(busy, 5);
-    ledger.turns(&mut Vec::new());
-    ledger.want(poor, 1);
-    let mut turns = Vec::new();
-    ledger.turns(&mut turns);
-    assert_eq!(turns, []);
+    ledger.set_wanted(busy, 5);
+    ledger.rebalance(&mut Vec::new());
+    ledger.set_wanted(waiter, 1);
+    let mut changes = Vec::new();
+    ledger.rebalance(&mut changes);
+    assert_eq!(changes, []);
 }
 
 #[test]
-fn a_leaving_target_takes_no_new_work() {
+fn a_leaving_target_lends_no_tokens() {
     let session = Session(1);
     let mut ledger = Ledger::new(2);
-    ledger.want(session, 2);
-    ledger.turns(&mut Vec::new());
+    ledger.set_wanted(session, 2);
+    ledger.rebalance(&mut Vec::new());
     assert!(ledger.spend(session));
     ledger.leave();
     assert!(!ledger.spend(session));
     assert!(!ledger.finish(session));
-    let mut turns = Vec::new();
-    ledger.want(session, 2);
-    ledger.turns(&mut turns);
-    assert_eq!(turns, []);
+    let mut changes = Vec::new();
+    ledger.set_wanted(session, 2);
+    ledger.rebalance(&mut changes);
+    assert_eq!(changes, []);
 }
