--- a/components/claims/src/lib.rs
+++ b/components/claims/src/lib.rs
@@ -1,16 +1,16 @@
-//! Who owns a submission.
+//! Ownership of submissions, decided by a quorum of claim holders.
 //!
-//! An entry must know that a submission is new before its first task starts. It asks three agents
-//! in different racks, chosen by rendezvous hashing over the claim view; the first claim to reach
-//! an agent holds there, and two of three make the entry the owner. The design and what was
-//! weighed against it stand in `docs/design/never-twice.md`.
+//! Before an entry starts the first task of a submission, it must own the submission. It claims it
+//! at a few agents in different racks, the holders, which are chosen by rendezvous hashing over the
+//! claim view. A holder keeps the first claim that it receives, and the entry that gets a majority
+//! of the holders is the owner.
 
 mod register;
 mod round;
 mod view;
 mod window;
 
-pub use register::{Claim, ClaimReply, ClaimRequest, LookupReply, Register, Silence};
+pub use register::{AbstainReason, Claim, ClaimReply, ClaimRequest, LookupReply, Register};
 pub use round::{Round, RoundState, Vote};
 pub use view::{HOLDERS, InvalidMember, Member, View, Views};
 pub use window::{Age, Window};
--- a/components/claims/src/register.rs
+++ b/components/claims/src/register.rs
@@ -1,4 +1,4 @@
-//! The claims that one agent holds.
+//! The register of the claims that one agent holds.
 
 use model::{Digest, Expiry, Interned, Interner, Map, NodeRef, SubmissionId, Time};
 use serde::{Deserialize, Serialize};
@@ -8,67 +8,67 @@
 /// An entry's claim to a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The life of the entry that claims.
+    /// The claiming entry, with the incarnation of its process.
     pub owner: NodeRef,
-    /// The digest of the submission's work.
+    /// The digest of the submission's tasks, which detects reused ids.
     pub digest: Digest,
 }
 
-/// Asks a holder for a submission.
+/// The request of an entry to hold its claim on a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The submission.
+    /// The claimed submission.
     pub submission: SubmissionId,
-    /// Who claims it, with what work.
+    /// The claiming entry and the digest of the work.
     pub claim: Claim,
 }
 
-/// Why a holder does not vote on an id.
+/// The reason why a holder abstains on a submission id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Silence {
-    /// The id was made before the holder's start, or so close to it that an earlier life may
-    /// have voted.
+pub enum AbstainReason {
+    /// The id was made before the holder started, or so shortly after that an earlier process of
+    /// the holder may have voted.
     BeforeStart,
-    /// The id's claims are no longer kept, or it is from the future.
+    /// The id's time is past the retention or in the future.
     OutsideWindow,
 }
 
-/// A holder's answer to a claim.
+/// A holder's reply to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The claim holds here from now on.
+    /// The holder now holds this claim.
     Granted,
-    /// The same claim held here before: the owner has asked in this life already.
+    /// The holder held this claim before, from an earlier request of the same entry process.
     Renewed,
-    /// An earlier claim holds here.
+    /// The holder holds an earlier, different claim.
     Held(Claim),
-    /// The holder does not vote.
-    Silent(Silence),
+    /// The holder abstains.
+    Silent(AbstainReason),
 }
 
-/// A holder's answer to the question whose claim holds on a submission.
+/// A holder's reply to a lookup of the claim on a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LookupReply {
-    /// Nobody's.
+    /// The holder has no claim on the submission.
     Free,
-    /// This claim holds here.
+    /// The holder has this claim.
     Held(Claim),
-    /// The holder can't know.
-    Silent(Silence),
+    /// The holder abstains, since it may have forgotten a claim.
+    Silent(AbstainReason),
 }
 
-/// A claim as it is kept.
+/// A claim as stored, with the owner interned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct HeldClaim {
     owner: Interned,
     digest: Digest,
 }
 
-/// The claims that one agent holds, in memory, until their retention ends.
+/// The claims that one agent holds in memory until their retention ends.
 #[derive(Debug)]
 pub struct Register {
     started: Time,
-    /// Ids made before this may have been forgotten.
+    /// Claims on ids that were made before this time may have been removed.
     forgotten_before: Time,
     owners: Interner<NodeRef>,
     claims: Map<SubmissionId, HeldClaim>,
@@ -76,7 +76,7 @@
 }
 
 impl Register {
-    /// An empty register of a process that started at `started`.
+    /// Creates an empty register for a process that started at `started`.
     pub fn new(started: Time) -> Self {
         Self {
             started,
@@ -87,17 +87,17 @@
         }
     }
 
-    /// Takes a claim, or says whose came first.
+    /// Holds a claim unless another one came first, and returns the vote.
     pub fn claim(&mut self, request: &ClaimRequest, window: &Window, now: Time) -> ClaimReply {
         let id = request.submission;
-        if let Some(silence) = self.silence(id, window, now) {
-            return ClaimReply::Silent(silence);
+        if let Some(reason) = self.abstain_reason(id, window, now) {
+            return ClaimReply::Silent(reason);
         }
         let owner = self.owners.intern(&request.claim.owner);
         let claim = HeldClaim { owner, digest: request.claim.digest };
         match self.claims.get(&id) {
             Some(held) if *held == claim => ClaimReply::Renewed,
-            Some(held) => ClaimReply::Held(self.restore(held)),
+            Some(held) => ClaimReply::Held(self.to_claim(held)),
             None => {
                 self.claims.insert(id, claim);
                 self.expiry.insert(id, window.kept_until(id));
@@ -106,36 +106,41 @@
         }
     }
 
-    fn restore(&self, held: &HeldClaim) -> Claim {
+    fn to_claim(&self, held: &HeldClaim) -> Claim {
         Claim { owner: self.owners.value(held.owner).clone(), digest: held.digest }
     }
 
-    fn silence(&self, id: SubmissionId, window: &Window, now: Time) -> Option<Silence> {
+    fn abstain_reason(
+        &self,
+        id: SubmissionId,
+        window: &Window,
+        now: Time,
+    ) -> Option<AbstainReason> {
         if id.made() <= window.votes_from(self.started) {
-            return Some(Silence::BeforeStart);
+            return Some(AbstainReason::BeforeStart);
         }
         let too_new = id.made() > now + window.clock_skew * 2;
         if too_new || window.kept_until(id) < now || id.made() < self.forgotten_before {
-            return Some(Silence::OutsideWindow);
+            return Some(AbstainReason::OutsideWindow);
         }
         None
     }
 
-    /// Whose claim holds on a submission.
+    /// Returns the claim held on a submission, if any.
     pub fn lookup(&self, id: SubmissionId, window: &Window, now: Time) -> LookupReply {
         if let Some(claim) = self.claims.get(&id) {
-            return LookupReply::Held(self.restore(claim));
+            return LookupReply::Held(self.to_claim(claim));
         }
-        match self.silence(id, window, now) {
-            Some(silence) => LookupReply::Silent(silence),
+        match self.abstain_reason(id, window, now) {
+            Some(reason) => LookupReply::Silent(reason),
             None => LookupReply::Free,
         }
     }
 
-    /// Forgets what is past its retention, as long as the settings now say.
+    /// Removes the claims that are past the current retention.
     ///
-    /// A retention that was raised since a claim came keeps that claim longer, and what had been
-    /// forgotten under a shorter one is not voted on.
+    /// A raised retention also extends the claims held already. Ids whose claims may have been
+    /// removed under a shorter retention get no vote.
     pub fn expire(&mut self, window: &Window, now: Time) {
         self.forgotten_before = self.forgotten_before.max(now - window.retention);
         for id in self.expiry.due(now) {
@@ -148,7 +153,7 @@
         }
     }
 
-    /// How many claims are held.
+    /// The number of claims held.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
--- a/components/claims/src/round.rs
+++ b/components/claims/src/round.rs
@@ -1,4 +1,4 @@
-//! An entry's round of claims: asked at once, won by a majority of every view's holders.
+//! An entry's round of claims, which is won by a majority of the holders of every view.
 
 use std::collections::HashMap;
 
@@ -6,30 +6,30 @@
 
 use crate::{Claim, ClaimReply, LookupReply};
 
-/// Where a round stands.
+/// The state of a round.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundState {
-    /// Replies are awaited that may still decide it.
+    /// Outstanding replies may still decide the round.
     Open,
     /// A majority of every view's holders granted the claim: the entry is the owner.
     Won,
-    /// It can't be won: this claim came first at some holder.
+    /// The round can't be won, and another claim was seen: the one that most holders have.
     Lost(Claim),
-    /// It can't be won, and nobody else was seen to have claimed.
+    /// The round can't be won, and no other claim was seen.
     NoQuorum,
 }
 
-/// What one holder said.
+/// The vote of one holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Vote {
-    /// The claim holds there; or, where only asked, nobody's does.
+    /// The holder now holds the claim or, in a lookup, holds none.
     Granted,
-    /// The entry's own claim held there before.
+    /// The holder held the entry's claim already.
     Renewed,
-    /// Another's claim holds there.
+    /// The holder holds another claim.
     Held(Claim),
-    /// Silent, dead or cut off.
-    None,
+    /// The holder abstained, did not reply or was unreachable.
+    Absent,
 }
 
 impl From<&ClaimReply> for Vote {
@@ -38,7 +38,7 @@
             ClaimReply::Granted => Self::Granted,
             ClaimReply::Renewed => Self::Renewed,
             ClaimReply::Held(claim) => Self::Held(claim.clone()),
-            ClaimReply::Silent(_) => Self::None,
+            ClaimReply::Silent(_) => Self::Absent,
         }
     }
 }
@@ -48,27 +48,28 @@
         match reply {
             LookupReply::Free => Self::Granted,
             LookupReply::Held(claim) => Self::Held(claim.clone()),
-            LookupReply::Silent(_) => Self::None,
+            LookupReply::Silent(_) => Self::Absent,
         }
     }
 }
 
-/// The round of one submission at one entry: of claims, or of questions whose claim holds.
+/// A round of claims or lookups for one submission at one entry.
 ///
-/// A round of questions that is won proves that nobody owned the submission when it began.
+/// Winning a round of lookups proves that the submission had no owner when the round started.
 #[derive(Clone, Debug)]
 pub struct Round {
+    /// The holders of each view.
     groups: Vec<Vec<NodeName>>,
     votes: HashMap<NodeName, Vote>,
 }
 
 impl Round {
-    /// A round over the holders of each view that must agree.
+    /// Creates a round over groups of holders, one for each view that must agree.
     pub fn new(groups: Vec<Vec<NodeName>>) -> Self {
         Self { groups, votes: HashMap::new() }
     }
 
-    /// Every holder to ask, each once.
+    /// The holders of all views, without duplicates.
     pub fn holders(&self) -> Vec<NodeName> {
         let mut names: Vec<NodeName> = self.groups.iter().flatten().cloned().collect();
         names.sort();
@@ -76,64 +77,63 @@
         names
     }
 
-    /// Counts a holder's vote. A holder's first vote stands, except that one after a failure
-    /// counts.
+    /// Records a holder's vote. The first vote counts, but a later one replaces [`Vote::Absent`].
     pub fn record(&mut self, holder: &NodeName, vote: Vote) {
         if !self.groups.iter().flatten().any(|name| name == holder) {
             return;
         }
-        let known = self.votes.entry(holder.clone()).or_insert(Vote::None);
-        if *known == Vote::None {
+        let known = self.votes.entry(holder.clone()).or_insert(Vote::Absent);
+        if *known == Vote::Absent {
             *known = vote;
         }
     }
 
-    /// Where the round stands.
+    /// The state of the round after the votes so far.
     pub fn state(&self) -> RoundState {
-        if self.groups.iter().all(|group| self.granted(group) >= majority(group)) {
+        if self.groups.iter().all(|group| self.granted_count(group) >= majority(group)) {
             return RoundState::Won;
         }
-        if self.groups.iter().all(|group| self.still_possible(group)) {
+        if self.groups.iter().all(|group| self.can_reach_majority(group)) {
             return RoundState::Open;
         }
-        match self.first_owner() {
+        match self.most_held_claim() {
             Some(claim) => RoundState::Lost(claim),
-            None if self.all_replied() => RoundState::NoQuorum,
+            None if self.all_voted() => RoundState::NoQuorum,
             None => RoundState::Open,
         }
     }
 
-    /// Whether a holder knew the entry's claim already.
+    /// Whether any holder held the entry's claim already.
     pub fn renewed(&self) -> bool {
         self.votes.values().any(|vote| *vote == Vote::Renewed)
     }
 
-    /// The holders that have not voted.
+    /// The holders without a recorded vote.
     pub fn awaited(&self) -> Vec<NodeName> {
         let mut names = self.holders();
         names.retain(|name| !self.votes.contains_key(name));
         names
     }
 
-    fn granted(&self, group: &[NodeName]) -> usize {
+    fn granted_count(&self, group: &[NodeName]) -> usize {
         let granted =
             |name: &&NodeName| matches!(self.votes.get(*name), Some(Vote::Granted | Vote::Renewed));
         group.iter().filter(granted).count()
     }
 
-    fn still_possible(&self, group: &[NodeName]) -> bool {
+    fn can_reach_majority(&self, group: &[NodeName]) -> bool {
         let refused =
-            |name: &&NodeName| matches!(self.votes.get(*name), Some(Vote::Held(_) | Vote::None));
+            |name: &&NodeName| matches!(self.votes.get(*name), Some(Vote::Held(_) | Vote::Absent));
         let against = group.iter().filter(refused).count();
         !group.is_empty() && group.len() - against >= majority(group)
     }
 
-    fn all_replied(&self) -> bool {
+    fn all_voted(&self) -> bool {
         self.groups.iter().flatten().all(|name| self.votes.contains_key(name))
     }
 
-    /// The claim that most holders have, where any has another's.
-    fn first_owner(&self) -> Option<Claim> {
+    /// The other claim that most holders have, if any.
+    fn most_held_claim(&self) -> Option<Claim> {
         let mut counts: HashMap<&NodeRef, (usize, &Claim)> = HashMap::new();
         for vote in self.votes.values() {
             if let Vote::Held(claim) = vote {
@@ -145,7 +145,7 @@
     }
 }
 
-/// More than half of a group; one more than there are for an empty group, which never agrees.
+/// The votes needed in a group: more than half of it. An empty group needs one and never agrees.
 fn majority(group: &[NodeName]) -> usize {
     group.len() / 2 + 1
 }
--- a/components/claims/src/view.rs
+++ b/components/claims/src/view.rs
@@ -1,4 +1,4 @@
-//! The agents that hold claims, and which of them hold a given submission's.
+//! The agents that hold claims and the choice of the holders of a submission.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -7,20 +7,20 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How many agents hold the claim of one submission.
+/// The number of agents that hold the claim on one submission.
 pub const HOLDERS: usize = 3;
 
-/// A member text that is not `NAME@RACK`.
+/// The error for a member that is not written as `NAME@RACK`.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("'{0}' is not NAME@RACK")]
+#[error("claim view member '{0}' is not NAME@RACK")]
 pub struct InvalidMember(String);
 
-/// One agent of a claim view.
+/// An agent of a claim view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The agent.
+    /// The name of the agent.
     pub name: NodeName,
-    /// The rack of its host; holders of one submission stand in different racks.
+    /// The rack of the agent's host; holders of a submission are spread over racks.
     pub rack: String,
 }
 
@@ -37,61 +37,63 @@
     }
 }
 
-/// A member with the hash of its name.
+/// A member of a rack and the hash of its name.
 #[derive(Clone, Debug)]
-struct Seat {
+struct HashedMember {
     name: NodeName,
     hash: u64,
 }
 
-/// The members of one rack.
+/// A rack with the hash of its name and its members.
 #[derive(Clone, Debug)]
 struct Rack {
     hash: u64,
-    seats: Vec<Seat>,
+    members: Vec<HashedMember>,
 }
 
-/// One claim view, ready for choosing holders.
+/// A claim view, prepared for choosing holders.
 ///
-/// Racks are ranked by rendezvous hashing first, then the members within a rack, so that choosing
-/// costs one hash a rack rather than one a member, and the holders always stand in as many racks
-/// as there are.
+/// Rendezvous hashing ranks the racks first and then the members of the chosen racks. This takes
+/// one hash per rack instead of one per member, and spreads the holders over as many racks as
+/// possible.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     racks: Vec<Rack>,
 }
 
 impl View {
-    /// A view of these members; their order does not matter.
+    /// Creates a view of these members, in any order.
     pub fn new(members: &[Member]) -> Self {
-        let mut racks: BTreeMap<&str, Vec<Seat>> = BTreeMap::new();
+        let mut racks: BTreeMap<&str, Vec<HashedMember>> = BTreeMap::new();
         for member in members {
             let name = member.name.clone();
             let hash = xxh3_64(name.as_str().as_bytes());
-            racks.entry(&member.rack).or_default().push(Seat { name, hash });
+            racks.entry(&member.rack).or_default().push(HashedMember { name, hash });
         }
-        let ready =
-            |(rack, seats): (&str, Vec<Seat>)| Rack { hash: xxh3_64(rack.as_bytes()), seats };
-        Self { racks: racks.into_iter().map(ready).collect() }
+        let rack_of = |(rack, members): (&str, Vec<HashedMember>)| Rack {
+            hash: xxh3_64(rack.as_bytes()),
+            members,
+        };
+        Self { racks: racks.into_iter().map(rack_of).collect() }
     }
 
-    /// The agents that hold this submission's claim: three, or all there are.
+    /// The agents that hold the claim on a submission: [`HOLDERS`], or all of a smaller view.
     pub fn holders(&self, submission: SubmissionId) -> Vec<NodeName> {
         let key = xxh3_64(&submission.as_u128().to_le_bytes());
         let mut racks: Vec<&Rack> = self.racks.iter().collect();
-        keep_best(&mut racks, HOLDERS, |rack| rank(key, rack.hash));
-        let mut columns: Vec<Vec<&Seat>> = Vec::with_capacity(racks.len());
+        keep_highest(&mut racks, HOLDERS, |rack| rank(key, rack.hash));
+        let mut ranked_racks: Vec<Vec<&HashedMember>> = Vec::with_capacity(racks.len());
         for rack in racks {
-            let mut seats: Vec<&Seat> = rack.seats.iter().collect();
-            keep_best(&mut seats, HOLDERS, |seat| rank(key, seat.hash));
-            columns.push(seats);
+            let mut members: Vec<&HashedMember> = rack.members.iter().collect();
+            keep_highest(&mut members, HOLDERS, |member| rank(key, member.hash));
+            ranked_racks.push(members);
         }
-        take_by_rows(&columns)
+        take_by_rank(&ranked_racks)
     }
 }
 
-/// Keeps the `count` items of the highest rank, highest first.
-fn keep_best<T>(items: &mut Vec<T>, count: usize, rank: impl Fn(&T) -> u64) {
+/// Keeps the `count` items of the highest rank, in descending order.
+fn keep_highest<T>(items: &mut Vec<T>, count: usize, rank: impl Fn(&T) -> u64) {
     if items.len() > count {
         items.select_nth_unstable_by_key(count - 1, |item| std::cmp::Reverse(rank(item)));
         items.truncate(count);
@@ -99,18 +101,19 @@
     items.sort_by_key(|item| std::cmp::Reverse(rank(item)));
 }
 
-/// Takes the best of every rack, then the second best of every rack, up to the holders' number.
-fn take_by_rows(columns: &[Vec<&Seat>]) -> Vec<NodeName> {
-    let depth = columns.iter().map(Vec::len).max().unwrap_or(0);
-    let rows = (0..depth).flat_map(|row| columns.iter().filter_map(move |seats| seats.get(row)));
-    rows.take(HOLDERS).map(|seat| seat.name.clone()).collect()
+/// Takes the best member of every rack, then the second best of every rack, up to [`HOLDERS`].
+fn take_by_rank(ranked_racks: &[Vec<&HashedMember>]) -> Vec<NodeName> {
+    let depth = ranked_racks.iter().map(Vec::len).max().unwrap_or(0);
+    let ranked = (0..depth)
+        .flat_map(|rank| ranked_racks.iter().filter_map(move |members| members.get(rank)));
+    ranked.take(HOLDERS).map(|member| member.name.clone()).collect()
 }
 
 fn rank(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
 
-/// The view in force and, for a while after a change, the one before.
+/// The current view and, for some time after a change, the previous one.
 #[derive(Clone, Debug, Default)]
 pub struct Views {
     current: View,
@@ -118,7 +121,7 @@
 }
 
 impl Views {
-    /// The view in force, and the one before with the moment until which it must agree as well.
+    /// Creates the views; `previous` has the time until which the previous view must agree too.
     pub fn new(current: View, previous: Option<(View, Time)>) -> Self {
         Self { current, previous }
     }
--- a/components/claims/src/window.rs
+++ b/components/claims/src/window.rs
@@ -1,33 +1,33 @@
-//! Which submission ids are young enough for their fate to be known.
+//! The time window of submission ids for which claims and task outcomes are remembered.
 
 use std::time::Duration;
 
 use model::{SubmissionId, Time};
 
-/// How the age of an id decides what may be done with it.
+/// The age class of a submission id, which decides whether it can be admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Age {
-    /// Claims about it are kept: it can be taken.
+    /// Within the retention: the submission can be admitted.
     Known,
-    /// It may have been taken and forgotten since.
+    /// Past the retention: the submission may have run and been forgotten.
     TooOld,
-    /// From the future, yet close enough that an entry with a faster clock may have taken it.
+    /// In the future, but an entry with a faster clock may have admitted the submission.
     TooNew,
-    /// So far in the future that no entry within the bound on clocks can have taken it.
+    /// So far in the future that no entry within the clock skew can have admitted the submission.
     Impossible,
 }
 
-/// The retention time and the bound on the difference between clocks.
+/// The retention time and the bound on clock skew.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    /// How long claims are kept after the id was made.
+    /// How long claims are kept, counted from the time of the submission id.
     pub retention: Duration,
-    /// Bound on the difference between two hosts' clocks.
+    /// The greatest difference between the clocks of two hosts.
     pub clock_skew: Duration,
 }
 
 impl Window {
-    /// How an entry has to take an id at `now`.
+    /// The age class of an id by an entry's clock.
     pub fn age(&self, id: SubmissionId, now: Time) -> Age {
         let made = id.made();
         if made + self.retention < now + self.clock_skew * 2 {
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Until when a holder keeps what it knows of an id: past the moment at which the entry with
-    /// the slowest clock refuses it as too old.
+    /// The time until which a holder keeps the state of an id. By then the entry with the slowest
+    /// clock refuses the id as too old.
     pub fn kept_until(&self, id: SubmissionId) -> Time {
         id.made() + self.retention
     }
 
-    /// From which time of making on a process that started at `started` knows all ids: an id made
-    /// earlier may have been in the memory of its earlier life.
+    /// The time after which ids must be made for a process that started at `started` to vote on
+    /// them. Ids made earlier may have been claimed at an earlier process of the agent.
     pub fn votes_from(&self, started: Time) -> Time {
         started + self.clock_skew * 2
     }
@@ -67,7 +67,7 @@
     }
 
     #[test]
-    fn ages_by_the_bounds() {
+    fn age_classes_at_their_bounds() {
         let made = 1_000_000;
         assert_eq!(age_at(made, made), Age::Known);
         assert_eq!(age_at(made, made - 250), Age::Known);
@@ -79,8 +79,8 @@
     }
 
     #[test]
-    fn no_entry_takes_what_a_holder_has_forgotten() {
-        // The holder's clock is ahead of the entry's by the whole bound.
+    fn an_id_forgotten_by_a_holder_is_too_old_at_every_entry() {
+        // The holder's clock is ahead of the entry's by the greatest allowed skew.
         let id = SubmissionId::from_parts(Time::from_millis(1_000_000), 7);
         let forgotten = WINDOW.kept_until(id) + Duration::from_millis(1);
         let entry_clock = forgotten - WINDOW.clock_skew;
--- a/components/claims/tests/claims.rs
+++ b/components/claims/tests/claims.rs
@@ -1,11 +1,12 @@
-//! Rounds against registers: at most one owner, whatever is lost.
+//! Tests of registers, views and rounds: at most one entry owns a submission, whatever messages
+//! are lost and whichever holders restart.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use claims::{
-    Claim, ClaimReply, ClaimRequest, LookupReply, Member, Register, Round, RoundState, Silence,
-    View, Views, Vote, Window,
+    AbstainReason, Claim, ClaimReply, ClaimRequest, LookupReply, Member, Register, Round,
+    RoundState, View, Views, Vote, Window,
 };
 use model::{Digest, Incarnation, NodeName, NodeRef, SubmissionId, Time};
 use proptest::prelude::*;
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn holders_stand_in_different_racks() {
+fn holders_are_in_different_racks() {
     let all = members(30, 10);
     let rack_of: HashMap<_, _> = all.iter().map(|m| (m.name.clone(), m.rack.clone())).collect();
     let view = View::new(&all);
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_changed_member_moves_few_claims() {
+fn an_added_member_moves_few_claims() {
     let before = View::new(&members(30, 10));
     let after = View::new(&members(31, 10));
     let moved = |random: &u128| {
@@ -62,15 +63,15 @@
 fn a_restarted_holder_does_not_vote_on_older_ids() {
     let request = ClaimRequest { submission: submission(1), claim: claim(1) };
     let now = START + Duration::from_secs(6);
-    let mut first_life = Register::new(START);
-    assert_eq!(first_life.claim(&request, &WINDOW, now), ClaimReply::Granted);
-    let mut second_life = Register::new(now);
-    let reply = second_life.claim(&request, &WINDOW, now + Duration::from_secs(1));
-    assert_eq!(reply, ClaimReply::Silent(Silence::BeforeStart));
+    let mut before_restart = Register::new(START);
+    assert_eq!(before_restart.claim(&request, &WINDOW, now), ClaimReply::Granted);
+    let mut after_restart = Register::new(now);
+    let reply = after_restart.claim(&request, &WINDOW, now + Duration::from_secs(1));
+    assert_eq!(reply, ClaimReply::Silent(AbstainReason::BeforeStart));
 }
 
 #[test]
-fn claims_are_forgotten_only_after_their_retention() {
+fn claims_are_removed_only_after_their_retention() {
     let request = ClaimRequest { submission: submission(1), claim: claim(1) };
     let mut register = Register::new(START);
     register.claim(&request, &WINDOW, START + Duration::from_secs(5));
@@ -80,11 +81,11 @@
     register.expire(&WINDOW, later);
     assert!(register.is_empty());
     let reply = register.claim(&request, &WINDOW, later);
-    assert_eq!(reply, ClaimReply::Silent(Silence::OutsideWindow));
+    assert_eq!(reply, ClaimReply::Silent(AbstainReason::OutsideWindow));
 }
 
 #[test]
-fn a_raised_retention_revives_nothing_and_forgets_nothing() {
+fn a_raised_retention_keeps_held_claims_and_bars_removed_ones() {
     let long = Window { retention: Duration::from_secs(1_200), ..WINDOW };
     let request = ClaimRequest { submission: submission(1), claim: claim(1) };
     let mut register = Register::new(START);
@@ -96,11 +97,11 @@
     let forgotten = START + Duration::from_secs(1_300);
     register.expire(&WINDOW, forgotten);
     let reply = register.claim(&request, &long, forgotten - Duration::from_secs(200));
-    assert_eq!(reply, ClaimReply::Silent(Silence::OutsideWindow));
+    assert_eq!(reply, ClaimReply::Silent(AbstainReason::OutsideWindow));
 }
 
 #[test]
-fn a_claim_asked_again_is_told_apart_and_looked_up() {
+fn a_repeated_claim_is_renewed_and_can_be_looked_up() {
     let request = ClaimRequest { submission: submission(1), claim: claim(1) };
     let now = START + Duration::from_secs(6);
     let mut register = Register::new(START);
@@ -110,11 +111,11 @@
     assert_eq!(register.claim(&request, &WINDOW, now), ClaimReply::Renewed);
     assert_eq!(lookup(&register), LookupReply::Held(claim(1)));
     let restarted = Register::new(now);
-    assert_eq!(lookup(&restarted), LookupReply::Silent(Silence::BeforeStart));
+    assert_eq!(lookup(&restarted), LookupReply::Silent(AbstainReason::BeforeStart));
 }
 
 #[test]
-fn an_empty_view_never_agrees() {
+fn an_empty_view_has_no_quorum() {
     let round = Round::new(Views::default().holders(submission(1), START));
     assert_eq!(round.state(), RoundState::NoQuorum);
 }
@@ -136,7 +137,7 @@
     assert_eq!(later.len(), 1);
 }
 
-/// One step of a race: an entry's request reaches a holder, or a holder restarts.
+/// A step of concurrent claim rounds: a request reaches a holder, or a holder restarts.
 #[derive(Clone, Debug)]
 enum Step {
     Deliver { entry: usize, holder: usize, reply_lost: bool },
@@ -164,7 +165,7 @@
                     let request =
                         ClaimRequest { submission: submission(1), claim: claim(entry as u64) };
                     let reply = registers[holder].claim(&request, &WINDOW, now);
-                    let vote = if reply_lost { Vote::None } else { Vote::from(&reply) };
+                    let vote = if reply_lost { Vote::Absent } else { Vote::from(&reply) };
                     rounds[entry].record(&names[holder], vote);
                 }
             }
--- a/components/entry/src/claiming.rs
+++ b/components/entry/src/claiming.rs
@@ -32,7 +32,7 @@
         let holders = job.round_mut().map(|round| round.holders()).unwrap_or_default();
         for holder in holders {
             if !self.targets.is_up(&holder) {
-                self.record(id, &holder, Vote::None);
+                self.record(id, &holder, Vote::Absent);
                 continue;
             }
             self.sent(MessageKind::Claim);
@@ -68,7 +68,7 @@
     pub(crate) fn round_over(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
         let round = self.table.get_mut(id).and_then(|job| job.round_mut());
         for holder in round.map(|round| round.awaited()).unwrap_or_default() {
-            self.record(id, &holder, Vote::None);
+            self.record(id, &holder, Vote::Absent);
         }
         self.advance(now, id, out);
     }
--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -89,11 +89,11 @@
             Event::Suspected { agent, suspected } => self.suspected(&agent, suspected),
             Event::AgentLeaving { agent } => self.leaving(&agent, out),
             Event::ClaimReplied { holder, submission, reply } => {
-                let vote = reply.as_ref().map_or(claims::Vote::None, claims::Vote::from);
+                let vote = reply.as_ref().map_or(claims::Vote::Absent, claims::Vote::from);
                 self.vote(now, &holder, submission, vote, out);
             }
             Event::LookupReplied { holder, submission, reply } => {
-                let vote = reply.as_ref().map_or(claims::Vote::None, claims::Vote::from);
+                let vote = reply.as_ref().map_or(claims::Vote::Absent, claims::Vote::from);
                 self.looked_up(&holder, submission, vote, out);
             }
             Event::StartReplied { agent, connection, key, reply } => {
--- a/components/entry/src/inquiry.rs
+++ b/components/entry/src/inquiry.rs
@@ -50,7 +50,7 @@
         self.inquiries.insert(id, Inquiry { calls: vec![call], stage: Stage::Holders(round) });
         for holder in holders {
             if !self.targets.is_up(&holder) {
-                self.record_answer(id, &holder, Vote::None);
+                self.record_answer(id, &holder, Vote::Absent);
                 continue;
             }
             self.sent(MessageKind::Claim);
@@ -89,7 +89,7 @@
     pub(crate) fn inquiry_over(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
         let awaited = self.round_of_inquiry(id).map(|round| round.awaited()).unwrap_or_default();
         for holder in awaited {
-            self.record_answer(id, &holder, Vote::None);
+            self.record_answer(id, &holder, Vote::Absent);
         }
         self.advance_inquiry(id, out);
     }
