--- a/components/agent/src/agent.rs
+++ b/components/agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's state machine.
+//! The state of an agent and the dispatch of events and calls to their handlers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,34 +11,34 @@
 use wire::{AgentInfo, AgentStatus, SyncReply};
 
 use crate::sessions::Sessions;
-use crate::tasks::Running;
+use crate::tasks::RunningTask;
 use crate::{Action, CallId, Event, LogEvent, Reply, Request};
 
-/// Memory for outcomes that wait to be settled, in bytes.
-const OUTCOME_BYTES: usize = 4 * 1024 * 1024;
-/// Part of a token lease after which a waiting exchange is answered without news.
-const SYNC_PART_OF_LEASE: u32 = 2;
-/// Part of a token lease that an entry may be silent beyond it, for the way of a frame.
-const LEASE_GRACE_PART: u32 = 4;
+/// Memory limit for the outcomes of ended tasks, in bytes.
+const OUTCOME_BYTES_MAX: usize = 4 * 1024 * 1024;
+/// Fraction of a token lease, as a divisor, after which a waiting exchange gets an empty reply.
+const RENEWAL_DIVISOR: u32 = 2;
+/// Fraction of a token lease, as a divisor, that is added to it for frames in transit.
+const LEASE_GRACE_DIVISOR: u32 = 4;
 
-/// What an agent knows of itself at its start.
+/// The identity of an agent and its target, fixed when the process starts.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Its life.
+    /// The agent's name and the incarnation of its process.
     pub node: NodeRef,
-    /// The service that its target takes work of.
+    /// The service whose tasks the target runs.
     pub service: String,
-    /// Its data hall.
+    /// The data hall of the host.
     pub hall: String,
-    /// Its rack.
+    /// The rack of the host.
     pub rack: String,
-    /// The slots of its target.
+    /// The number of tasks that the target runs in parallel.
     pub slots: u32,
-    /// When it started.
+    /// The start time of the process; claims on older submission ids get no vote.
     pub started: Time,
 }
 
-/// The state machine of one life of an agent.
+/// The state machine of one agent process.
 #[derive(Debug)]
 pub struct Agent {
     pub(crate) setup: Setup,
@@ -48,25 +48,25 @@
     pub(crate) table: StartTable,
     pub(crate) ledger: Ledger,
     pub(crate) sessions: Sessions,
-    pub(crate) running: Map<TaskKey, Running>,
+    pub(crate) running: Map<TaskKey, RunningTask>,
     pub(crate) counters: AgentCounters,
-    pub(crate) expired: Time,
+    pub(crate) last_expiry: Time,
     pub(crate) drained: bool,
-    /// Until when nothing is handed to a target that could not be reached.
+    /// When an unreachable target is tried again; `None` while it is reachable.
     pub(crate) paused_until: Option<Time>,
 }
 
 impl Agent {
-    /// An agent with the settings in force at its start.
+    /// Creates an agent with the settings in force at its start.
     pub fn new(setup: Setup, settings_version: u64, fleet: Arc<Fleet>) -> Self {
         Self {
             register: Register::new(setup.started),
-            table: StartTable::new(Limits { outcome_bytes: OUTCOME_BYTES }),
+            table: StartTable::new(Limits { outcome_bytes: OUTCOME_BYTES_MAX }),
             ledger: Ledger::new(setup.slots),
             sessions: Sessions::default(),
             running: Map::default(),
             counters: AgentCounters::default(),
-            expired: setup.started,
+            last_expiry: setup.started,
             drained: false,
             paused_until: None,
             setup,
@@ -75,28 +75,30 @@
         }
     }
 
-    /// Takes an event and adds the actions that follow.
+    /// Processes an event at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Call { session, call, request } => self.call(now, session, call, request, out),
-            Event::Closed { session } => self.close(session, out),
-            Event::Ended { key, outcome } => self.end(now, key, outcome, out),
-            Event::Settings { version, fleet } => self.settings(version, fleet, out),
+            Event::Call { session, call, request } => {
+                self.handle_call(now, session, call, request, out)
+            }
+            Event::Closed { session } => self.close_session(session, out),
+            Event::Ended { key, outcome } => self.task_ended(now, key, outcome, out),
+            Event::Settings { version, fleet } => self.apply_settings(version, fleet, out),
             Event::Leave => self.leave(out),
             Event::Tick => {}
         }
         self.tick(now, out);
-        self.give_turns(out);
+        self.send_token_changes(out);
         self.check_drained(out);
     }
 
-    /// When the next tick is due.
+    /// The time of the next timer; the caller sends [`Event::Tick`] then.
     pub fn next_timer(&self) -> Option<Time> {
         let sessions = self.sessions.next_timer(self.renewal(), self.lease_with_grace());
         sessions.into_iter().chain(self.paused_until).min()
     }
 
-    /// AgentCounters and present sizes.
+    /// The counters since the start, with the current sizes of the tables.
     pub fn counters(&self) -> AgentCounters {
         AgentCounters {
             claims: self.register.len() as u64,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The version of the settings in force here.
+    /// The version of the settings in force.
     pub fn settings_version(&self) -> u64 {
         self.settings_version
     }
@@ -116,16 +118,16 @@
         Window { retention: self.fleet.retention, clock_skew: self.fleet.clock_skew }
     }
 
-    /// After this silence a session's lease has to be renewed.
+    /// The time of silence after which a session's lease must be renewed.
     pub(crate) fn renewal(&self) -> Duration {
-        self.fleet.token_lease / SYNC_PART_OF_LEASE
+        self.fleet.token_lease / RENEWAL_DIVISOR
     }
 
     fn lease_with_grace(&self) -> Duration {
-        self.fleet.token_lease + self.fleet.token_lease / LEASE_GRACE_PART
+        self.fleet.token_lease + self.fleet.token_lease / LEASE_GRACE_DIVISOR
     }
 
-    fn call(
+    fn handle_call(
         &mut self,
         now: Time,
         session: Session,
@@ -139,14 +141,14 @@
                 return;
             }
             out.push(Action::Log(LogEvent::SessionOpened(session, hello.entry)));
-            let reply = Reply::Hello(self.info());
+            let reply = Reply::Hello(self.agent_info());
             return self.reply(call, reply, out);
         }
         if request == Request::Status {
             let reply = Reply::Status(Box::new(self.status()));
             return out.push(Action::Reply { call, reply });
         }
-        if !self.sessions.hear(session, now) {
+        if !self.sessions.record_contact(session, now) {
             self.counters.stale += 1;
             return;
         }
@@ -154,14 +156,14 @@
             Request::Hello(_) | Request::Status => {}
             Request::Claim(request) => self.claim(now, call, &request, out),
             Request::Lookup(submission) => self.lookup(now, call, submission, out),
-            Request::Start(request) => self.start(now, session, call, request, out),
-            Request::Settle(request) => self.settle(call, &request, out),
-            Request::Sync(request) => self.sync(session, call, request, out),
+            Request::Start(request) => self.start_task(now, session, call, request, out),
+            Request::Settle(request) => self.settle_task(call, &request, out),
+            Request::Sync(request) => self.exchange_tokens(session, call, request, out),
         }
     }
 
-    /// What the agent says of itself.
-    fn info(&self) -> AgentInfo {
+    /// The agent's identity, service, location and slots, as sent to entries.
+    fn agent_info(&self) -> AgentInfo {
         AgentInfo {
             agent: self.setup.node.clone(),
             service: self.setup.service.clone(),
@@ -175,7 +177,7 @@
 
     fn status(&self) -> AgentStatus {
         AgentStatus {
-            info: self.info(),
+            info: self.agent_info(),
             settings_version: self.settings_version,
             counters: self.counters(),
         }
@@ -207,17 +209,17 @@
         self.reply(call, Reply::Lookup(reply), out);
     }
 
-    fn close(&mut self, session: Session, out: &mut Vec<Action>) {
+    fn close_session(&mut self, session: Session, out: &mut Vec<Action>) {
         if self.sessions.close(session) {
             self.ledger.close(session);
             out.push(Action::Log(LogEvent::SessionClosed(session)));
         }
     }
 
-    fn settings(&mut self, version: u64, fleet: Arc<Fleet>, out: &mut Vec<Action>) {
+    fn apply_settings(&mut self, version: u64, fleet: Arc<Fleet>, out: &mut Vec<Action>) {
         if version < self.settings_version {
             let breach = Breach::SettingsWentBack { have: self.settings_version, got: version };
-            return self.breach(breach, out);
+            return self.report_breach(breach, out);
         }
         self.settings_version = version;
         self.fleet = fleet;
@@ -230,7 +232,7 @@
         }
         self.ledger.leave();
         out.push(Action::Log(LogEvent::Leaving));
-        self.tell_all(|news| news.leaving = true, out);
+        self.notify_all(|pending| pending.leaving = true, out);
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
@@ -238,19 +240,19 @@
             self.paused_until = None;
             self.ledger.resume();
         }
-        self.answer_silent(now, out);
+        self.answer_silent_sessions(now, out);
         for session in self.sessions.silent(self.lease_with_grace(), now) {
             let idle = self.ledger.end_lease(session);
             if let Some(state) = self.sessions.get_mut(session) {
-                state.heard = now;
-                state.news = SyncReply::default();
+                state.last_contact = now;
+                state.pending = SyncReply::default();
             }
             if idle > 0 {
                 out.push(Action::Log(LogEvent::LeaseEnded(session, idle)));
             }
         }
-        if now.since(self.expired).as_secs() >= 1 {
-            self.expired = now;
+        if now.since(self.last_expiry).as_secs() >= 1 {
+            self.last_expiry = now;
             self.register.expire(&self.window(), now);
             self.table.expire(now - self.fleet.retention, now);
         }
@@ -263,7 +265,7 @@
         }
     }
 
-    pub(crate) fn breach(&mut self, breach: Breach, out: &mut Vec<Action>) {
+    pub(crate) fn report_breach(&mut self, breach: Breach, out: &mut Vec<Action>) {
         self.counters.breaches += 1;
         out.push(Action::Log(LogEvent::Breach(breach)));
     }
--- a/components/agent/src/event.rs
+++ b/components/agent/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches an agent and what it does about it.
+//! The events that an agent processes and the actions that it requests.
 
 use std::sync::Arc;
 
@@ -13,125 +13,125 @@
     SyncReply, SyncRequest,
 };
 
-/// A call that waits for its reply, numbered by the daemon.
+/// Identifies a call that waits for its reply; allocated by the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// A call's content.
+/// The request of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// Opens a session.
+    /// Opens a session on the connection.
     Hello(HelloRequest),
-    /// Claims a submission.
+    /// Claims a submission for an entry.
     Claim(ClaimRequest),
-    /// Asks whose claim holds.
+    /// Asks which claim is held on a submission.
     Lookup(SubmissionId),
-    /// Starts a task.
+    /// Starts a task on the target.
     Start(StartRequest),
-    /// Settles a task's fate.
+    /// Asks whether and how a task ran; bars it if it never started.
     Settle(SettleRequest),
-    /// Exchanges tokens.
+    /// Returns and requests slot tokens; answered when there is something to report.
     Sync(SyncRequest),
-    /// Asks for the counters.
+    /// Asks for the agent's identity and counters; needs no session.
     Status,
 }
 
-/// A call's reply.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To a hello.
+    /// Opens the session: the agent's identity, service, location and slots.
     Hello(AgentInfo),
-    /// To a claim.
+    /// The vote on a claim.
     Claim(ClaimReply),
-    /// To a question whose claim holds.
+    /// The claim held on a submission, if any.
     Lookup(LookupReply),
-    /// To a start.
+    /// The result of a start and whether its token returns to the session.
     Start(StartReply),
-    /// To a settle.
+    /// Whether and how a task ran.
     Settle(SettleReply),
-    /// To a token exchange.
+    /// Tokens granted, recalled or voided.
     Sync(SyncReply),
-    /// To a question for the counters.
+    /// The agent's identity and counters.
     Status(Box<AgentStatus>),
 }
 
-/// What reaches an agent.
+/// An input of the agent's state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A call on a session.
+    /// An entry called the agent.
     Call {
-        /// The connection it came on.
+        /// The connection that the call was received on.
         session: Session,
-        /// Where its reply goes.
+        /// The id for the reply.
         call: CallId,
-        /// Its content.
+        /// The request of the call.
         request: Request,
     },
-    /// A connection is gone.
+    /// The connection of a session closed.
     Closed {
-        /// Which.
+        /// The session of the connection.
         session: Session,
     },
-    /// The target is done with a task, or lost.
+    /// A task ended or the target was lost while it ran.
     Ended {
-        /// The task.
+        /// The task and its attempt.
         key: TaskKey,
-        /// How it ended.
+        /// The answer or the kind of failure.
         outcome: TaskOutcome,
     },
-    /// Settings came into force.
+    /// A version of the settings arrived.
     Settings {
-        /// Their version.
+        /// The version of the settings.
         version: u64,
-        /// What concerns the fleet.
+        /// The settings of the fleet.
         fleet: Arc<Fleet>,
     },
-    /// The target is to take no new work: a planned stop, or the platform says that it leaves.
+    /// The target must take no new work, because of a planned stop or because its host leaves.
     Leave,
-    /// Time has passed.
+    /// A timer expired.
     Tick,
 }
 
-/// What an agent does.
+/// An output of the agent's state machine, carried out by the daemon.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Answers a call.
     Reply {
-        /// Which.
+        /// The call to answer.
         call: CallId,
-        /// With what.
+        /// The reply to send.
         reply: Reply,
     },
-    /// Hands a task to the target.
+    /// Runs a task on the target.
     Run {
-        /// The task.
+        /// The task and its attempt.
         key: TaskKey,
-        /// Its text.
+        /// The text of the task.
         task: Arc<str>,
-        /// When its answer is of no more use.
+        /// The time after which the answer is useless.
         deadline: Time,
     },
-    /// Reports a change of state.
+    /// Writes a state change to the operational log.
     Log(LogEvent),
 }
 
-/// A change of an agent's state, for the log.
+/// A state change of an agent, for the operational log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// An entry opened a session.
     SessionOpened(Session, model::NodeRef),
-    /// A session is gone.
+    /// The session of an entry closed.
     SessionClosed(Session),
-    /// A silent session's tokens were taken back.
+    /// The lease of a silent session expired; the number of idle tokens taken back.
     LeaseEnded(Session, u32),
-    /// The target could not be reached: its slots are not lent for a while.
+    /// The target could not be reached, so that its slots are not lent until a retry.
     TargetUnreachable,
-    /// The target takes no more work.
+    /// The target leaves and takes no new work.
     Leaving,
-    /// Leaving, and nothing runs any more.
+    /// The leaving target has finished its last task.
     Drained,
-    /// Settings of this version are in force.
+    /// Settings of this version came into force.
     Settings(u64),
-    /// A condition that must always hold does not.
+    /// An invariant violation was detected.
     Breach(Breach),
 }
--- a/components/agent/src/sessions.rs
+++ b/components/agent/src/sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions of entries at an agent: leases and waiting token exchanges.
+//! The sessions of entries at an agent, with their leases and waiting token exchanges.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,28 +9,28 @@
 
 use crate::CallId;
 
-/// One entry's session.
+/// The state of one entry's session.
 #[derive(Clone, Debug)]
 pub(crate) struct SessionState {
-    /// When the entry was last heard of on it.
-    pub heard: Time,
-    /// Exchanges that wait for news, oldest first.
+    /// When a message of the entry was last received, which renews the lease.
+    pub last_contact: Time,
+    /// Exchanges that wait for a reply, oldest first.
     pub waiting: VecDeque<CallId>,
-    /// News that no exchange took yet.
-    pub news: SyncReply,
+    /// The reply to the next waiting exchange, as collected so far.
+    pub pending: SyncReply,
 }
 
 impl SessionState {
-    /// Whether there is something to tell.
-    pub fn has_news(&self) -> bool {
-        self.news != SyncReply::default()
+    /// Whether the pending reply reports anything.
+    pub fn has_pending(&self) -> bool {
+        self.pending != SyncReply::default()
     }
 }
 
-/// Closed sessions that are remembered, so that a late frame does not open one anew.
-const CLOSED_KEPT: usize = 1_024;
+/// Closed sessions that are remembered, so that a late frame does not reopen one.
+const CLOSED_SESSIONS_MAX: usize = 1_024;
 
-/// All sessions, by number.
+/// The open sessions and the most recently closed ones.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
     open: BTreeMap<Session, SessionState>,
@@ -38,22 +38,25 @@
 }
 
 impl Sessions {
-    /// Opens a session, or hears of an open one; false for one that was closed.
+    /// Opens a session or renews an open one; false if the session was closed before.
     pub fn open(&mut self, session: Session, now: Time) -> bool {
         if self.closed.contains(&session) {
             return false;
         }
-        let fresh =
-            SessionState { heard: now, waiting: VecDeque::new(), news: SyncReply::default() };
-        self.open.entry(session).or_insert(fresh).heard = now;
+        let new_state = SessionState {
+            last_contact: now,
+            waiting: VecDeque::new(),
+            pending: SyncReply::default(),
+        };
+        self.open.entry(session).or_insert(new_state).last_contact = now;
         true
     }
 
-    /// Notes a frame on a session; false for one that is not open.
-    pub fn hear(&mut self, session: Session, now: Time) -> bool {
+    /// Records the time of a frame on a session; false if the session is not open.
+    pub fn record_contact(&mut self, session: Session, now: Time) -> bool {
         match self.open.get_mut(&session) {
             Some(state) => {
-                state.heard = now;
+                state.last_contact = now;
                 true
             }
             None => false,
@@ -64,10 +67,10 @@
         self.open.get_mut(&session)
     }
 
-    /// Closes a session; false where none was open.
+    /// Closes a session; false if it was not open.
     pub fn close(&mut self, session: Session) -> bool {
         self.closed.push_back(session);
-        if self.closed.len() > CLOSED_KEPT {
+        if self.closed.len() > CLOSED_SESSIONS_MAX {
             self.closed.pop_front();
         }
         self.open.remove(&session).is_some()
@@ -77,18 +80,18 @@
         self.open.iter_mut().map(|(session, state)| (*session, state))
     }
 
-    /// Sessions silent for longer than the lease.
+    /// The sessions from which nothing was received for `lease`.
     pub fn silent(&self, lease: Duration, now: Time) -> Vec<Session> {
-        let silent = |(_, state): &(&Session, &SessionState)| state.heard + lease <= now;
+        let silent = |(_, state): &(&Session, &SessionState)| state.last_contact + lease <= now;
         self.open.iter().filter(silent).map(|(session, _)| *session).collect()
     }
 
-    /// The next moment at which something is due: an answer without news after `renewal` of
-    /// silence, or the end of a lease.
+    /// The next time at which a session needs an empty reply, after `renewal` of silence, or at
+    /// which its lease ends.
     pub fn next_timer(&self, renewal: Duration, lease: Duration) -> Option<Time> {
         let due = |state: &SessionState| match state.waiting.is_empty() {
-            false => state.heard + renewal,
-            true => state.heard + lease,
+            false => state.last_contact + renewal,
+            true => state.last_contact + lease,
         };
         self.open.values().map(due).min()
     }
--- a/components/agent/src/tasks.rs
+++ b/components/agent/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks: started once, settled, ended.
+//! Starts, settles and ends tasks; a task starts at most once.
 
 use execution::{Session, Settled, StartOutcome, TaskOutcome};
 use model::{TaskKey, Time};
@@ -7,17 +7,20 @@
 
 use crate::{Action, Agent, CallId, Reply};
 
-/// A task that the target has.
+/// A task that runs on the target, with the calls that wait for its end.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct RunningTask {
+    /// The session whose token the task uses.
     pub session: Session,
-    /// Starts to answer: the first has the token.
+    /// Start calls to answer; the first one gets the token back.
     pub starts: Vec<CallId>,
+    /// Settle calls to answer.
     pub settles: Vec<CallId>,
 }
 
 impl Agent {
-    pub(crate) fn start(
+    /// Starts a task, unless it is known, late or without a slot.
+    pub(crate) fn start_task(
         &mut self,
         now: Time,
         session: Session,
@@ -27,19 +30,19 @@
     ) {
         if request.agent != self.setup.node.incarnation {
             self.counters.stale += 1;
-            let token = self.unspent_token(session);
+            let token = self.has_unspent_token(session);
             return self.reply_start(call, StartResult::Unknown, token, out);
         }
         if let Some(known) = self.table.peek(request.key, &request.owner) {
-            return self.start_known(session, call, &request, known, out);
+            return self.repeat_start(session, call, &request, known, out);
         }
         if now >= request.deadline {
-            return self.refuse(session, call, &request, StartRefusal::TooLate, out);
+            return self.refuse_start(session, call, &request, StartRefusal::TooLate, out);
         }
         if !self.ledger.spend(session) {
             let leaving = self.ledger.is_leaving();
-            let why = if leaving { StartRefusal::Leaving } else { StartRefusal::NoSlot };
-            return self.refuse(session, call, &request, why, out);
+            let reason = if leaving { StartRefusal::Leaving } else { StartRefusal::NoSlot };
+            return self.refuse_start(session, call, &request, reason, out);
         }
         self.start_new(session, call, request, out);
     }
@@ -56,16 +59,16 @@
         debug_assert_eq!(outcome, StartOutcome::Starts);
         self.ledger.set_wanted(session, request.wanted);
         self.counters.started += 1;
-        let running = Running { session, starts: vec![call], settles: Vec::new() };
+        let running = RunningTask { session, starts: vec![call], settles: Vec::new() };
         self.running.insert(request.key, running);
         if self.running.len() > self.setup.slots as usize {
-            self.breach(Breach::SlotsOverdrawn, out);
+            self.report_breach(Breach::SlotsOverdrawn, out);
         }
         out.push(Action::Run { key: request.key, task: request.task, deadline: request.deadline });
     }
 
-    /// A start of a task that the table knows: answered from it, never started again.
-    fn start_known(
+    /// Answers a repeated start from the start table; the task is not started again.
+    fn repeat_start(
         &mut self,
         session: Session,
         call: CallId,
@@ -87,36 +90,36 @@
             StartOutcome::Forgotten => StartResult::Unknown,
             StartOutcome::OtherOwner(first) => {
                 let second = request.owner.clone();
-                self.breach(Breach::TwoOwners { key: request.key, first, second }, out);
+                self.report_breach(Breach::TwoOwners { key: request.key, first, second }, out);
                 StartResult::Unknown
             }
         };
-        let token = self.unspent_token(session);
+        let token = self.has_unspent_token(session);
         self.reply_start(call, result, token, out);
     }
 
-    /// Whether a session has a token that it sent with a start that did not spend it.
-    fn unspent_token(&self, session: Session) -> bool {
+    /// Whether the session still has a token that a refused or repeated start did not spend.
+    fn has_unspent_token(&self, session: Session) -> bool {
         self.ledger.idle(session) > 0
     }
 
-    /// Refuses a start with proof: the task is barred, so that a copy of the frame that comes
-    /// later can't start it either.
-    fn refuse(
+    /// Refuses a start and bars the task, so that a delayed copy of the frame can't start it either
+    /// and the refusal proves "not run".
+    fn refuse_start(
         &mut self,
         session: Session,
         call: CallId,
         request: &StartRequest,
-        why: StartRefusal,
+        reason: StartRefusal,
         out: &mut Vec<Action>,
     ) {
         self.counters.refused += 1;
         let keep_until = self.window().kept_until(request.key.submission);
         let result = match self.table.settle(request.key, &request.owner, keep_until) {
-            Settled::NotRun => StartResult::NotRun(why),
+            Settled::NotRun => StartResult::NotRun(reason),
             _ => StartResult::Unknown,
         };
-        let token = self.unspent_token(session);
+        let token = self.has_unspent_token(session);
         self.reply_start(call, result, token, out);
     }
 
@@ -130,7 +133,13 @@
         self.reply(call, Reply::Start(StartReply { result, token }), out);
     }
 
-    pub(crate) fn settle(&mut self, call: CallId, request: &SettleRequest, out: &mut Vec<Action>) {
+    /// Replies whether a task ran, or waits for the end of a running task.
+    pub(crate) fn settle_task(
+        &mut self,
+        call: CallId,
+        request: &SettleRequest,
+        out: &mut Vec<Action>,
+    ) {
         self.counters.settled += 1;
         if request.agent != self.setup.node.incarnation {
             return self.reply(call, Reply::Settle(SettleReply::Unknown), out);
@@ -151,7 +160,8 @@
         self.reply(call, Reply::Settle(reply), out);
     }
 
-    pub(crate) fn end(
+    /// Records the end of a task and answers the calls that wait for it.
+    pub(crate) fn task_ended(
         &mut self,
         now: Time,
         key: TaskKey,
@@ -160,11 +170,11 @@
     ) {
         let known = self.table.end(key, outcome.clone());
         let Some(running) = self.running.remove(&key).filter(|_| known) else {
-            return self.breach(Breach::EndedTwice(key), out);
+            return self.report_breach(Breach::EndedTwice(key), out);
         };
         self.counters.ended += 1;
         if matches!(outcome, TaskOutcome::NeverSent(_)) {
-            self.pause(now, out);
+            self.pause_target(now, out);
         }
         let mut token = self.ledger.finish(running.session);
         for call in running.starts {
