--- a/components/entry/src/claiming.rs
+++ b/components/entry/src/claim_rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of claims and of questions whose claim holds, and what follows from them.
+//! Claim rounds, the transitions that their results cause, and replies from submission owners.
 
 use std::time::Duration;
 
@@ -8,51 +8,52 @@
 use wire::{RelayReply, RelayRequest};
 
 use crate::gather::Gather;
-use crate::intake::conflict;
+use crate::intake::id_conflict;
 use crate::job::Phase;
-use crate::table::Due;
+use crate::table::TimerKind;
 use crate::{Action, Entry, OwnerCall};
 
-/// After this a holder that has not replied is taken as silent.
-pub(crate) const ROUND_TIME: Duration = Duration::from_millis(500);
-/// How long a refused submission is not taken again, so that the refusal is true when it arrives.
-const REFUSAL_HOLDS: Duration = Duration::from_secs(1);
-/// How old a relay may be whose reply is handed on as "not run"; half of the time above, for two
-/// clocks that run apart while it is under way.
-const RELAYED_REFUSAL_HOLDS: Duration = Duration::from_millis(500);
-/// When to come back after a round without a quorum, in milliseconds.
+/// Time after which a holder without a reply counts as absent.
+pub(crate) const ROUND_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a refused submission is not admitted again, so that the refusal is still true when it
+/// reaches the caller.
+const REFUSAL_VALIDITY: Duration = Duration::from_secs(1);
+/// Greatest age of a relay whose "not run" reply is passed on; shorter than [`REFUSAL_VALIDITY`] to
+/// allow for clocks that run at different rates.
+const RELAYED_REFUSAL_VALIDITY: Duration = Duration::from_millis(500);
+/// Retry delay sent after a round without a quorum, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 impl Entry {
-    /// Claims a submission at every holder at once; those out of reach count as silent.
+    /// Sends the claim to all holders in parallel; holders without a session count as absent.
     pub(crate) fn claim(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
         let owner = self.setup.node.clone();
         let Some(job) = self.table.get_mut(id) else { return };
         let digest = job.digest;
         let holders = job.round_mut().map(|round| round.holders()).unwrap_or_default();
         for holder in holders {
-            if !self.targets.is_up(&holder) {
-                self.record(id, &holder, Vote::Absent);
+            if !self.targets.is_connected(&holder) {
+                self.record_vote(id, &holder, Vote::Absent);
                 continue;
             }
-            self.sent(MessageKind::Claim);
+            self.count_sent(MessageKind::Claim);
             let claim = Claim { owner: owner.clone(), digest };
             let request = ClaimRequest { submission: id, claim };
             out.push(Action::Claim { holder, request });
         }
-        self.table.at(now + ROUND_TIME, id, Due::Round);
-        self.advance(now, id, out);
+        self.table.set_timer(now + ROUND_TIMEOUT, id, TimerKind::ClaimTimeout);
+        self.advance_claim(now, id, out);
     }
 
-    fn record(&mut self, id: SubmissionId, holder: &NodeName, vote: Vote) {
+    fn record_vote(&mut self, id: SubmissionId, holder: &NodeName, vote: Vote) {
         let round = self.table.get_mut(id).and_then(|job| job.round_mut());
         if let Some(round) = round {
             round.record(holder, vote);
         }
     }
 
-    /// Counts a holder's vote on a claim.
-    pub(crate) fn vote(
+    /// Records a holder's vote on a claim.
+    pub(crate) fn claim_replied(
         &mut self,
         now: Time,
         holder: &NodeName,
@@ -60,72 +61,77 @@
         vote: Vote,
         out: &mut Vec<Action>,
     ) {
-        self.record(id, holder, vote);
-        self.advance(now, id, out);
+        self.record_vote(id, holder, vote);
+        self.advance_claim(now, id, out);
     }
 
-    /// Takes the holders that have not replied to a claim as silent.
-    pub(crate) fn round_over(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
+    /// Records holders that have not replied to a claim in time as absent.
+    pub(crate) fn claim_round_timed_out(
+        &mut self,
+        now: Time,
+        id: SubmissionId,
+        out: &mut Vec<Action>,
+    ) {
         let round = self.table.get_mut(id).and_then(|job| job.round_mut());
         for holder in round.map(|round| round.awaited()).unwrap_or_default() {
-            self.record(id, &holder, Vote::Absent);
+            self.record_vote(id, &holder, Vote::Absent);
         }
-        self.advance(now, id, out);
+        self.advance_claim(now, id, out);
     }
 
-    /// Acts on a round that is decided.
-    fn advance(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
+    /// Applies the result of a claim round once it is decided.
+    fn advance_claim(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
         let Some(job) = self.table.get_mut(id) else { return };
         let Some(state) = job.round_mut().map(|round| round.state()) else { return };
         match (&job.phase, state) {
-            (Phase::Claiming { .. }, RoundState::Won) => self.won(now, id, out),
-            (Phase::Refusing { .. }, RoundState::Won) => self.refuse(now, id, out),
-            (_, RoundState::NoQuorum) => self.undecided(id, out),
-            (_, RoundState::Lost(claim)) => self.lost(now, id, &claim, out),
+            (Phase::Claiming { .. }, RoundState::Won) => self.claim_won(now, id, out),
+            (Phase::Refusing { .. }, RoundState::Won) => self.claim_won_for_refusal(now, id, out),
+            (_, RoundState::NoQuorum) => self.claim_undecided(id, out),
+            (_, RoundState::Lost(claim)) => self.claim_lost(now, id, &claim, out),
             _ => {}
         }
     }
 
-    /// The entry owns the submission: its tasks may start.
-    fn won(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
+    /// Admits a submission whose claim was won.
+    fn claim_won(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
         self.counters.claims_won += 1;
         let Some(job) = self.table.get_mut(id) else { return };
         let Phase::Claiming { round, request } = &job.phase else { return };
         if round.renewed() && !job.claimed_before {
-            return self.finish(id, Err(dropped()), out);
+            return self.finish(id, Err(answer_dropped()), out);
         }
         let gather = Gather::new(&request.tasks);
         job.phase = Phase::Active(gather);
         self.enqueue(now, id, out);
     }
 
-    /// Too few holders replied to know: nothing starts here, and it may be tried again.
-    fn undecided(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
+    /// Refuses a submission whose claim round had no quorum and keeps it for a retry.
+    fn claim_undecided(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
         self.counters.claims_undecided += 1;
         let message = "too few claim holders replied";
         let failure = Failure::new(Code::NoQuorum, Verdict::MayHaveRun, message);
         let reply = Err(failure.retry_after(RETRY_AFTER_MS));
-        self.decide(id, Step::Refuse { code: Code::NoQuorum }, Duration::ZERO, out);
-        self.tell_waiters(id, &reply, out);
+        self.log_decision(id, Step::Refuse { code: Code::NoQuorum }, Duration::ZERO, out);
+        self.answer_waiters(id, &reply, out);
         if let Some(catalog) = &self.catalog {
             let until = Self::window(catalog.fleet()).kept_until(id);
-            self.table.park(id, Phase::Undecided, until);
+            self.table.deactivate(id, Phase::Undecided, until);
         }
     }
 
-    /// The entry owns a submission that it does not take.
-    fn refuse(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
+    /// Refuses a submission whose claim was won only to prove the refusal.
+    fn claim_won_for_refusal(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
         let Some(job) = self.table.get(id) else { return };
         let Phase::Refusing { round, failure, .. } = &job.phase else { return };
         if round.renewed() && !job.claimed_before {
-            return self.finish(id, Err(dropped()), out);
+            return self.finish(id, Err(answer_dropped()), out);
         }
         let failure = failure.clone();
-        self.say_not_run(now, id, failure, out);
+        self.refuse_owned(now, id, failure, out);
     }
 
-    /// Refuses a submission that the entry owns and has not started.
-    pub(crate) fn say_not_run(
+    /// Refuses a submission that the entry owns and has not started with the verdict "not run".
+    pub(crate) fn refuse_owned(
         &mut self,
         now: Time,
         id: SubmissionId,
@@ -133,19 +139,19 @@
         out: &mut Vec<Action>,
     ) {
         self.count_refusal(failure.code);
-        self.decide(id, Step::Refuse { code: failure.code }, Duration::ZERO, out);
-        let wait = failure.retry_after_ms.unwrap_or(0).max(REFUSAL_HOLDS.as_millis() as u64);
+        self.log_decision(id, Step::Refuse { code: failure.code }, Duration::ZERO, out);
+        let wait = failure.retry_after_ms.unwrap_or(0).max(REFUSAL_VALIDITY.as_millis() as u64);
         let failure = Failure { verdict: Verdict::NotRun, ..failure }.retry_after(wait);
-        self.tell_waiters(id, &Err(failure.clone()), out);
+        self.answer_waiters(id, &Err(failure.clone()), out);
         if let Some(catalog) = &self.catalog {
             let until = Self::window(catalog.fleet()).kept_until(id);
-            let phase = Phase::Refused { failure, until: now + REFUSAL_HOLDS };
-            self.table.park(id, phase, until);
+            let phase = Phase::Refused { failure, until: now + REFUSAL_VALIDITY };
+            self.table.deactivate(id, phase, until);
         }
     }
 
-    /// Answers everyone who waits for a submission.
-    pub(crate) fn tell_waiters(
+    /// Answers the callers that wait for a submission.
+    pub(crate) fn answer_waiters(
         &mut self,
         id: SubmissionId,
         reply: &RelayReply,
@@ -157,16 +163,16 @@
         }
     }
 
-    /// Another claim came first: the submission is joined through its owner.
-    fn lost(&mut self, now: Time, id: SubmissionId, claim: &Claim, out: &mut Vec<Action>) {
+    /// Relays a submission to the entry whose claim came first.
+    fn claim_lost(&mut self, now: Time, id: SubmissionId, claim: &Claim, out: &mut Vec<Action>) {
         self.counters.claims_lost += 1;
         let Some(job) = self.table.get_mut(id) else { return };
         if claim.digest != job.digest {
-            return self.dismiss(id, &Err(conflict(id)), out);
+            return self.answer_and_remove(id, &Err(id_conflict(id)), out);
         }
         let own = claim.owner.name == self.setup.node.name;
         if own || !job.may_relay {
-            return self.dismiss(id, &Err(owner_lost(&claim.owner)), out);
+            return self.answer_and_remove(id, &Err(owner_lost(&claim.owner)), out);
         }
         let request = match &job.phase {
             Phase::Claiming { request, .. } | Phase::Refusing { request, .. } => request.clone(),
@@ -177,13 +183,13 @@
             job.phase = Phase::Relaying { call, since: now };
         }
         self.counters.relayed += 1;
-        self.decide(id, Step::Relay { owner: claim.owner.name.clone() }, Duration::ZERO, out);
+        self.log_decision(id, Step::Relay { owner: claim.owner.name.clone() }, Duration::ZERO, out);
         let request = RelayRequest::clone(&request);
         out.push(Action::Relay { call, owner: claim.owner.clone(), request });
     }
 
-    /// Takes the owner's reply to a relay or a fetch. One to a call that was given up is late.
-    pub(crate) fn relayed(
+    /// Applies the owner's reply to a relay or fetch; a reply to an abandoned call counts as late.
+    pub(crate) fn owner_replied(
         &mut self,
         now: Time,
         call: OwnerCall,
@@ -192,7 +198,7 @@
         out: &mut Vec<Action>,
     ) {
         let lost = || {
-            let message = "the entry that owns the submission can't be reached";
+            let message = "the entry that owns the submission is unreachable";
             Err(Failure::new(Code::OwnerLost, Verdict::MayHaveRun, message))
         };
         let reply = reply.unwrap_or_else(lost);
@@ -201,32 +207,33 @@
             _ => None,
         });
         if let Some(since) = since {
-            let reply = still_true(reply, now.since(since));
-            self.dismiss(id, &reply, out);
-        } else if self.inquiries.get(&id).is_some_and(|inquiry| inquiry.asks_by(call)) {
-            self.answer_inquiry(id, &reply, out);
+            let reply = weaken_old_refusal(reply, now.since(since));
+            self.answer_and_remove(id, &reply, out);
+        } else if self.owner_lookups.get(&id).is_some_and(|lookup| lookup.waits_for(call)) {
+            self.answer_lookup(id, &reply, out);
         } else {
             self.counters.late += 1;
         }
     }
 }
 
-/// The owner may have taken the submission since it said "not run", unless that was just now.
-fn still_true(reply: RelayReply, age: Duration) -> RelayReply {
+/// Weakens an old "not run" verdict to "may have run": the owner may have admitted the submission
+/// since it replied.
+fn weaken_old_refusal(reply: RelayReply, age: Duration) -> RelayReply {
     reply.map_err(|failure| match failure.verdict {
-        Verdict::NotRun if age > RELAYED_REFUSAL_HOLDS => {
+        Verdict::NotRun if age > RELAYED_REFUSAL_VALIDITY => {
             Failure { verdict: Verdict::MayHaveRun, ..failure }
         }
         _ => failure,
     })
 }
 
-fn dropped() -> Failure {
-    let message = "the submission was taken before, and its outcome is no longer held";
+fn answer_dropped() -> Failure {
+    let message = "the submission was admitted before, and its outcome is no longer held";
     Failure::new(Code::AnswerDropped, Verdict::MayHaveRun, message)
 }
 
 pub(crate) fn owner_lost(owner: &NodeRef) -> Failure {
-    let message = format!("its owner {owner} is gone, or no longer holds its outcome");
+    let message = format!("the submission's owner {owner} is gone or no longer holds its outcome");
     Failure::new(Code::OwnerLost, Verdict::MayHaveRun, message)
 }
--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's state machine: its parts, and which part takes which event.
+//! The state of an entry and the dispatch of events to their handlers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,71 +9,71 @@
 use telemetry::{Breach, Decision, EntryCounters, MessageKind, Step};
 use wire::RelayReply;
 
-use crate::inquiry::Inquiry;
 use crate::job::Job;
-use crate::kinds::{Flight, Kinds};
+use crate::kinds::{InFlight, Kinds};
+use crate::owner_lookup::OwnerLookup;
 use crate::service::Service;
-use crate::table::{Due, Table};
+use crate::table::{Table, TimerKind};
 use crate::targets::Targets;
 use crate::{Action, Event, LogEvent, OwnerCall};
 
-/// What an entry knows of itself at its start.
+/// The identity of an entry, fixed when its process starts.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Its life.
+    /// The entry's name and the incarnation of its process.
     pub node: NodeRef,
-    /// Its data hall.
+    /// The data hall of the entry's host; targets in other halls count as remote.
     pub hall: String,
 }
 
-/// The state machine of one life of an entry.
+/// The state machine of one entry process.
 #[derive(Debug)]
 pub struct Entry {
     pub(crate) setup: Setup,
     pub(crate) catalog: Option<Arc<Catalog>>,
     pub(crate) views: Views,
-    pub(crate) confirmed: Time,
-    pub(crate) stale: bool,
-    pub(crate) entries: u32,
+    pub(crate) settings_confirmed: Time,
+    pub(crate) settings_stale: bool,
+    pub(crate) entry_count: u32,
     pub(crate) table: Table,
-    pub(crate) inquiries: Map<SubmissionId, Inquiry>,
+    pub(crate) owner_lookups: Map<SubmissionId, OwnerLookup>,
     pub(crate) targets: Targets,
     pub(crate) services: Map<String, Service>,
     pub(crate) kinds: Kinds,
-    /// Tasks sent to agents that have not replied.
-    pub(crate) flights: Map<TaskKey, Flight>,
+    /// Starts sent to agents and not yet answered.
+    pub(crate) in_flight: Map<TaskKey, InFlight>,
     pub(crate) counters: EntryCounters,
     pub(crate) arrivals: u64,
     owner_calls: u64,
     pub(crate) now: Time,
-    expired: Time,
+    last_expiry: Time,
 }
 
 impl Entry {
-    /// An entry that knows no settings and no agent yet.
+    /// Creates an entry without settings and without agents.
     pub fn new(setup: Setup) -> Self {
         Self {
             setup,
             catalog: None,
             views: Views::default(),
-            confirmed: Time::default(),
-            stale: false,
-            entries: 1,
+            settings_confirmed: Time::default(),
+            settings_stale: false,
+            entry_count: 1,
             table: Table::default(),
-            inquiries: Map::default(),
+            owner_lookups: Map::default(),
             targets: Targets::default(),
             services: Map::default(),
             kinds: Kinds::default(),
-            flights: Map::default(),
+            in_flight: Map::default(),
             counters: EntryCounters::default(),
             arrivals: 0,
             owner_calls: 0,
             now: Time::default(),
-            expired: Time::default(),
+            last_expiry: Time::default(),
         }
     }
 
-    /// Takes an event and adds the actions that follow.
+    /// Processes an event at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -83,45 +83,51 @@
             Event::Fetch { call, submission, relayed } => {
                 self.fetch(now, call, submission, relayed, out);
             }
-            Event::Connected { connection, info } => self.up(now, connection, &info, out),
-            Event::Disconnected { agent, connection } => self.down(&agent, connection, out),
-            Event::AgentDead { agent } => self.dead(now, &agent, out),
-            Event::Suspected { agent, suspected } => self.suspected(&agent, suspected),
-            Event::AgentLeaving { agent } => self.leaving(&agent, out),
+            Event::Connected { connection, info } => {
+                self.agent_connected(now, connection, &info, out)
+            }
+            Event::Disconnected { agent, connection } => {
+                self.agent_disconnected(&agent, connection, out)
+            }
+            Event::AgentDead { agent } => self.agent_dead(now, &agent, out),
+            Event::Suspected { agent, suspected } => self.suspicion_changed(&agent, suspected),
+            Event::AgentLeaving { agent } => self.agent_leaving(&agent, out),
             Event::ClaimReplied { holder, submission, reply } => {
                 let vote = reply.as_ref().map_or(claims::Vote::Absent, claims::Vote::from);
-                self.vote(now, &holder, submission, vote, out);
+                self.claim_replied(now, &holder, submission, vote, out);
             }
             Event::LookupReplied { holder, submission, reply } => {
                 let vote = reply.as_ref().map_or(claims::Vote::Absent, claims::Vote::from);
-                self.looked_up(&holder, submission, vote, out);
+                self.lookup_replied(&holder, submission, vote, out);
             }
             Event::StartReplied { agent, connection, key, reply } => {
-                self.started(now, &agent, connection, key, reply, out);
+                self.start_replied(now, &agent, connection, key, reply, out);
             }
             Event::SettleReplied { agent, key, reply } => {
-                self.settled(now, &agent, key, reply, out)
+                self.settle_replied(now, &agent, key, reply, out)
             }
             Event::SyncReplied { agent, connection, reply } => {
-                self.synced(now, &agent, connection, reply, out);
+                self.sync_replied(now, &agent, connection, reply, out);
             }
             Event::OwnerReplied { call, submission, reply } => {
-                self.relayed(now, call, submission, reply, out);
+                self.owner_replied(now, call, submission, reply, out);
             }
-            Event::Settings { catalog } => self.settings(now, catalog, out),
-            Event::SettingsConfirmed { at } => self.confirmed = self.confirmed.max(at),
-            Event::EntryCount { count } => self.entries = count.max(1),
+            Event::Settings { catalog } => self.apply_settings(now, catalog, out),
+            Event::SettingsConfirmed { at } => {
+                self.settings_confirmed = self.settings_confirmed.max(at)
+            }
+            Event::EntryCount { count } => self.entry_count = count.max(1),
             Event::Tick => {}
         }
         self.tick(now, out);
     }
 
-    /// When the next tick is due.
+    /// The time of the next timer; the caller sends [`Event::Tick`] then.
     pub fn next_timer(&self) -> Option<Time> {
         self.table.next_timer()
     }
 
-    /// EntryCounters and present sizes.
+    /// The counters since the start, with the current sizes of the queues and tables.
     pub fn counters(&self) -> EntryCounters {
         let services = self.services.values();
         EntryCounters {
@@ -135,28 +141,28 @@
         }
     }
 
-    /// The version of the settings in force here; none before the first.
+    /// The version of the settings in force; `None` before the first settings arrive.
     pub fn settings_version(&self) -> Option<u64> {
         self.catalog.as_ref().map(|catalog| catalog.version())
     }
 
-    /// Whether it can take work: its settings are confirmed, it has a target, and enough claim
-    /// holders vote.
+    /// Whether the entry can accept work: its settings are confirmed, at least one target is
+    /// usable, and enough claim holders can vote.
     pub fn is_ready(&self, now: Time) -> bool {
         let Some(catalog) = &self.catalog else { return false };
         let reachable = self.services.values().any(|service| !service.pool.is_empty());
-        reachable && !self.settings_are_stale(now) && self.holders_vote(catalog.fleet(), now)
+        reachable && !self.settings_are_stale(now) && self.enough_holders_vote(catalog.fleet(), now)
     }
 
-    /// Whether as many members of the claim view vote as hold one claim.
-    fn holders_vote(&self, fleet: &Fleet, now: Time) -> bool {
+    /// Whether the claim view has enough voting members for a complete set of claim holders.
+    fn enough_holders_vote(&self, fleet: &Fleet, now: Time) -> bool {
         let needed = fleet.claim_view.len().min(HOLDERS);
-        let votes = |member: &Member| self.targets.votes(&member.name, now);
+        let votes = |member: &Member| self.targets.can_vote(&member.name, now);
         let members = fleet.claim_view.iter().filter_map(|text| text.parse().ok());
         needed > 0 && members.filter(votes).take(needed).count() == needed
     }
 
-    /// Whether every submission has its outcome.
+    /// Whether no submission is in progress.
     pub fn is_idle(&self) -> bool {
         self.table.active() == 0
     }
@@ -167,53 +173,56 @@
 
     pub(crate) fn settings_are_stale(&self, now: Time) -> bool {
         let bound = |catalog: &Arc<Catalog>| catalog.fleet().settings_age_max;
-        self.catalog.as_ref().map(bound).is_none_or(|bound| now.since(self.confirmed) > bound)
+        self.catalog
+            .as_ref()
+            .map(bound)
+            .is_none_or(|bound| now.since(self.settings_confirmed) > bound)
     }
 
-    fn settings(&mut self, now: Time, catalog: Arc<Catalog>, out: &mut Vec<Action>) {
+    fn apply_settings(&mut self, now: Time, catalog: Arc<Catalog>, out: &mut Vec<Action>) {
         if let Some(have) = self.settings_version().filter(|have| *have > catalog.version()) {
             let breach = Breach::SettingsWentBack { have, got: catalog.version() };
-            return self.breach(breach, out);
+            return self.report_breach(breach, out);
         }
-        self.views = views(catalog.fleet());
+        self.views = claim_views(catalog.fleet());
         out.push(Action::Log(LogEvent::Settings(catalog.version())));
         self.catalog = Some(catalog);
-        self.confirmed = self.confirmed.max(now);
+        self.settings_confirmed = self.settings_confirmed.max(now);
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        while let Some((id, due)) = self.table.next_due(now) {
-            match due {
-                Due::Round => self.round_over(now, id, out),
-                Due::Inquiry => self.inquiry_over(id, out),
-                Due::AnyTarget => self.any_target(now, id, out),
-                Due::Deadline => self.deadline_passed(id, out),
+        while let Some((id, timer)) = self.table.pop_expired_timer(now) {
+            match timer {
+                TimerKind::ClaimTimeout => self.claim_round_timed_out(now, id, out),
+                TimerKind::LookupTimeout => self.lookup_timed_out(id, out),
+                TimerKind::AnyTarget => self.accept_any_target(now, id, out),
+                TimerKind::Deadline => self.deadline_passed(id, out),
             }
         }
-        if now.since(self.expired) < Duration::from_secs(1) {
+        if now.since(self.last_expiry) < Duration::from_secs(1) {
             return;
         }
-        self.expired = now;
+        self.last_expiry = now;
         self.table.expire(now);
-        self.end_silent_leases(now, out);
+        self.expire_leases(now, out);
         let stale = self.settings_are_stale(now);
-        if stale != self.stale {
-            self.stale = stale;
+        if stale != self.settings_stale {
+            self.settings_stale = stale;
             out.push(Action::Log(LogEvent::SettingsStale(stale)));
         }
     }
 
-    /// Gives a submission its outcome and tells everyone who waits for it.
+    /// Stores the outcome of a submission and answers its waiting callers.
     pub(crate) fn finish(&mut self, id: SubmissionId, reply: RelayReply, out: &mut Vec<Action>) {
-        let Some(reply) = self.checked(id, reply, out) else { return };
-        self.leave_queue(id);
-        self.tell_waiters(id, &reply, out);
+        let Some(reply) = self.correct_verdict(id, reply, out) else { return };
+        self.remove_from_queue(id);
+        self.answer_waiters(id, &reply, out);
         match &reply {
             Ok(_) => self.counters.completed += 1,
             Err(failure) => {
                 self.counters.failed += 1;
                 let code = failure.code;
-                self.decide(id, Step::Refuse { code }, Duration::ZERO, out);
+                self.log_decision(id, Step::Refuse { code }, Duration::ZERO, out);
             }
         }
         let Some(fleet) = self.catalog.as_ref().map(|catalog| catalog.fleet()) else { return };
@@ -221,8 +230,9 @@
         self.table.finish(id, reply, until, fleet.answer_bytes_max);
     }
 
-    /// The outcome, corrected where it would say "not run" of work that may have run.
-    fn checked(
+    /// Corrects a "not run" verdict on a submission that may have run and reports the invariant
+    /// violation.
+    fn correct_verdict(
         &mut self,
         id: SubmissionId,
         reply: RelayReply,
@@ -234,22 +244,27 @@
         let not_run = model::Verdict::NotRun;
         if failure.verdict == not_run && known.is_some_and(|known| known != not_run) {
             failure.verdict = model::Verdict::MayHaveRun;
-            self.breach(Breach::FalseNotRun(id), out);
+            self.report_breach(Breach::FalseNotRun(id), out);
         }
         Some(Err(failure))
     }
 
-    /// Answers everyone who waits for a submission and forgets it: nothing of it started here.
-    pub(crate) fn dismiss(&mut self, id: SubmissionId, reply: &RelayReply, out: &mut Vec<Action>) {
+    /// Answers the waiting callers of a submission that never started here and removes it.
+    pub(crate) fn answer_and_remove(
+        &mut self,
+        id: SubmissionId,
+        reply: &RelayReply,
+        out: &mut Vec<Action>,
+    ) {
         if let Err(failure) = reply {
-            self.decide(id, Step::Refuse { code: failure.code }, Duration::ZERO, out);
+            self.log_decision(id, Step::Refuse { code: failure.code }, Duration::ZERO, out);
         }
-        self.tell_waiters(id, reply, out);
+        self.answer_waiters(id, reply, out);
         self.table.remove(id);
     }
 
-    /// Reports a decision on a known submission.
-    pub(crate) fn decide(
+    /// Logs a decision on a known submission.
+    pub(crate) fn log_decision(
         &mut self,
         id: SubmissionId,
         step: Step,
@@ -279,30 +294,30 @@
         }
     }
 
-    pub(crate) fn breach(&mut self, breach: Breach, out: &mut Vec<Action>) {
+    pub(crate) fn report_breach(&mut self, breach: Breach, out: &mut Vec<Action>) {
         self.counters.breaches += 1;
         out.push(Action::Log(LogEvent::Breach(breach)));
     }
 
-    /// Numbers the next call to an owner.
+    /// Allocates the id of the next call to an owner and counts its message.
     pub(crate) fn next_owner_call(&mut self) -> OwnerCall {
         self.owner_calls += 1;
-        self.sent(MessageKind::Relay);
+        self.count_sent(MessageKind::Relay);
         OwnerCall(self.owner_calls)
     }
 
-    pub(crate) fn sent(&mut self, kind: MessageKind) {
+    pub(crate) fn count_sent(&mut self, kind: MessageKind) {
         self.counters.messages.sent(kind);
     }
 
     pub(crate) fn count_refusal(&mut self, code: Code) {
-        debug_assert_ne!(code, Code::OwnerLost, "a lost owner is no refusal");
+        debug_assert_ne!(code, Code::OwnerLost, "a lost owner is not counted as a refusal");
         self.counters.refused += 1;
     }
 }
 
-/// The claim views that a version of the settings asks for.
-fn views(fleet: &Fleet) -> Views {
+/// Builds the claim views that the settings define, without members that can't be parsed.
+fn claim_views(fleet: &Fleet) -> Views {
     let view = |members: &[String]| {
         let members: Vec<Member> = members.iter().filter_map(|text| text.parse().ok()).collect();
         View::new(&members)
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches an entry and what it does about it.
+//! The events that an entry processes and the actions that it requests.
 
 use std::sync::Arc;
 
@@ -12,241 +12,242 @@
     SyncReply, SyncRequest,
 };
 
-/// Every task's answer, in task order.
+/// The answers of all tasks of a submission, in task order.
 pub type Answers = Arc<[Arc<str>]>;
 
-/// A caller that waits for an outcome, numbered by the daemon.
+/// Identifies a caller that waits for an outcome; allocated by the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// A connection to an agent, numbered by the daemon; a number is never used again.
+/// Identifies a connection to an agent; allocated by the daemon and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Connection(pub u64);
 
-/// A call to the owner of a submission, numbered by the entry: a reply that comes after its call
-/// was given up must not answer a later one.
+/// Identifies a call to the owner of a submission; allocated by the entry.
+///
+/// The id keeps the reply to an abandoned call from answering a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OwnerCall(pub u64);
 
-/// What reaches an entry.
+/// An input of the entry's state machine.
 ///
-/// A reply is `None` when the call failed: nothing is known of what the other side did.
+/// A reply is `None` when the call failed: the remote side may or may not have processed it.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller submits work.
+    /// A client or another entry submits work.
     Submit {
-        /// Where the outcome goes.
+        /// The call that the outcome answers.
         call: CallId,
-        /// The work.
+        /// The submitted tasks with their service, kind and deadline.
         request: RelayRequest,
-        /// Whether another entry hands it over, taking this one for its owner.
+        /// Whether another entry relayed the request because it takes this entry for the owner.
         relayed: bool,
     },
-    /// A caller asks for the outcome of a submission.
+    /// A client or another entry asks for the outcome of a submission.
     Fetch {
-        /// Where the outcome goes.
+        /// The call that the outcome answers.
         call: CallId,
-        /// The submission.
+        /// The id of the submission.
         submission: SubmissionId,
-        /// Whether another entry asks, taking this one for the owner.
+        /// Whether another entry asks because it takes this entry for the owner.
         relayed: bool,
     },
-    /// A connection to an agent opened a session.
+    /// An agent accepted a session on a new connection.
     Connected {
-        /// The connection.
+        /// The new connection.
         connection: Connection,
-        /// What the agent says of itself.
+        /// The agent's identity, service, location and slots.
         info: AgentInfo,
     },
-    /// A connection to an agent is gone.
+    /// A connection to an agent closed.
     Disconnected {
-        /// The agent.
+        /// The name of the agent.
         agent: NodeName,
-        /// The connection.
+        /// The closed connection.
         connection: Connection,
     },
-    /// An agent's process is known to be dead; nobody will tell what it had started.
+    /// An agent's process is known to be dead, so the tasks that it had started can't be settled.
     AgentDead {
-        /// The agent.
+        /// The name of the agent.
         agent: NodeName,
     },
-    /// The failure detector suspects an agent's host, or no longer does.
+    /// The failure detector's suspicion of an agent's host changed.
     Suspected {
-        /// The agent.
+        /// The name of the agent.
         agent: NodeName,
-        /// Whether it is suspected.
+        /// Whether the host is suspected.
         suspected: bool,
     },
-    /// The platform's list says that a host leaves.
+    /// The platform's host list marks a host as leaving.
     AgentLeaving {
-        /// The agent on it.
+        /// The name of the agent on the host.
         agent: NodeName,
     },
-    /// A holder replied to a claim.
+    /// A claim call ended.
     ClaimReplied {
-        /// The holder.
+        /// The holder that was called.
         holder: NodeName,
-        /// The submission.
+        /// The claimed submission.
         submission: SubmissionId,
-        /// Its reply.
+        /// The holder's vote; `None` when the call failed.
         reply: Option<ClaimReply>,
     },
-    /// A holder said whose claim holds.
+    /// A lookup call ended.
     LookupReplied {
-        /// The holder.
+        /// The holder that was called.
         holder: NodeName,
-        /// The submission.
+        /// The submission that was looked up.
         submission: SubmissionId,
-        /// Its reply.
+        /// The claim that the holder has, if any; `None` when the call failed.
         reply: Option<LookupReply>,
     },
-    /// An agent replied to a start.
+    /// A start call ended.
     StartReplied {
-        /// The agent.
+        /// The name of the agent.
         agent: NodeName,
         /// The connection that the start was sent on.
         connection: Connection,
-        /// The task.
+        /// The task and its attempt.
         key: TaskKey,
-        /// The reply.
+        /// The task's result and whether its token returns; `None` when the call failed.
         reply: Option<StartReply>,
     },
-    /// An agent told a task's fate.
+    /// A settle call ended.
     SettleReplied {
-        /// The agent.
+        /// The name of the agent.
         agent: NodeName,
-        /// The task.
+        /// The task and its attempt.
         key: TaskKey,
-        /// The reply.
+        /// Whether and how the task ran; `None` when the call failed.
         reply: Option<SettleReply>,
     },
-    /// An agent replied to a token exchange.
+    /// A token exchange ended.
     SyncReplied {
-        /// The agent.
+        /// The name of the agent.
         agent: NodeName,
-        /// The connection of the exchange.
+        /// The connection that the exchange was sent on.
         connection: Connection,
-        /// The reply.
+        /// The tokens granted or recalled; `None` when the call failed.
         reply: Option<SyncReply>,
     },
-    /// The owner of a submission replied to a relay or a fetch.
+    /// A relay or fetch call to the owner of a submission ended.
     OwnerReplied {
-        /// The call that it replied to.
+        /// The id that the entry gave the call.
         call: OwnerCall,
-        /// The submission.
+        /// The submission that the call was about.
         submission: SubmissionId,
-        /// The reply.
+        /// The owner's answer; `None` when the call failed.
         reply: Option<RelayReply>,
     },
-    /// Settings came into force.
+    /// A version of the settings arrived.
     Settings {
-        /// The settings, compiled.
+        /// The compiled settings.
         catalog: Arc<Catalog>,
     },
-    /// The settings in force were the newest at this time.
+    /// The settings in force were confirmed as the newest.
     SettingsConfirmed {
-        /// When.
+        /// The time at which they were the newest.
         at: Time,
     },
-    /// How many entries share the targets, this one included.
+    /// The number of entries that share the targets changed.
     EntryCount {
-        /// The number.
+        /// The number of entries, including this one.
         count: u32,
     },
-    /// Time has passed.
+    /// A timer expired.
     Tick,
 }
 
-/// What an entry does.
+/// An output of the entry's state machine, carried out by the daemon.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Tells a caller the outcome.
+    /// Answers a waiting caller.
     Respond {
-        /// Which caller.
+        /// The call to answer.
         call: CallId,
-        /// The outcome.
+        /// The answers of all tasks, or the failure.
         reply: RelayReply,
     },
-    /// Claims a submission at a holder.
+    /// Claims a submission at a holder; answered by a claim reply.
     Claim {
-        /// The holder.
+        /// The holder to call.
         holder: NodeName,
-        /// The claim.
+        /// The submission and the claim on it.
         request: ClaimRequest,
     },
-    /// Asks a holder whose claim holds.
+    /// Asks a holder which claim it has on a submission.
     Lookup {
-        /// The holder.
+        /// The holder to call.
         holder: NodeName,
-        /// The submission.
+        /// The submission to look up.
         submission: SubmissionId,
     },
-    /// Starts a task.
+    /// Starts a task on a target.
     Start {
-        /// The agent.
+        /// The agent of the target.
         agent: NodeName,
-        /// The connection to use.
+        /// The connection to send on.
         connection: Connection,
-        /// The task.
+        /// The task with its owner and deadline.
         request: StartRequest,
     },
-    /// Asks for a task's fate.
+    /// Asks an agent whether and how a task ran.
     Settle {
-        /// The agent.
+        /// The agent that the task was sent to.
         agent: NodeName,
-        /// The task.
+        /// The task with its owner and the agent's incarnation.
         request: SettleRequest,
     },
-    /// Exchanges tokens.
+    /// Exchanges slot tokens with an agent.
     Sync {
-        /// The agent.
+        /// The agent of the target.
         agent: NodeName,
-        /// The connection to use.
+        /// The connection to send on.
         connection: Connection,
-        /// The exchange.
+        /// The numbers of tokens wanted and returned.
         request: SyncRequest,
     },
-    /// Hands a submission to its owner.
+    /// Relays a submission to its owner.
     Relay {
-        /// Numbers the call.
+        /// The id of the call.
         call: OwnerCall,
-        /// The owner.
+        /// The entry that owns the submission.
         owner: NodeRef,
-        /// The work.
+        /// The request as it was submitted here.
         request: RelayRequest,
     },
     /// Asks the owner for the outcome of a submission.
     Fetch {
-        /// Numbers the call.
+        /// The id of the call.
         call: OwnerCall,
-        /// The owner.
+        /// The entry that owns the submission.
         owner: NodeRef,
-        /// The submission.
+        /// The submission to fetch.
         submission: SubmissionId,
     },
-    /// Reports a decision.
+    /// Writes a decision to the decision log.
     LogDecision(Decision),
-    /// Reports a change of state.
+    /// Writes a state change to the operational log.
     Log(LogEvent),
 }
 
-/// A change of an entry's state, for the log.
+/// A state change of an entry, for the operational log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A target can be placed on.
+    /// A session with the agent of a target opened.
     TargetConnected(NodeRef),
-    /// A target can't be reached.
+    /// The session with the agent of a target closed.
     TargetDisconnected(NodeName),
-    /// A target takes no more work.
+    /// A target leaves and takes no new work.
     TargetLeaving(NodeName),
-    /// A target is slow beside the others, or no more.
+    /// A target became slower than the mean of its kinds (true) or recovered (false).
     Straggling(NodeName, bool),
-    /// A silent agent's tokens were given up.
+    /// The lease of a silent agent's tokens expired; the number of idle tokens dropped.
     LeaseEnded(NodeName, u32),
-    /// Settings of this version are in force.
+    /// Settings of this version came into force.
     Settings(u64),
-    /// The settings' age went over the bound (true) or is within it again.
+    /// The settings' age exceeded the bound (true) or is within it again (false).
     SettingsStale(bool),
-    /// A condition that must always hold does not.
+    /// An invariant violation was detected.
     Breach(Breach),
 }
--- a/components/entry/src/gather.rs
+++ b/components/entry/src/gather.rs
@@ -1,4 +1,4 @@
-//! The tasks of one admitted job and their answers.
+//! The tasks of one admitted job: their attempts, states and answers.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,21 +7,22 @@
 
 use crate::Answers;
 
-/// To which life of its agent a task was sent.
+/// The recipient of a task's current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Sent {
+    /// The agent process that the task was sent to.
     pub agent: Incarnation,
 }
 
 #[derive(Clone, Debug)]
-enum State {
+enum TaskState {
     /// Not sent, or sent and proven not to have run.
     Waiting,
-    /// Sent; its fate is open.
+    /// Sent, outcome not yet known.
     Sent(Sent),
-    /// It ran.
+    /// Ran and was answered.
     Answered(Arc<str>),
-    /// It ran, but gave no answer.
+    /// Ran, but without a usable answer.
     Failed,
 }
 
@@ -29,47 +30,50 @@
 struct Task {
     text: Arc<str>,
     attempt: u32,
-    state: State,
-    /// Whether some attempt may have run without proof of the contrary.
+    state: TaskState,
+    /// Whether an earlier attempt may have run.
     may_have_run: bool,
 }
 
-/// The tasks of one job: sent, settled, answered, until it is whole.
+/// Tracks the tasks of one job until every task has its answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Gather {
     tasks: Vec<Task>,
+    /// Indexes of the tasks to send, in order.
     waiting: VecDeque<u32>,
+    /// Tasks without an answer.
     missing: usize,
+    /// Tasks sent by rack: the rack's number and the count.
     racks: Vec<(u32, u32)>,
 }
 
 impl Gather {
     pub fn new(texts: &[Arc<str>]) -> Self {
-        let fresh = |text: &Arc<str>| Task {
+        let new_task = |text: &Arc<str>| Task {
             text: text.clone(),
             attempt: 0,
-            state: State::Waiting,
+            state: TaskState::Waiting,
             may_have_run: false,
         };
         Self {
-            tasks: texts.iter().map(fresh).collect(),
+            tasks: texts.iter().map(new_task).collect(),
             waiting: (0..texts.len() as u32).collect(),
             missing: texts.len(),
             racks: Vec::new(),
         }
     }
 
-    /// Tasks that wait to be sent.
+    /// The number of tasks that wait to be sent.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Tasks of the job sent to a rack.
+    /// The number of tasks of this job sent to a rack.
     pub fn on_rack(&self, rack: u32) -> u32 {
         self.racks.iter().find(|(known, _)| *known == rack).map_or(0, |(_, count)| *count)
     }
 
-    /// Marks the next waiting task as sent; gives its index, attempt and text.
+    /// Marks the next waiting task as sent and returns its index, attempt and text.
     pub fn send(&mut self, sent: Sent, rack: u32) -> Option<(u32, u32, Arc<str>)> {
         let index = self.waiting.pop_front()?;
         match self.racks.iter_mut().find(|(known, _)| *known == rack) {
@@ -77,72 +81,72 @@
             None => self.racks.push((rack, 1)),
         }
         let task = &mut self.tasks[index as usize];
-        debug_assert!(matches!(task.state, State::Waiting));
-        task.state = State::Sent(sent);
+        debug_assert!(matches!(task.state, TaskState::Waiting));
+        task.state = TaskState::Sent(sent);
         Some((index, task.attempt, task.text.clone()))
     }
 
-    /// Where a task's present attempt was sent, while its fate is open.
+    /// The recipient of a task's attempt while its outcome is unknown; `None` for earlier attempts.
     pub fn sent(&self, index: u32, attempt: u32) -> Option<Sent> {
         let task = self.tasks.get(index as usize)?;
         match task.state {
-            State::Sent(sent) if task.attempt == attempt => Some(sent),
+            TaskState::Sent(sent) if task.attempt == attempt => Some(sent),
             _ => None,
         }
     }
 
-    /// Takes the answer of an open task; false where it is late or doubled.
+    /// Stores the answer of a sent task; false when it is late or a duplicate.
     pub fn answer(&mut self, index: u32, attempt: u32, text: Arc<str>) -> bool {
         if self.sent(index, attempt).is_none() {
             return false;
         }
-        self.tasks[index as usize].state = State::Answered(text);
+        self.tasks[index as usize].state = TaskState::Answered(text);
         self.missing -= 1;
         true
     }
 
-    /// Notes that an open task ran and gave no answer.
+    /// Marks a sent task as run without an answer.
     pub fn fail(&mut self, index: u32, attempt: u32) {
         if self.sent(index, attempt).is_some() {
-            self.tasks[index as usize].state = State::Failed;
+            self.tasks[index as usize].state = TaskState::Failed;
         }
     }
 
-    /// Puts an open task back to be sent again, with the next attempt's number.
-    pub fn put_back(&mut self, index: u32, attempt: u32, proven_not_run: bool) -> bool {
+    /// Returns a sent task to the waiting tasks as its next attempt; false when it is not open.
+    pub fn requeue(&mut self, index: u32, attempt: u32, proven_not_run: bool) -> bool {
         if self.sent(index, attempt).is_none() {
             return false;
         }
         let task = &mut self.tasks[index as usize];
         task.attempt += 1;
-        task.state = State::Waiting;
+        task.state = TaskState::Waiting;
         task.may_have_run |= !proven_not_run;
         self.waiting.push_front(index);
         true
     }
 
     /// Whether every task has its answer.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.missing == 0
     }
 
-    /// Every answer in order; `None` when one is missing.
+    /// The answers of all tasks, in task order; `None` while an answer is missing.
     pub fn answers(&self) -> Option<Answers> {
         let answer = |task: &Task| match &task.state {
-            State::Answered(text) => Some(text.clone()),
+            TaskState::Answered(text) => Some(text.clone()),
             _ => None,
         };
         self.tasks.iter().map(answer).collect()
     }
 
-    /// What is known of the job if it ends now.
+    /// The combined verdict of all tasks, for a job that ends now.
     pub fn verdict(&self) -> Verdict {
-        let of = |task: &Task| match task.state {
-            State::Waiting if !task.may_have_run => Verdict::NotRun,
-            State::Waiting | State::Sent(_) => Verdict::MayHaveRun,
-            State::Answered(_) | State::Failed => Verdict::Ran,
+        let task_verdict = |task: &Task| match task.state {
+            TaskState::Waiting if !task.may_have_run => Verdict::NotRun,
+            TaskState::Waiting | TaskState::Sent(_) => Verdict::MayHaveRun,
+            TaskState::Answered(_) | TaskState::Failed => Verdict::Ran,
         };
-        self.tasks.iter().map(of).reduce(Verdict::and).unwrap_or(Verdict::NotRun)
+        self.tasks.iter().map(task_verdict).reduce(Verdict::and).unwrap_or(Verdict::NotRun)
     }
 }
 
@@ -152,17 +156,17 @@
 
     const SENT: Sent = Sent { agent: Incarnation(1) };
 
-    fn two() -> Gather {
+    fn two_tasks() -> Gather {
         Gather::new(&["a".into(), "b".into()])
     }
 
     #[test]
-    fn answers_come_in_task_order_and_only_whole() {
-        let mut gather = two();
+    fn answers_are_in_task_order_and_only_when_complete() {
+        let mut gather = two_tasks();
         gather.send(SENT, 1);
         gather.send(SENT, 1);
         assert!(gather.answer(1, 0, "B".into()));
-        assert_eq!((gather.is_whole(), gather.answers()), (false, None));
+        assert_eq!((gather.is_complete(), gather.answers()), (false, None));
         assert!(!gather.answer(1, 0, "late".into()));
         assert!(gather.answer(0, 0, "A".into()));
         let answers: Vec<String> =
@@ -172,9 +176,9 @@
 
     #[test]
     fn an_answer_to_an_earlier_attempt_is_late() {
-        let mut gather = two();
+        let mut gather = two_tasks();
         gather.send(SENT, 1);
-        assert!(gather.put_back(0, 0, true));
+        assert!(gather.requeue(0, 0, true));
         let (index, attempt, _) = gather.send(SENT, 1).unwrap();
         assert_eq!((index, attempt), (0, 1));
         assert!(!gather.answer(0, 0, "old".into()));
@@ -182,15 +186,15 @@
     }
 
     #[test]
-    fn verdicts_keep_what_is_not_proven() {
-        let mut gather = two();
+    fn a_retry_without_proof_keeps_the_verdict_may_have_run() {
+        let mut gather = two_tasks();
         assert_eq!(gather.verdict(), Verdict::NotRun);
         gather.send(SENT, 1);
         assert_eq!(gather.verdict(), Verdict::MayHaveRun);
-        gather.put_back(0, 0, true);
+        gather.requeue(0, 0, true);
         assert_eq!(gather.verdict(), Verdict::NotRun);
         gather.send(SENT, 1);
-        gather.put_back(0, 1, false);
+        gather.requeue(0, 1, false);
         assert_eq!(gather.verdict(), Verdict::MayHaveRun);
     }
 }
--- a/components/entry/src/intake.rs
+++ b/components/entry/src/intake.rs
@@ -1,4 +1,4 @@
-//! Requests as they arrive: joined, checked, claimed or refused.
+//! Admission: joins a request to a known submission, or checks it and claims or refuses it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,13 +13,14 @@
 use crate::job::{Job, Phase};
 use crate::{Action, CallId, Entry};
 
-/// Deadline of a request whose kind is unknown, while its refusal is being proved.
+/// Deadline of a request of an unknown kind, while its id is claimed for a proven refusal.
 const REFUSAL_DEADLINE: Duration = Duration::from_secs(2);
-/// When to come back after a refusal that names no better time, in milliseconds.
+/// Retry delay sent with refusals that have no estimate, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 impl Entry {
-    /// Takes a submission: joins a known one, else claims it or proves its refusal.
+    /// Processes a submitted request: joins a known submission, or checks the request and claims
+    /// it to run it or to refuse it with proof.
     pub(crate) fn submit(
         &mut self,
         now: Time,
@@ -32,26 +33,28 @@
         let texts = request.tasks.iter().map(|text| &**text);
         let digest = Digest::of(&request.service, &request.kind, request.repeatable, texts);
         if self.table.get(request.submission).is_some() {
-            return self.join(now, call, digest, request, out);
+            return self.join_known(now, call, digest, request, out);
         }
         let Some(catalog) = self.catalog.clone() else {
-            let failure = Failure::new(Code::NotReady, Verdict::MayHaveRun, "no settings yet");
+            let failure =
+                Failure::new(Code::NotReady, Verdict::MayHaveRun, "the entry has no settings yet");
             return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), out);
         };
         if let Err(failure) = check_age(request.submission, &catalog, now) {
             self.count_refusal(failure.code);
             return respond(call, Err(failure), out);
         }
-        let checked = self.check(now, &catalog, &request);
+        let checked = self.check_request(now, &catalog, &request);
         let job = self.new_job(now, call, digest, &catalog, &request);
         if request.repeatable {
-            return self.take_repeatable(now, job, &request, checked, out);
+            return self.submit_repeatable(now, job, &request, checked, out);
         }
-        self.take_once(now, job, request, relayed, checked, out);
+        self.submit_claimed(now, job, request, relayed, checked, out);
     }
 
-    /// Takes a submission that is known here already.
-    fn join(
+    /// Answers a request for a known submission, adds it to the waiting callers, or retries a
+    /// submission that has not started.
+    fn join_known(
         &mut self,
         now: Time,
         call: CallId,
@@ -63,29 +66,35 @@
         let id = request.submission;
         let Some(job) = self.table.get_mut(id) else { return };
         if job.digest != digest {
-            return respond(call, Err(conflict(id)), out);
+            return respond(call, Err(id_conflict(id)), out);
         }
         match &mut job.phase {
             Phase::Done(reply) => respond(call, reply.clone(), out),
             Phase::Refused { failure, until } if now < *until => {
-                // An answer that says so may be on its way, so it has to stay true for a while.
+                // The earlier refusal may still be in transit to its caller and must stay true.
                 respond(call, Err(failure.clone()), out);
             }
             Phase::Undecided | Phase::Refused { .. } => {
-                self.take_up(now, call, request, out);
+                self.retry_inactive(now, call, request, out);
             }
             _ => job.waiters.push(call),
         }
     }
 
-    /// Takes a submission again that was claimed, or nearly, and has not started.
-    fn take_up(&mut self, now: Time, call: CallId, request: RelayRequest, out: &mut Vec<Action>) {
+    /// Retries a submission that was refused here or whose claim round had no quorum.
+    fn retry_inactive(
+        &mut self,
+        now: Time,
+        call: CallId,
+        request: RelayRequest,
+        out: &mut Vec<Action>,
+    ) {
         let id = request.submission;
         let Some(catalog) = self.catalog.clone() else { return };
         if let Err(failure) = check_age(id, &catalog, now) {
             return respond(call, Err(failure), out);
         }
-        let checked = self.check(now, &catalog, &request);
+        let checked = self.check_request(now, &catalog, &request);
         let Some(job) = self.table.get_mut(id) else { return };
         job.waiters.push(call);
         job.kind = catalog.kind(&request.service, &request.kind).cloned();
@@ -94,21 +103,22 @@
         match checked {
             Ok(_) if owned => {
                 let phase = Phase::Active(Gather::new(&request.tasks));
-                self.table.unpark(id, phase, until);
+                self.table.reactivate(id, phase, until);
                 self.enqueue(now, id, out);
             }
-            Err(failure) if owned => self.say_not_run(now, id, failure, out),
+            Err(failure) if owned => self.refuse_owned(now, id, failure, out),
             checked => {
                 job.claimed_before = true;
                 let phase = self.claim_phase(now, request, checked);
-                self.table.unpark(id, phase, until);
+                self.table.reactivate(id, phase, until);
                 self.claim(now, id, out);
             }
         }
     }
 
-    /// Whether a request can be taken here and now; the failure's verdict is still to be proved.
-    fn check(
+    /// Checks whether a request can be admitted. The failure's verdict is `MayHaveRun` until a
+    /// claim proves "not run".
+    fn check_request(
         &self,
         now: Time,
         catalog: &Catalog,
@@ -124,8 +134,11 @@
         };
         check_size(settings, request)?;
         if self.settings_are_stale(now) {
-            return refuse(Code::NotReady, "settings can't be confirmed".to_owned())
-                .map_err(|failure: Failure| failure.retry_after(RETRY_AFTER_MS));
+            return refuse(
+                Code::NotReady,
+                "the entry can't confirm that its settings are current".to_owned(),
+            )
+            .map_err(|failure: Failure| failure.retry_after(RETRY_AFTER_MS));
         }
         if settings.state == ServiceState::Stopped {
             return refuse(Code::ServiceStopped, format!("{service}/{kind} is stopped"));
@@ -134,7 +147,7 @@
         Ok(settings.clone())
     }
 
-    /// Whether the job can meet its deadline.
+    /// Refuses a request whose estimated completion is past its deadline.
     fn check_load(
         &self,
         catalog: &Catalog,
@@ -152,15 +165,18 @@
         let load = Load {
             tasks_ahead: service.queue.tasks_ahead(&kind.team, weight),
             idle: service.pool.idle(),
-            slots: service.slots_to_count_on(self.entries),
+            slots: service.usable_slots(self.entry_count),
         };
         let estimate = estimate(times, load, request.tasks.len());
-        let deadline = deadline(kind, request);
+        let deadline = time_limit(kind, request);
         if estimate <= deadline {
             return Ok(());
         }
-        let message =
-            format!("would take about {} ms of {} ms", estimate.as_millis(), deadline.as_millis());
+        let message = format!(
+            "estimated completion in {} ms, after the deadline of {} ms",
+            estimate.as_millis(),
+            deadline.as_millis()
+        );
         let wait = u64::try_from((estimate - deadline).as_millis()).unwrap_or(RETRY_AFTER_MS);
         Err(Failure::new(Code::Overloaded, Verdict::MayHaveRun, message).retry_after(wait.max(1)))
     }
@@ -192,8 +208,9 @@
         }
     }
 
-    /// A repeatable request needs no claim: running twice does no harm.
-    fn take_repeatable(
+    /// Admits or refuses a repeatable request, which needs no claim since running it twice is
+    /// harmless.
+    fn submit_repeatable(
         &mut self,
         now: Time,
         mut job: Job,
@@ -204,7 +221,7 @@
         let id = request.submission;
         match checked {
             Ok(kind) => {
-                self.kinds.get_mut(&kind).earn(kind.retry_share);
+                self.kinds.get_mut(&kind).add_retry_credit(kind.retry_share);
                 job.phase = Phase::Active(Gather::new(&request.tasks));
                 self.table.insert(id, job);
                 self.enqueue(now, id, out);
@@ -213,13 +230,14 @@
                 self.count_refusal(failure.code);
                 failure.verdict = Verdict::NotRun;
                 self.table.insert(id, job);
-                self.dismiss(id, &Err(failure), out);
+                self.answer_and_remove(id, &Err(failure), out);
             }
         }
     }
 
-    /// Any other request is claimed, also where it is refused: only the owner can say "not run".
-    fn take_once(
+    /// Claims a request that must run at most once, also to refuse it: only the owner can prove
+    /// "not run".
+    fn submit_claimed(
         &mut self,
         now: Time,
         mut job: Job,
@@ -249,7 +267,7 @@
         }
     }
 
-    /// Takes a question for the outcome of a submission.
+    /// Answers a caller that asks for the outcome of a submission, or looks up its owner.
     pub(crate) fn fetch(
         &mut self,
         now: Time,
@@ -268,45 +286,48 @@
             }
         }
         if relayed {
-            let message = "its owner does not know the submission";
+            let message = "the submission's owner does not know it";
             let failure = Failure::new(Code::UnknownId, Verdict::MayHaveRun, message);
             return respond(call, Err(failure), out);
         }
         let Some(catalog) = self.catalog.clone() else {
-            let failure = Failure::new(Code::NotReady, Verdict::MayHaveRun, "no settings yet");
+            let failure =
+                Failure::new(Code::NotReady, Verdict::MayHaveRun, "the entry has no settings yet");
             return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), out);
         };
         if let Err(failure) = check_age(submission, &catalog, now) {
             return respond(call, Err(failure), out);
         }
-        self.inquire(now, submission, call, out);
+        self.look_up_owner(now, submission, call, out);
     }
 }
 
-/// Answers one caller.
+/// Appends the answer to one caller.
 pub(crate) fn respond(call: CallId, reply: RelayReply, out: &mut Vec<Action>) {
     out.push(Action::Respond { call, reply });
 }
 
-/// The answer to a question for a submission that was refused or undecided.
+/// The answer to a fetch of a submission that was refused here or had no quorum.
 fn not_started() -> Failure {
-    let message = "it was refused here and has not started; submit it again";
+    let message = "the submission was refused here and has not started; submit it again";
     Failure::new(Code::UnknownId, Verdict::MayHaveRun, message)
 }
 
-/// The failure of a submission whose id was used with other work.
-pub(crate) fn conflict(id: SubmissionId) -> Failure {
-    let message = format!("{id} was used before with other work");
+/// The failure of a request that reuses the id of a submission with different work.
+pub(crate) fn id_conflict(id: SubmissionId) -> Failure {
+    let message = format!("submission id {id} was used before with other work");
     Failure::new(Code::IdConflict, Verdict::MayHaveRun, message)
 }
 
-/// Time to the answer as the request or its kind says.
-fn deadline(kind: &KindSettings, request: &RelayRequest) -> Duration {
+/// The time allowed for the answer: the request's own, or else the default of its kind.
+fn time_limit(kind: &KindSettings, request: &RelayRequest) -> Duration {
     request.deadline_ms.map_or(kind.deadline, Duration::from_millis)
 }
 
-/// When the answer is of no more use; before the agents forget the submission, so that no task
-/// starts that they might have forgotten.
+/// The deadline of a request.
+///
+/// It ends before agents may forget the submission, so that no task starts whose earlier start
+/// has been forgotten.
 fn deadline_at(
     now: Time,
     catalog: &Catalog,
@@ -314,7 +335,7 @@
     request: &RelayRequest,
 ) -> Time {
     let window = Entry::window(catalog.fleet());
-    let time = kind.map_or(REFUSAL_DEADLINE, |kind| deadline(kind, request));
+    let time = kind.map_or(REFUSAL_DEADLINE, |kind| time_limit(kind, request));
     (now + time).min(window.kept_until(request.submission) - window.clock_skew * 2)
 }
 
@@ -324,14 +345,18 @@
         Age::TooOld => (
             Code::IdTooOld,
             Verdict::MayHaveRun,
-            "the id was made too long ago to know whether it ran",
+            "the submission id is too old to know whether it ran",
+        ),
+        Age::TooNew => (
+            Code::IdTooNew,
+            Verdict::MayHaveRun,
+            "the submission id's time is ahead of this entry's clock",
+        ),
+        Age::Impossible => (
+            Code::IdTooNew,
+            Verdict::NotRun,
+            "the submission id's time is far ahead of every entry's clock",
         ),
-        Age::TooNew => {
-            (Code::IdTooNew, Verdict::MayHaveRun, "the id's time is ahead of this entry's clock")
-        }
-        Age::Impossible => {
-            (Code::IdTooNew, Verdict::NotRun, "the id's time is far ahead of every entry's clock")
-        }
     };
     Err(Failure::new(code, verdict, message))
 }
@@ -340,11 +365,17 @@
     let tasks = request.tasks.len();
     let too_large = |message| Err(Failure::new(Code::TooLarge, Verdict::MayHaveRun, message));
     if tasks > kind.tasks_max {
-        return too_large(format!("{tasks} tasks, at most {}", kind.tasks_max));
+        return too_large(format!(
+            "{tasks} tasks in the request, at most {} allowed",
+            kind.tasks_max
+        ));
     }
     let longest = request.tasks.iter().map(|text| text.len()).max().unwrap_or(0);
     if longest > kind.task_bytes_max {
-        return too_large(format!("a task of {longest} bytes, at most {}", kind.task_bytes_max));
+        return too_large(format!(
+            "a task of {longest} bytes in the request, at most {} allowed",
+            kind.task_bytes_max
+        ));
     }
     Ok(())
 }
--- a/components/entry/src/job.rs
+++ b/components/entry/src/job.rs
@@ -1,4 +1,4 @@
-//! One submission at one entry.
+//! The state of one submission at one entry.
 
 use std::sync::Arc;
 
@@ -10,56 +10,57 @@
 use crate::gather::Gather;
 use crate::{CallId, OwnerCall};
 
-/// Where a submission stands.
+/// The state of a submission.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Its claim is asked for.
+    /// The claim round is open.
     Claiming { round: Round, request: Arc<RelayRequest> },
-    /// It can't be taken now; it is claimed, so that nobody else takes it and the refusal is true.
+    /// A claim round is open for a submission that is refused: owning the claim prevents other
+    /// entries from running it.
     Refusing { round: Round, request: Arc<RelayRequest>, failure: Failure },
-    /// Its owner has it.
+    /// Relayed to the entry that owns it.
     Relaying { call: OwnerCall, since: Time },
-    /// Admitted: tasks wait, run, are answered.
+    /// Admitted: its tasks wait, run or are answered.
     Active(Gather),
-    /// A claim round ended without a quorum: nothing started, and it may be claimed again.
+    /// The claim round had no quorum; nothing started, and it may be claimed again.
     Undecided,
-    /// It was claimed and refused: nothing started. It may be taken after `until`; the refusal
-    /// may still be on its way to a caller before.
+    /// Claimed and refused; nothing started. Until `until` the refusal may still be in transit to
+    /// a caller, and the submission is not admitted.
     Refused { failure: Failure, until: Time },
-    /// It has its outcome.
+    /// Completed or failed.
     Done(RelayReply),
 }
 
-/// A submission that an entry knows.
+/// A submission known to an entry.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub digest: Digest,
     pub repeatable: bool,
-    /// The settings of its kind; none where the kind is unknown.
+    /// The settings of its kind; `None` if the kind is unknown.
     pub kind: Option<Arc<KindSettings>>,
     pub team: Arc<str>,
     /// `SERVICE/KIND`, for the decision log.
     pub label: Arc<str>,
-    /// Counts up by arrival.
+    /// The sequence number of the request's arrival, which breaks ties in the queue.
     pub arrival: u64,
     pub deadline: Time,
-    /// Since when its tasks wait for slots.
+    /// The time at which its tasks were last queued.
     pub waits_since: Time,
-    /// Whether this life of the entry has claimed it before.
+    /// Whether this entry process has claimed the submission before.
     pub claimed_before: bool,
-    /// Whether it may be handed to another entry; not where another handed it over.
+    /// Whether the submission may be relayed; false if another entry relayed it here.
     pub may_relay: bool,
     pub waiters: Vec<CallId>,
     pub phase: Phase,
 }
 
 impl Job {
-    /// Whether it has its outcome.
+    /// Whether the submission has an outcome.
     pub fn is_done(&self) -> bool {
         matches!(self.phase, Phase::Done(_))
     }
 
-    /// Its claim round, while one is open.
+    /// The claim round while it is open.
     pub fn round_mut(&mut self) -> Option<&mut Round> {
         match &mut self.phase {
             Phase::Claiming { round, .. } | Phase::Refusing { round, .. } => Some(round),
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Whether something is still done for it here.
+    /// Whether the submission is in progress at this entry.
     pub fn is_active(&self) -> bool {
         !matches!(self.phase, Phase::Done(_) | Phase::Undecided | Phase::Refused { .. })
     }
 
-    /// Its tasks, while they are placed and gathered.
+    /// The tasks of an admitted job that has no outcome yet.
     pub fn gather_mut(&mut self) -> Option<&mut Gather> {
         match &mut self.phase {
             Phase::Active(gather) => Some(gather),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Its tasks, while they are placed and gathered.
+    /// The tasks of an admitted job that has no outcome yet.
     pub fn gather(&self) -> Option<&Gather> {
         match &self.phase {
             Phase::Active(gather) => Some(gather),
--- a/components/entry/src/kinds.rs
+++ b/components/entry/src/kinds.rs
@@ -1,4 +1,4 @@
-//! What an entry has measured of each kind.
+//! The measured service times and the retry budget of each kind.
 
 use std::sync::Arc;
 
@@ -6,54 +6,54 @@
 use model::{Map, Time};
 use settings::KindSettings;
 
-/// Most retries saved up, so that a calm hour does not allow a storm.
-const RETRIES_SAVED: f64 = 10.0;
+/// Cap of the retry budget, so that a long time without failures does not allow a retry storm.
+const RETRY_CREDIT_MAX: f64 = 10.0;
 
-/// One kind's service times and its budget for retries without proof.
+/// The service times of a kind and its budget for retries of tasks that may have run.
 #[derive(Debug)]
 pub(crate) struct KindState {
     pub times: ServiceTimes,
-    retries: f64,
+    retry_credit: f64,
 }
 
 impl KindState {
-    /// Adds a request's part to the budget.
-    pub fn earn(&mut self, share: f64) {
-        self.retries = (self.retries + share).min(RETRIES_SAVED);
+    /// Adds the share of one request to the retry budget.
+    pub fn add_retry_credit(&mut self, share: f64) {
+        self.retry_credit = (self.retry_credit + share).min(RETRY_CREDIT_MAX);
     }
 
-    /// Pays for one retry, where the budget allows it.
-    pub fn pay(&mut self) -> bool {
-        let allowed = self.retries >= 1.0;
+    /// Takes one retry from the budget; false when the budget is exhausted.
+    pub fn take_retry(&mut self) -> bool {
+        let allowed = self.retry_credit >= 1.0;
         if allowed {
-            self.retries -= 1.0;
+            self.retry_credit -= 1.0;
         }
         allowed
     }
 }
 
-/// A task on its way to a target and back.
+/// A start that was sent to an agent and is not yet answered.
 #[derive(Clone, Debug)]
-pub(crate) struct Flight {
+pub(crate) struct InFlight {
     pub kind: Arc<KindSettings>,
-    pub at: Time,
+    pub sent_at: Time,
 }
 
-/// Every kind that was asked for.
+/// The state of every requested kind, by service and kind.
 #[derive(Debug, Default)]
 pub(crate) struct Kinds {
     states: Map<String, Map<String, KindState>>,
 }
 
 impl Kinds {
-    /// What was measured of a kind, if anything.
+    /// The service times of a kind; `None` before its first request.
     pub fn times(&self, kind: &KindSettings) -> Option<&ServiceTimes> {
         Some(&self.states.get(&kind.service)?.get(&kind.kind)?.times)
     }
 
     pub fn get_mut(&mut self, kind: &KindSettings) -> &mut KindState {
         let service = self.states.entry(kind.service.clone()).or_default();
-        let fresh = || KindState { times: ServiceTimes::new(kind.expected), retries: 0.0 };
-        service.entry(kind.kind.clone()).or_insert_with(fresh)
+        let new_state = || KindState { times: ServiceTimes::new(kind.expected), retry_credit: 0.0 };
+        service.entry(kind.kind.clone()).or_insert_with(new_state)
     }
 }
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,22 +1,23 @@
-//! The decisions of an entry: admits or refuses requests, places tasks, gathers answers.
+//! The state machine of an entry: admits or refuses requests, claims submissions, places tasks
+//! on targets and gathers their answers.
 //!
-//! No clock, socket or thread in here: [`Entry::handle`] takes a time and an event and gives the
-//! actions that follow.
+//! The crate does no I/O and reads no clock: [`Entry::handle`] takes the current time and an event
+//! and appends the resulting actions.
 
-mod claiming;
+mod claim_rounds;
 mod entry;
 mod event;
-mod exchange;
 mod gather;
-mod inquiry;
 mod intake;
 mod job;
 mod kinds;
-mod place;
+mod owner_lookup;
+mod placing;
 mod service;
 mod settle;
 mod table;
 mod targets;
+mod tokens;
 
 pub use entry::{Entry, Setup};
 pub use event::{Action, Answers, CallId, Connection, Event, LogEvent, OwnerCall};
--- a/components/entry/src/place.rs
+++ b/components/entry/src/placing.rs
@@ -1,4 +1,4 @@
-//! Admitted jobs: waiting, placed, answered.
+//! Queues and places the tasks of admitted jobs and processes their results.
 
 use std::time::Duration;
 
@@ -11,23 +11,23 @@
 
 use crate::gather::Sent;
 use crate::job::Phase;
-use crate::kinds::{Flight, Kinds};
-use crate::table::Due;
+use crate::kinds::{InFlight, Kinds};
+use crate::table::TimerKind;
 use crate::{Action, Connection, Entry, LogEvent};
 
 impl Entry {
-    /// Lets an admitted job wait for slots and places what can be placed at once.
+    /// Queues the waiting tasks of an admitted job and places those that find a token.
     pub(crate) fn enqueue(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
         if let Some(job) = self.table.get_mut(id) {
             job.waits_since = now;
         }
-        self.wait(id);
+        self.add_to_queue(id);
         let Some(kind) = self.table.get(id).and_then(|job| job.kind.clone()) else { return };
         self.dispatch(now, &kind.service, out);
     }
 
-    /// Adds a job with its waiting tasks to its queue.
-    fn wait(&mut self, id: SubmissionId) {
+    /// Adds a job with its waiting tasks to the queue of its service.
+    fn add_to_queue(&mut self, id: SubmissionId) {
         let (Some(catalog), Some(job)) = (&self.catalog, self.table.get(id)) else { return };
         let (Some(kind), Some(gather)) = (&job.kind, job.gather()) else { return };
         let weight = catalog.team(&job.team).weight;
@@ -36,8 +36,8 @@
         service.queue.insert(&job.team, weight, job.deadline, job.arrival, tasks, id);
     }
 
-    /// Takes a job out of its queue with the tasks that still wait.
-    pub(crate) fn leave_queue(&mut self, id: SubmissionId) {
+    /// Removes a job with its waiting tasks from the queue of its service.
+    pub(crate) fn remove_from_queue(&mut self, id: SubmissionId) {
         let Some(job) = self.table.get(id) else { return };
         let (Some(kind), Some(gather)) = (&job.kind, job.gather()) else { return };
         if let Some(service) = self.services.get_mut(&kind.service) {
@@ -45,45 +45,46 @@
         }
     }
 
-    /// Places waiting tasks while there are idle tokens, then asks for what is missing.
+    /// Places waiting tasks while idle tokens are available, then requests the missing tokens.
     pub(crate) fn dispatch(&mut self, now: Time, service: &str, out: &mut Vec<Action>) {
         while self.place_next(now, service, out) {}
         self.ask_for_tokens(now, service, out);
     }
 
-    /// Places the next task of a service's queue; false when there is none or no token.
+    /// Places the next task of a service's queue; false when the queue is empty or has no token.
     fn place_next(&mut self, now: Time, name: &str, out: &mut Vec<Action>) -> bool {
         let Some(service) = self.services.get_mut(name) else { return false };
         let Some(id) = service.queue.head() else { return false };
-        if self.is_hopeless(now, id) {
-            self.give_up(id, out);
+        if self.would_miss_deadline(now, id) {
+            self.abandon(id, out);
             return true;
         }
         let Some(service) = self.services.get_mut(name) else { return false };
         let Some(job) = self.table.get_mut(id) else { return false };
         let (team, deadline, arrival) = (job.team.clone(), job.deadline, job.arrival);
         let origin = if job.repeatable { self.setup.node.incarnation.0 } else { 0 };
-        let patience = patience(&self.kinds, job.kind.as_deref());
-        // Compared as moments, which are whole microseconds: a timer at `any_at` finds it reached.
-        let any_at = job.waits_since + patience;
-        let any = now >= any_at;
+        let wait = straggler_wait(&self.kinds, job.kind.as_deref());
+        // Compared as `Time`, which counts whole microseconds, so that the timer set for
+        // `any_target_at` finds that time reached.
+        let any_target_at = job.waits_since + wait;
+        let any_target = now >= any_target_at;
         let Phase::Active(gather) = &mut job.phase else { return false };
-        let Some(target) = service.pool.spend(any, |rack| gather.on_rack(rack)) else {
-            if !any && service.pool.idle() > 0 {
-                self.table.at(any_at, id, Due::AnyTarget);
+        let Some(target) = service.pool.spend(any_target, |rack| gather.on_rack(rack)) else {
+            if !any_target && service.pool.idle() > 0 {
+                self.table.set_timer(any_target_at, id, TimerKind::AnyTarget);
             }
             return false;
         };
-        let at = self.targets.get(target);
-        let sent = Sent { agent: at.node.incarnation };
-        let Some((index, attempt, task)) = gather.send(sent, at.rack) else { return false };
+        let state = self.targets.get(target);
+        let sent = Sent { agent: state.node.incarnation };
+        let Some((index, attempt, task)) = gather.send(sent, state.rack) else { return false };
         service.queue.take_task();
         if gather.waiting() == 0 {
             service.queue.remove(&team, deadline, arrival, 0);
         }
         service.busy += 1;
         let idle = service.pool.idle();
-        let wanted = service.wanted_now(target);
+        let wanted = service.update_wanted(target);
         let request = StartRequest {
             key: TaskKey { submission: id, index, attempt, origin },
             owner: self.setup.node.clone(),
@@ -96,11 +97,11 @@
         true
     }
 
-    /// Whether a job that waits can't meet its deadline any more, even if slots came now.
-    fn is_hopeless(&self, now: Time, id: SubmissionId) -> bool {
+    /// Whether a queued job would miss its deadline even with all tasks placed now.
+    fn would_miss_deadline(&self, now: Time, id: SubmissionId) -> bool {
         let Some(job) = self.table.get(id) else { return false };
         if job.waits_since == now {
-            // Admission has just looked at it.
+            // Admission has just checked the deadline.
             return false;
         }
         let (Some(kind), Some(gather)) = (&job.kind, job.gather()) else { return false };
@@ -108,19 +109,19 @@
         now + times.slowest_of(gather.waiting()) > job.deadline
     }
 
-    /// Ends a job that can't meet its deadline, so that its slots go to one that can.
-    fn give_up(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
+    /// Fails a job that would miss its deadline, so that its slots serve other jobs.
+    fn abandon(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
         let Some(verdict) = self.table.get(id).and_then(|job| job.gather()).map(|g| g.verdict())
         else {
             return;
         };
-        let message = "the deadline can't be met any more";
+        let message = "the deadline can no longer be met";
         let failure = Failure::new(Code::DeadlinePassed, verdict, message);
         self.finish(id, Err(failure), out);
     }
 
-    /// A job has waited long enough for any target.
-    pub(crate) fn any_target(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
+    /// Dispatches again after a job has waited long enough to accept straggling targets.
+    pub(crate) fn accept_any_target(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
         let Some(kind) = self.table.get(id).and_then(|job| job.kind.clone()) else { return };
         self.dispatch(now, &kind.service, out);
     }
@@ -132,22 +133,22 @@
         idle: u32,
         out: &mut Vec<Action>,
     ) {
-        let at = self.targets.get(target);
-        let agent = at.node.name.clone();
-        let Some(connection) = at.connection() else { return };
+        let state = self.targets.get(target);
+        let agent = state.node.name.clone();
+        let Some(connection) = state.connection() else { return };
         let key = request.key;
         self.counters.placed += 1;
         if let Some(kind) = self.table.get(key.submission).and_then(|job| job.kind.clone()) {
-            self.flights.insert(key, Flight { kind, at: self.now });
+            self.in_flight.insert(key, InFlight { kind, sent_at: self.now });
         }
-        self.sent(MessageKind::Start);
+        self.count_sent(MessageKind::Start);
         out.push(Action::Start { agent: agent.clone(), connection, request });
         let step = Step::Place { index: key.index, target: agent, idle };
-        self.decide(key.submission, step, Duration::ZERO, out);
+        self.log_decision(key.submission, step, Duration::ZERO, out);
     }
 
-    /// Takes an agent's reply to a start: its token first, then the task's fate.
-    pub(crate) fn started(
+    /// Processes an agent's reply to a start: adds the returned token, then applies the result.
+    pub(crate) fn start_replied(
         &mut self,
         now: Time,
         agent: &NodeName,
@@ -158,29 +159,29 @@
     ) {
         let Some(target) = self.targets.id(agent) else { return };
         let service = self.targets.get(target).service.clone();
-        let flight = self.flights.remove(&key);
+        let in_flight = self.in_flight.remove(&key);
         let answered = matches!(&reply, Some(StartReply { result: StartResult::Ended(end), .. })
             if matches!(end, TaskOutcome::Answer(_)));
-        if let Some(flight) = flight.filter(|_| answered) {
-            self.note_time(&flight, target, now, out);
+        if let Some(in_flight) = in_flight.filter(|_| answered) {
+            self.record_time(&in_flight, target, now, out);
         }
         if let Some(service) = self.services.get_mut(&service) {
             service.busy = service.busy.saturating_sub(1);
         }
-        if let Some(target) = self.targets.on(agent, connection) {
-            self.hear(target, now);
+        if let Some(target) = self.targets.on_connection(agent, connection) {
+            self.record_contact(target, now);
             let token = reply.as_ref().is_some_and(|reply| reply.token);
             self.add_tokens(target, u32::from(token));
         }
         match reply {
-            Some(reply) => self.start_result(now, key, reply.result, out),
-            None => self.fate_open(now, target, key, out),
+            Some(reply) => self.apply_start_result(now, key, reply.result, out),
+            None => self.add_unsettled(now, target, key, out),
         }
         self.dispatch(now, &service, out);
-        self.keep_exchange(now, target, out);
+        self.keep_sync_open(now, target, out);
     }
 
-    fn start_result(
+    fn apply_start_result(
         &mut self,
         now: Time,
         key: TaskKey,
@@ -188,19 +189,21 @@
         out: &mut Vec<Action>,
     ) {
         match result {
-            StartResult::Ended(outcome) => self.ended(now, key, outcome, out),
+            StartResult::Ended(outcome) => self.task_ended(now, key, outcome, out),
             StartResult::NotRun(_) => {
-                // The start and its refusal did no work.
+                // Neither the start nor its refusal made progress.
                 self.counters.messages.wasted(MessageKind::Start, 2);
                 self.place_again(now, key, out);
             }
             StartResult::OutcomeDropped => self.outcome_dropped(key, out),
-            StartResult::Unknown => self.task_lost(now, key, "its agent can't tell", out),
+            StartResult::Unknown => {
+                self.task_lost(now, key, "its agent does not know whether it ran", out)
+            }
         }
     }
 
-    /// Takes the end of a task.
-    pub(crate) fn ended(
+    /// Applies the outcome of a task that ended.
+    pub(crate) fn task_ended(
         &mut self,
         now: Time,
         key: TaskKey,
@@ -219,9 +222,9 @@
         match outcome {
             TaskOutcome::Answer(text) => {
                 gather.answer(key.index, key.attempt, text);
-                let whole = gather.is_whole();
-                if whole {
-                    self.complete(id, out);
+                let complete = gather.is_complete();
+                if complete {
+                    self.complete_job(id, out);
                 }
             }
             TaskOutcome::Failed(reason) => {
@@ -235,58 +238,69 @@
         }
     }
 
-    /// Notes how long a task took, for estimates and to tell stragglers. Those whose job has its
-    /// outcome already count too: without them long tasks would seem rarer than they are.
-    fn note_time(&mut self, flight: &Flight, target: TargetId, now: Time, out: &mut Vec<Action>) {
-        let time = now.since(flight.at);
-        let times = &mut self.kinds.get_mut(&flight.kind).times;
+    /// Records a task's service time for estimates and straggler detection.
+    ///
+    /// Tasks whose job already has an outcome count too; leaving them out would bias the estimates
+    /// towards short tasks.
+    fn record_time(
+        &mut self,
+        in_flight: &InFlight,
+        target: TargetId,
+        now: Time,
+        out: &mut Vec<Action>,
+    ) {
+        let time = now.since(in_flight.sent_at);
+        let times = &mut self.kinds.get_mut(&in_flight.kind).times;
         let over_mean = time.as_secs_f64() / times.mean().as_secs_f64().max(0.001);
         times.record(time);
-        let at = self.targets.get_mut(target);
-        if let Some(straggling) = at.note_time(over_mean) {
-            let name = at.node.name.clone();
+        let state = self.targets.get_mut(target);
+        if let Some(straggling) = state.record_time(over_mean) {
+            let name = state.node.name.clone();
             out.push(Action::Log(LogEvent::Straggling(name, straggling)));
-            self.set_profile(target);
+            self.update_profile(target);
         }
     }
 
-    fn complete(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
+    fn complete_job(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
         let answers = self.table.get(id).and_then(|job| job.gather()).and_then(|g| g.answers());
         match answers {
             Some(answers) => self.finish(id, Ok(answers), out),
-            None => self.breach(Breach::PartialAnswer(id), out),
+            None => self.report_breach(Breach::PartialAnswer(id), out),
         }
     }
 
-    /// Places a task again that is proven not to have run.
+    /// Requeues a task that is proven not to have run.
     pub(crate) fn place_again(&mut self, now: Time, key: TaskKey, out: &mut Vec<Action>) {
-        if self.put_back(key, true, out) {
+        if self.requeue(key, true, out) {
             self.counters.placed_again += 1;
             let step = Step::PlaceAgain { index: key.index, attempt: key.attempt + 1 };
-            self.decide(key.submission, step, Duration::ZERO, out);
+            self.log_decision(key.submission, step, Duration::ZERO, out);
             self.enqueue(now, key.submission, out);
         }
     }
 
-    /// Puts an open task back to wait; false where it is not open any more.
-    fn put_back(&mut self, key: TaskKey, proven_not_run: bool, out: &mut Vec<Action>) -> bool {
+    /// Returns a sent task to the queue; false when its attempt is already resolved.
+    ///
+    /// Without proof that it did not run, only a task of a repeatable request is requeued.
+    fn requeue(&mut self, key: TaskKey, proven_not_run: bool, out: &mut Vec<Action>) -> bool {
         let id = key.submission;
-        self.leave_queue(id);
+        self.remove_from_queue(id);
         let Some(job) = self.table.get_mut(id) else { return false };
         if !proven_not_run && !job.repeatable {
-            self.breach(Breach::StartWithoutProof(key), out);
+            self.report_breach(Breach::StartWithoutProof(key), out);
             return false;
         }
         let Some(gather) = job.gather_mut() else { return false };
-        let open = gather.put_back(key.index, key.attempt, proven_not_run);
+        let open = gather.requeue(key.index, key.attempt, proven_not_run);
         let waiting = gather.waiting() > 0;
         if !open && waiting {
-            self.wait(id);
+            self.add_to_queue(id);
         }
         open
     }
 
-    /// Takes a task whose fate nobody will tell. Only a repeatable request may be sent again.
+    /// Handles a task whose outcome can't be determined: retries it if the request is repeatable
+    /// and the retry budget allows, otherwise fails the job.
     pub(crate) fn task_lost(
         &mut self,
         now: Time,
@@ -302,30 +316,35 @@
             return;
         }
         let verdict = gather.verdict();
-        if repeatable && kind.is_some_and(|kind| self.kinds.get_mut(&kind).pay()) {
+        if repeatable && kind.is_some_and(|kind| self.kinds.get_mut(&kind).take_retry()) {
             self.counters.retried += 1;
-            self.put_back(key, false, out);
+            self.requeue(key, false, out);
             return self.enqueue(now, id, out);
         }
         let message = format!("task {}: {reason}", key.index);
         self.finish(id, Err(Failure::new(Code::TargetLost, verdict, message)), out);
     }
 
-    /// Takes a task that ended, but whose outcome its agent no longer holds.
+    /// Fails the job of a task that ran but whose outcome its agent no longer holds.
     pub(crate) fn outcome_dropped(&mut self, key: TaskKey, out: &mut Vec<Action>) {
         let id = key.submission;
         let Some(gather) = self.table.get_mut(id).and_then(|job| job.gather_mut()) else { return };
         gather.fail(key.index, key.attempt);
         let verdict = gather.verdict();
-        let message = format!("task {} ran, and its answer is no longer held", key.index);
+        let message = format!("task {} ran, but its agent no longer holds the answer", key.index);
         self.finish(id, Err(Failure::new(Code::AnswerDropped, verdict, message)), out);
     }
 
-    /// The deadline of a submission without an outcome has passed.
+    /// Fails a submission whose deadline passed before it had an outcome.
     pub(crate) fn deadline_passed(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
         let Some(job) = self.table.get(id) else { return };
-        let failure =
-            |verdict| Err(Failure::new(Code::DeadlinePassed, verdict, "the deadline passed"));
+        let failure = |verdict| {
+            Err(Failure::new(
+                Code::DeadlinePassed,
+                verdict,
+                "the deadline passed before the submission had an outcome",
+            ))
+        };
         match &job.phase {
             Phase::Active(gather) => {
                 let reply = failure(gather.verdict());
@@ -333,16 +352,16 @@
             }
             Phase::Claiming { .. } => self.finish(id, failure(Verdict::MayHaveRun), out),
             Phase::Refusing { .. } | Phase::Relaying { .. } => {
-                self.dismiss(id, &failure(Verdict::MayHaveRun), out);
+                self.answer_and_remove(id, &failure(Verdict::MayHaveRun), out);
             }
             Phase::Undecided | Phase::Refused { .. } | Phase::Done(_) => {}
         }
     }
 }
 
-/// How long a task waits for a better target before it takes one that straggles: about as long
-/// as it would lose there.
-fn patience(kinds: &Kinds, kind: Option<&KindSettings>) -> Duration {
+/// How long a job waits for a better target before it accepts a straggling one: the mean service
+/// time, which is about the time that it would lose there.
+fn straggler_wait(kinds: &Kinds, kind: Option<&KindSettings>) -> Duration {
     let Some(kind) = kind else { return Duration::ZERO };
     kinds.times(kind).map_or(kind.expected, |times| times.mean())
 }
--- a/components/entry/src/service.rs
+++ b/components/entry/src/service.rs
@@ -1,29 +1,30 @@
-//! What waits and who may serve it, for one service.
+//! The queue, the pool of targets and the token demand of one service.
 
 use std::collections::BTreeMap;
 
 use model::SubmissionId;
 use placement::{FairQueue, Pool, TargetId};
 
-/// Targets looked at for asking again, each time something happens while work waits.
-const ASK_AGAIN_LOOK: usize = 4;
-/// Idle tokens to keep at hand, so that a first request finds one. More did not help: see
-/// docs/MEASURES.md.
-const RESERVE: u32 = 1;
+/// Targets considered in one call of [`Service::next_to_ask`] when all of them are asked already.
+const ASK_AGAIN_SCAN: usize = 4;
+/// Idle tokens kept in reserve, so that a request after a pause finds one.
+const RESERVE_TOKENS: u32 = 1;
 
 /// The queue and the targets of one service at one entry.
 #[derive(Debug)]
 pub(crate) struct Service {
     pub pool: Pool,
     pub queue: FairQueue<SubmissionId>,
-    /// Tasks sent and not answered.
+    /// Tasks sent and not yet answered.
     pub busy: u32,
-    /// Slots of the targets that can be placed on.
+    /// Slots of all targets in the pool.
     pub slots: u32,
-    /// The target asked last for tokens.
-    pub asked_last: TargetId,
-    asks: BTreeMap<TargetId, u32>,
-    asked: u32,
+    /// The target that was last asked for tokens, where the next round starts.
+    pub last_asked: TargetId,
+    /// Tokens requested and not yet granted, by target.
+    requested: BTreeMap<TargetId, u32>,
+    /// Sum of all tokens requested and not yet granted.
+    requested_total: u32,
 }
 
 impl Default for Service {
@@ -33,61 +34,63 @@
             queue: FairQueue::default(),
             busy: 0,
             slots: 0,
-            asked_last: TargetId(0),
-            asks: BTreeMap::new(),
-            asked: 0,
+            last_asked: TargetId(0),
+            requested: BTreeMap::new(),
+            requested_total: 0,
         }
     }
 }
 
 impl Service {
-    /// Tokens that are needed besides the idle ones and those asked for already.
+    /// The number of tokens that are missing beyond the idle and the requested ones.
     pub fn tokens_needed(&self) -> u32 {
         let waiting = u32::try_from(self.queue.tasks()).unwrap_or(u32::MAX);
-        let at_hand = self.pool.ready() + self.asked;
-        (waiting.saturating_add(RESERVE)).saturating_sub(at_hand)
+        let available = self.pool.ready() + self.requested_total;
+        (waiting.saturating_add(RESERVE_TOKENS)).saturating_sub(available)
     }
 
-    /// Sets how many tokens a target is asked for.
-    pub fn set_asked(&mut self, target: TargetId, count: u32) {
+    /// Sets the number of tokens that are requested from a target.
+    pub fn set_requested(&mut self, target: TargetId, count: u32) {
         let before = match count {
-            0 => self.asks.remove(&target),
-            _ => self.asks.insert(target, count),
+            0 => self.requested.remove(&target),
+            _ => self.requested.insert(target, count),
         };
-        self.asked = self.asked + count - before.unwrap_or(0);
+        self.requested_total = self.requested_total + count - before.unwrap_or(0);
     }
 
-    /// What a target is asked for on a message that goes to it anyway: its part of what waits, or
-    /// nothing where the idle tokens are enough.
-    pub fn wanted_now(&mut self, target: TargetId) -> u32 {
+    /// Updates and returns the token request piggybacked on a message to a target: its share of the
+    /// waiting tasks, or zero when the idle tokens suffice.
+    pub fn update_wanted(&mut self, target: TargetId) -> u32 {
         let waiting = u32::try_from(self.queue.tasks()).unwrap_or(u32::MAX);
-        if self.pool.ready() >= waiting.saturating_add(RESERVE) {
-            self.set_asked(target, 0);
+        if self.pool.ready() >= waiting.saturating_add(RESERVE_TOKENS) {
+            self.set_requested(target, 0);
         } else if waiting > 0 {
-            self.set_asked(target, waiting.div_ceil(self.pool.len().max(1) as u32));
+            self.set_requested(target, waiting.div_ceil(self.pool.len().max(1) as u32));
         }
-        self.asked_of(target)
+        self.requested_from(target)
     }
 
-    /// How many tokens a target is asked for.
-    pub fn asked_of(&self, target: TargetId) -> u32 {
-        self.asks.get(&target).copied().unwrap_or(0)
+    /// The number of tokens that are requested from a target.
+    pub fn requested_from(&self, target: TargetId) -> u32 {
+        self.requested.get(&target).copied().unwrap_or(0)
     }
 
-    /// Targets to ask next, in turn, for `count` each: those not asked yet; where all are, those of
-    /// the next few that were asked for half of it or less, since more waits by now.
+    /// The targets to ask next for `count` tokens each, in round-robin order.
+    ///
+    /// These are the targets without a request. When all have one, they are those of the next few
+    /// whose request is at most half of `count`, since demand has grown.
     pub fn next_to_ask(&mut self, count: u32) -> Vec<TargetId> {
-        let round = self.pool.round_after(self.asked_last);
-        if self.asks.len() < self.pool.len() {
-            return round.filter(|id| self.asked_of(*id) == 0).collect();
+        let round = self.pool.round_after(self.last_asked);
+        if self.requested.len() < self.pool.len() {
+            return round.filter(|id| self.requested_from(*id) == 0).collect();
         }
-        let looked_at: Vec<TargetId> = round.take(ASK_AGAIN_LOOK).collect();
-        self.asked_last = looked_at.last().copied().unwrap_or(self.asked_last);
-        looked_at.into_iter().filter(|id| self.asked_of(*id) * 2 <= count).collect()
+        let candidates: Vec<TargetId> = round.take(ASK_AGAIN_SCAN).collect();
+        self.last_asked = candidates.last().copied().unwrap_or(self.last_asked);
+        candidates.into_iter().filter(|id| self.requested_from(*id) * 2 <= count).collect()
     }
 
-    /// Slots that this entry may count on, where so many entries share the targets.
-    pub fn slots_to_count_on(&self, entries: u32) -> u32 {
+    /// The slots that this entry can expect to use when `entries` entries share the targets.
+    pub fn usable_slots(&self, entries: u32) -> u32 {
         let held = self.pool.idle() + self.busy;
         held.max(self.slots / entries.max(1))
     }
--- a/components/entry/src/settle.rs
+++ b/components/entry/src/settle.rs
@@ -1,4 +1,4 @@
-//! Starts whose answer was lost: their fate is asked for, never guessed.
+//! Settles tasks whose start reply was lost by asking the agent whether they ran.
 
 use model::{NodeName, TaskKey, Time};
 use placement::TargetId;
@@ -8,34 +8,34 @@
 use crate::{Action, Entry};
 
 impl Entry {
-    /// Notes that a task's fate has to be asked for, and asks where the agent can be reached.
-    pub(crate) fn fate_open(
+    /// Adds a task to those that must be settled, and settles them if the agent is connected.
+    pub(crate) fn add_unsettled(
         &mut self,
         now: Time,
         target: TargetId,
         key: TaskKey,
         out: &mut Vec<Action>,
     ) {
-        if !self.is_open(key) {
+        if !self.is_unresolved(key) {
             return;
         }
-        let at = self.targets.get_mut(target);
-        if at.dead {
-            return self.task_lost(now, key, "its agent is gone", out);
+        let state = self.targets.get_mut(target);
+        if state.dead {
+            return self.task_lost(now, key, "its agent process died", out);
         }
-        at.unsettled.insert(key);
-        self.ask_fates(target, out);
+        state.unsettled.insert(key);
+        self.send_settles(target, out);
     }
 
-    /// Whether a task's present attempt has no fate yet.
-    fn is_open(&self, key: TaskKey) -> bool {
+    /// Whether the outcome of this attempt is still unknown.
+    fn is_unresolved(&self, key: TaskKey) -> bool {
         let gather = self.table.get(key.submission).and_then(|job| job.gather());
         gather.is_some_and(|gather| gather.sent(key.index, key.attempt).is_some())
     }
 
-    /// Asks an agent for every open fate, where it can be reached.
-    pub(crate) fn ask_fates(&mut self, target: TargetId, out: &mut Vec<Action>) {
-        if self.targets.get(target).link.is_none() {
+    /// Sends settle requests for all unsettled tasks of a connected agent.
+    pub(crate) fn send_settles(&mut self, target: TargetId, out: &mut Vec<Action>) {
+        if self.targets.get(target).session.is_none() {
             return;
         }
         let keys = std::mem::take(&mut self.targets.get_mut(target).unsettled);
@@ -46,15 +46,15 @@
                 continue;
             };
             self.counters.settles += 1;
-            self.sent(MessageKind::Settle);
+            self.count_sent(MessageKind::Settle);
             let owner = self.setup.node.clone();
             let request = SettleRequest { key, owner, agent: sent.agent };
             out.push(Action::Settle { agent: agent.clone(), request });
         }
     }
 
-    /// Takes an agent's word on a task's fate.
-    pub(crate) fn settled(
+    /// Applies an agent's reply to a settle request.
+    pub(crate) fn settle_replied(
         &mut self,
         now: Time,
         agent: &NodeName,
@@ -64,26 +64,26 @@
     ) {
         let Some(target) = self.targets.id(agent) else { return };
         match reply {
-            None => self.fate_open(now, target, key, out),
+            None => self.add_unsettled(now, target, key, out),
             Some(SettleReply::NotRun) => self.place_again(now, key, out),
-            Some(SettleReply::Ended(outcome)) => self.ended(now, key, outcome, out),
+            Some(SettleReply::Ended(outcome)) => self.task_ended(now, key, outcome, out),
             Some(SettleReply::OutcomeDropped) => self.outcome_dropped(key, out),
             Some(SettleReply::Unknown) => {
-                self.task_lost(now, key, "its agent restarted since", out);
+                self.task_lost(now, key, "its agent restarted after the start was sent", out);
             }
         }
     }
 
-    /// An agent's process is dead: what it had started may have run, and nobody will tell.
-    pub(crate) fn dead(&mut self, now: Time, agent: &NodeName, out: &mut Vec<Action>) {
+    /// Gives up the unsettled tasks of a dead agent process; they may have run.
+    pub(crate) fn agent_dead(&mut self, now: Time, agent: &NodeName, out: &mut Vec<Action>) {
         let Some(target) = self.targets.id(agent) else { return };
-        let at = self.targets.get_mut(target);
-        if at.link.is_some() {
+        let state = self.targets.get_mut(target);
+        if state.session.is_some() {
             return;
         }
-        at.dead = true;
-        for key in std::mem::take(&mut at.unsettled) {
-            self.task_lost(now, key, "its agent is gone", out);
+        state.dead = true;
+        for key in std::mem::take(&mut state.unsettled) {
+            self.task_lost(now, key, "its agent process died", out);
         }
     }
 }
--- a/components/entry/src/table.rs
+++ b/components/entry/src/table.rs
@@ -1,4 +1,4 @@
-//! Every submission that an entry knows, within bounds of time and memory.
+//! The submissions known to an entry, limited by retention time and memory.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -7,27 +7,27 @@
 
 use crate::job::{Job, Phase};
 
-/// Memory of a kept outcome besides its texts, in bytes: the job, its id in three indexes.
-const OUTCOME_BYTES: usize = 512;
+/// Estimated memory of a kept outcome without its texts, in bytes.
+const OUTCOME_OVERHEAD_BYTES: usize = 512;
 
-/// What is due for a submission.
+/// The timers of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Due {
-    /// Holders that have not replied are taken as silent.
-    Round,
-    /// Holders that have not replied to a question are taken as silent.
-    Inquiry,
-    /// Its tasks have waited long enough for any target.
+pub(crate) enum TimerKind {
+    /// Timeout of the claim round.
+    ClaimTimeout,
+    /// Timeout of the lookup at the claim holders.
+    LookupTimeout,
+    /// The job has waited long enough to accept straggling targets.
     AnyTarget,
-    /// The deadline.
+    /// The deadline of the submission.
     Deadline,
 }
 
-/// The submissions of one entry.
+/// The submissions of one entry with their timers and expiry times.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     jobs: Map<SubmissionId, Job>,
-    due: BTreeSet<(Time, SubmissionId, Due)>,
+    timers: BTreeSet<(Time, SubmissionId, TimerKind)>,
     expiry: Expiry<SubmissionId>,
     /// Submissions with an outcome, oldest first.
     done: VecDeque<SubmissionId>,
@@ -45,66 +45,70 @@
         self.jobs.get_mut(&id)
     }
 
-    /// Adds a submission without an outcome.
+    /// Adds a new submission and its deadline timer.
     pub fn insert(&mut self, id: SubmissionId, job: Job) {
-        self.due.insert((job.deadline, id, Due::Deadline));
+        self.timers.insert((job.deadline, id, TimerKind::Deadline));
         self.active += usize::from(job.is_active());
         let old = self.jobs.insert(id, job);
-        debug_assert!(old.is_none(), "submissions are inserted once");
+        debug_assert!(old.is_none(), "a submission is inserted twice");
     }
 
-    /// Forgets a submission that never got an outcome here.
+    /// Removes a submission without an outcome.
     pub fn remove(&mut self, id: SubmissionId) -> Option<Job> {
         let job = self.jobs.remove(&id)?;
-        self.due.remove(&(job.deadline, id, Due::Deadline));
+        self.timers.remove(&(job.deadline, id, TimerKind::Deadline));
         self.active -= usize::from(job.is_active());
         Some(job)
     }
 
-    /// Gives a submission its outcome, kept until `until` or while memory allows.
+    /// Stores the outcome of a submission until `until`; drops the oldest outcomes while their size
+    /// exceeds `bytes_max`.
     pub fn finish(&mut self, id: SubmissionId, reply: RelayReply, until: Time, bytes_max: usize) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        debug_assert!(!job.is_done(), "an outcome is given once");
-        self.due.remove(&(job.deadline, id, Due::Deadline));
+        debug_assert!(!job.is_done(), "a submission gets a second outcome");
+        self.timers.remove(&(job.deadline, id, TimerKind::Deadline));
         self.active -= 1;
-        self.done_bytes += bytes(&reply);
+        self.done_bytes += outcome_bytes(&reply);
         job.phase = Phase::Done(reply);
         self.done.push_back(id);
         self.expiry.insert(id, until);
         while self.done_bytes > bytes_max {
             let Some(oldest) = self.done.pop_front() else { break };
-            if self.forget(oldest) {
+            if self.remove_done(oldest) {
                 self.dropped += 1;
             }
         }
     }
 
-    /// Keeps a submission that has not started in a phase without an outcome, until its id is
+    /// Keeps a submission that has not started in an inactive phase until `until`, when its id is
     /// too old.
-    pub fn park(&mut self, id: SubmissionId, phase: Phase, until: Time) {
+    pub fn deactivate(&mut self, id: SubmissionId, phase: Phase, until: Time) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         self.active -= usize::from(job.is_active());
         job.phase = phase;
         self.expiry.insert(id, until);
     }
 
-    /// Gives a parked submission something to do again.
-    pub fn unpark(&mut self, id: SubmissionId, phase: Phase, deadline: Time) {
+    /// Moves an inactive submission to an active phase with a new deadline.
+    pub fn reactivate(&mut self, id: SubmissionId, phase: Phase, deadline: Time) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        debug_assert!(!job.is_active() && !job.is_done(), "only parked submissions are taken up");
-        self.due.remove(&(job.deadline, id, Due::Deadline));
+        debug_assert!(
+            !job.is_active() && !job.is_done(),
+            "only inactive submissions are reactivated"
+        );
+        self.timers.remove(&(job.deadline, id, TimerKind::Deadline));
         job.phase = phase;
         job.deadline = deadline;
-        self.due.insert((deadline, id, Due::Deadline));
+        self.timers.insert((deadline, id, TimerKind::Deadline));
         self.active += 1;
     }
 
-    /// Forgets what is past its retention.
+    /// Removes outcomes and inactive submissions past their retention.
     pub fn expire(&mut self, now: Time) {
         for id in self.expiry.due(now) {
             match self.jobs.get(&id).map(|job| &job.phase) {
                 Some(Phase::Done(_)) => {
-                    self.forget(id);
+                    self.remove_done(id);
                 }
                 Some(Phase::Undecided | Phase::Refused { .. }) => {
                     self.remove(id);
@@ -117,59 +121,59 @@
         }
     }
 
-    fn forget(&mut self, id: SubmissionId) -> bool {
+    fn remove_done(&mut self, id: SubmissionId) -> bool {
         let Some(Job { phase: Phase::Done(reply), .. }) = self.jobs.remove(&id) else {
             return false;
         };
-        self.done_bytes -= bytes(&reply);
+        self.done_bytes -= outcome_bytes(&reply);
         true
     }
 
-    /// Notes that something is due for a submission.
-    pub fn at(&mut self, time: Time, id: SubmissionId, due: Due) {
-        self.due.insert((time, id, due));
+    /// Sets a timer for a submission.
+    pub fn set_timer(&mut self, time: Time, id: SubmissionId, kind: TimerKind) {
+        self.timers.insert((time, id, kind));
     }
 
-    /// Takes out the next thing that is due.
-    pub fn next_due(&mut self, now: Time) -> Option<(SubmissionId, Due)> {
-        let (time, id, due) = *self.due.first()?;
+    /// Removes and returns the next timer that has expired.
+    pub fn pop_expired_timer(&mut self, now: Time) -> Option<(SubmissionId, TimerKind)> {
+        let (time, id, kind) = *self.timers.first()?;
         if time > now {
             return None;
         }
-        self.due.pop_first();
-        Some((id, due))
+        self.timers.pop_first();
+        Some((id, kind))
     }
 
-    /// When the next thing is due.
+    /// The time of the next timer.
     pub fn next_timer(&self) -> Option<Time> {
-        self.due.first().map(|(time, _, _)| *time)
+        self.timers.first().map(|(time, _, _)| *time)
     }
 
-    /// Submissions without an outcome.
+    /// The number of submissions in progress.
     pub fn active(&self) -> usize {
         self.active
     }
 
-    /// Outcomes kept.
+    /// The number of submissions kept that are not in progress.
     pub fn kept(&self) -> usize {
         self.jobs.len() - self.active
     }
 
-    /// Bytes of outcomes kept.
+    /// The size of the kept outcomes, in bytes.
     pub fn kept_bytes(&self) -> usize {
         self.done_bytes
     }
 
-    /// Outcomes dropped for memory.
+    /// The number of outcomes dropped for the memory limit.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 }
 
-fn bytes(reply: &RelayReply) -> usize {
+fn outcome_bytes(reply: &RelayReply) -> usize {
     let texts = match reply {
         Ok(answers) => answers.iter().map(|text| text.len() + size_of::<usize>() * 4).sum(),
         Err(failure) => failure.message.len(),
     };
-    texts + OUTCOME_BYTES
+    texts + OUTCOME_OVERHEAD_BYTES
 }
--- a/components/entry/src/targets.rs
+++ b/components/entry/src/targets.rs
@@ -1,4 +1,4 @@
-//! The agents that an entry knows and its sessions with them.
+//! The agents known to an entry and its sessions with them.
 
 use std::collections::BTreeSet;
 
@@ -8,65 +8,71 @@
 
 use crate::Connection;
 
-/// Weight of one observation in a target's slowness.
-const SLOWNESS_STEP: f64 = 0.1;
-/// Service time over the kind's mean from which a target counts as straggling.
-const STRAGGLES_FROM: f64 = 2.0;
-/// ... and below which it no longer does.
-const STRAGGLES_UNTIL: f64 = 1.4;
+/// Weight of one observation in the moving average of a target's slowness.
+const SLOWNESS_WEIGHT: f64 = 0.1;
+/// Ratio of service time to the kind's mean from which a target counts as straggling.
+const STRAGGLING_FROM: f64 = 2.0;
+/// Ratio below which a straggling target counts as recovered; lower, to avoid flapping.
+const STRAGGLING_UNTIL: f64 = 1.4;
 
 /// An open session with an agent.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Link {
+pub(crate) struct Session {
     pub connection: Connection,
-    /// Exchanges sent and not answered.
-    pub exchanges: u32,
-    /// When the agent was last heard of on it.
-    pub heard: Time,
+    /// Token exchanges sent and not yet answered.
+    pub pending_syncs: u32,
+    /// When a message of the agent was last received, which renews its tokens' lease.
+    pub last_contact: Time,
 }
 
-/// One agent with its target.
+/// An agent and its target.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub node: NodeRef,
     pub service: String,
+    /// Whether the target is in another data hall than the entry.
     pub remote: bool,
+    /// The number that this entry gave the rack.
     pub rack: u32,
     pub slots: u32,
-    /// It votes on submission ids made after this.
+    /// The agent votes on claims of submission ids that were made after this time.
     pub votes_from: Time,
+    /// Whether the target's host leaves, so that it gets no new work.
     pub leaving: bool,
-    /// Its process is known to be dead.
+    /// Whether the agent's process is known to be dead.
     pub dead: bool,
-    pub link: Option<Link>,
-    /// Tasks sent to it whose fate has to be asked for.
+    pub session: Option<Session>,
+    /// Tasks sent to the agent that must be settled, since their start reply was lost.
     pub unsettled: BTreeSet<TaskKey>,
+    /// Whether the target is much slower than the mean of its kinds.
     pub straggling: bool,
-    /// The failure detector suspects its host.
+    /// Whether the failure detector suspects the host.
     pub suspected: bool,
+    /// Moving average of service times relative to their kind's mean.
     slowness: f64,
 }
 
 impl Target {
-    /// Notes a task's time over its kind's mean; returns whether it now straggles, on a change.
-    pub fn note_time(&mut self, over_mean: f64) -> Option<bool> {
-        self.slowness += (over_mean - self.slowness) * SLOWNESS_STEP;
+    /// Records a service time relative to its kind's mean; returns the new straggling state if it
+    /// changed.
+    pub fn record_time(&mut self, over_mean: f64) -> Option<bool> {
+        self.slowness += (over_mean - self.slowness) * SLOWNESS_WEIGHT;
         let straggling = match self.straggling {
-            false => self.slowness >= STRAGGLES_FROM,
-            true => self.slowness >= STRAGGLES_UNTIL,
+            false => self.slowness >= STRAGGLING_FROM,
+            true => self.slowness >= STRAGGLING_UNTIL,
         };
         let changed = straggling != self.straggling;
         self.straggling = straggling;
         changed.then_some(straggling)
     }
 
-    /// The connection, while a session is open.
+    /// The connection of the open session, if any.
     pub fn connection(&self) -> Option<Connection> {
-        self.link.map(|link| link.connection)
+        self.session.map(|session| session.connection)
     }
 }
 
-/// Every agent by name and number.
+/// All known agents, by name and by number.
 #[derive(Debug, Default)]
 pub(crate) struct Targets {
     ids: Map<NodeName, TargetId>,
@@ -75,8 +81,8 @@
 }
 
 impl Targets {
-    /// Opens a session; returns the agent's number.
-    pub fn up(
+    /// Records a new session of an agent; returns the number of its target.
+    pub fn connect(
         &mut self,
         info: &AgentInfo,
         connection: Connection,
@@ -85,7 +91,7 @@
     ) -> TargetId {
         let racks = self.racks.len() as u32;
         let rack = *self.racks.entry(info.rack.clone()).or_insert(racks);
-        let link = Link { connection, exchanges: 0, heard: now };
+        let session = Session { connection, pending_syncs: 0, last_contact: now };
         let name = info.agent.name.clone();
         let id = match self.ids.get(&name) {
             Some(id) => *id,
@@ -102,7 +108,7 @@
         target.leaving = info.leaving || (target.leaving && !restarted);
         target.dead = false;
         target.suspected = false;
-        target.link = Some(link);
+        target.session = Some(session);
         id
     }
 
@@ -118,7 +124,7 @@
             votes_from: info.votes_from,
             leaving: false,
             dead: false,
-            link: None,
+            session: None,
             unsettled: BTreeSet::new(),
             straggling: false,
             suspected: false,
@@ -139,20 +145,21 @@
         &mut self.list[id.0 as usize]
     }
 
-    /// The target, where the connection is still the one of its open session.
-    pub fn on(&self, name: &NodeName, connection: Connection) -> Option<TargetId> {
+    /// The target of an agent if `connection` is the one of its open session.
+    pub fn on_connection(&self, name: &NodeName, connection: Connection) -> Option<TargetId> {
         let id = self.id(name)?;
         (self.get(id).connection() == Some(connection)).then_some(id)
     }
 
-    /// Whether an agent can be reached and votes on ids made from now on.
-    pub fn votes(&self, name: &NodeName, now: Time) -> bool {
-        self.id(name).is_some_and(|id| self.get(id).link.is_some() && self.get(id).votes_from < now)
+    /// Whether an agent is connected and votes on ids made at `now`.
+    pub fn can_vote(&self, name: &NodeName, now: Time) -> bool {
+        self.id(name)
+            .is_some_and(|id| self.get(id).session.is_some() && self.get(id).votes_from < now)
     }
 
-    /// Whether a session with this agent is open.
-    pub fn is_up(&self, name: &NodeName) -> bool {
-        self.id(name).is_some_and(|id| self.get(id).link.is_some())
+    /// Whether a session with the agent is open.
+    pub fn is_connected(&self, name: &NodeName) -> bool {
+        self.id(name).is_some_and(|id| self.get(id).session.is_some())
     }
 
     pub fn ids(&self) -> impl Iterator<Item = TargetId> + use<> {
--- a/components/entry/tests/entry.rs
+++ b/components/entry/tests/entry.rs
@@ -1,4 +1,4 @@
-//! An entry's conclusions from what holders, owners and agents say.
+//! Drives an entry with the replies of holders, owners and agents and checks its actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,19 +36,19 @@
     Digest::of("booking", "holds", false, ["seat 4A"].into_iter())
 }
 
-/// An entry with three agents, each lending it a token.
-struct Bench {
+/// An entry with settings and sessions to three agents, each of which has lent it one token.
+struct Fixture {
     entry: Entry,
     now: Time,
     calls: u64,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         let setup = Setup { node: node("e1"), hall: "h1".to_owned() };
-        let mut bench = Self { entry: Entry::new(setup), now: NOW, calls: 0 };
+        let mut fixture = Self { entry: Entry::new(setup), now: NOW, calls: 0 };
         let tree = Tree::from_ini(TREE).unwrap();
-        bench.handle(Event::Settings { catalog: Arc::new(Catalog::new(1, &tree)) });
+        fixture.handle(Event::Settings { catalog: Arc::new(Catalog::new(1, &tree)) });
         for number in 1..=3u64 {
             let name = format!("a{number}");
             let info = AgentInfo {
@@ -61,11 +61,11 @@
                 leaving: false,
             };
             let connection = Connection(number);
-            bench.handle(Event::Connected { connection, info });
+            fixture.handle(Event::Connected { connection, info });
             let reply = Some(SyncReply { granted: 1, ..SyncReply::default() });
-            bench.handle(Event::SyncReplied { agent: NodeName::new(&name), connection, reply });
+            fixture.handle(Event::SyncReplied { agent: NodeName::new(&name), connection, reply });
         }
-        bench
+        fixture
     }
 
     fn handle(&mut self, event: Event) -> Vec<Action> {
@@ -106,92 +106,93 @@
 }
 
 #[test]
-fn two_grants_start_the_task_and_one_does_not() {
-    let mut bench = Bench::new();
-    bench.submit();
-    assert_eq!(starts(&bench.claimed("a1", ClaimReply::Granted)), 0);
-    assert_eq!(starts(&bench.claimed("a2", ClaimReply::Granted)), 1);
-    assert_eq!(starts(&bench.claimed("a3", ClaimReply::Granted)), 0);
+fn a_task_starts_only_after_a_majority_of_grants() {
+    let mut fixture = Fixture::new();
+    fixture.submit();
+    assert_eq!(starts(&fixture.claimed("a1", ClaimReply::Granted)), 0);
+    assert_eq!(starts(&fixture.claimed("a2", ClaimReply::Granted)), 1);
+    assert_eq!(starts(&fixture.claimed("a3", ClaimReply::Granted)), 0);
 }
 
 #[test]
-fn a_claim_that_this_life_made_before_and_forgot_starts_nothing() {
-    let mut bench = Bench::new();
-    bench.submit();
-    bench.claimed("a1", ClaimReply::Granted);
-    let actions = bench.claimed("a2", ClaimReply::Renewed);
+fn a_renewed_claim_of_a_forgotten_submission_starts_nothing() {
+    let mut fixture = Fixture::new();
+    fixture.submit();
+    fixture.claimed("a1", ClaimReply::Granted);
+    let actions = fixture.claimed("a2", ClaimReply::Renewed);
     assert_eq!(starts(&actions), 0);
     assert_eq!(failure(&actions), Some((Code::AnswerDropped, Verdict::MayHaveRun)));
 }
 
 #[test]
-fn an_answer_to_a_question_is_no_vote_for_a_claim() {
-    let mut bench = Bench::new();
+fn a_lookup_reply_does_not_count_as_a_claim_vote() {
+    let mut fixture = Fixture::new();
     let call = CallId(99);
-    bench.handle(Event::Fetch { call, submission: id(), relayed: false });
-    bench.submit();
+    fixture.handle(Event::Fetch { call, submission: id(), relayed: false });
+    fixture.submit();
     for holder in ["a1", "a2", "a3"] {
         let reply = Some(LookupReply::Free);
         let holder = NodeName::new(holder);
-        let actions = bench.handle(Event::LookupReplied { holder, submission: id(), reply });
+        let actions = fixture.handle(Event::LookupReplied { holder, submission: id(), reply });
         assert_eq!(starts(&actions), 0);
     }
 }
 
 #[test]
-fn a_late_reply_of_a_relay_does_not_answer_the_next() {
-    let mut bench = Bench::new();
-    bench.submit();
-    bench.claimed("a1", other_claim());
-    bench.claimed("a2", other_claim());
-    bench.now = NOW + Duration::from_secs(3);
-    let gave_up = bench.handle(Event::Tick);
-    assert_eq!(failure(&gave_up), Some((Code::DeadlinePassed, Verdict::MayHaveRun)));
-    bench.submit();
-    bench.claimed("a1", other_claim());
-    bench.claimed("a2", other_claim());
+fn a_late_relay_reply_does_not_answer_the_next_call() {
+    let mut fixture = Fixture::new();
+    fixture.submit();
+    fixture.claimed("a1", other_claim());
+    fixture.claimed("a2", other_claim());
+    fixture.now = NOW + Duration::from_secs(3);
+    let timed_out = fixture.handle(Event::Tick);
+    assert_eq!(failure(&timed_out), Some((Code::DeadlinePassed, Verdict::MayHaveRun)));
+    fixture.submit();
+    fixture.claimed("a1", other_claim());
+    fixture.claimed("a2", other_claim());
     let refusal = Failure::new(Code::Overloaded, Verdict::NotRun, "full");
     let late =
         |call| Event::OwnerReplied { call, submission: id(), reply: Some(Err(refusal.clone())) };
-    assert_eq!(outcome(&bench.handle(late(OwnerCall(1)))), None);
-    let current = bench.handle(late(OwnerCall(2)));
+    assert_eq!(outcome(&fixture.handle(late(OwnerCall(1)))), None);
+    let current = fixture.handle(late(OwnerCall(2)));
     assert_eq!(failure(&current), Some((Code::Overloaded, Verdict::NotRun)));
 }
 
 #[test]
-fn an_old_not_run_is_handed_on_as_may_have_run() {
-    let mut bench = Bench::new();
-    bench.submit();
-    bench.claimed("a1", other_claim());
-    bench.claimed("a2", other_claim());
-    bench.now = NOW + Duration::from_millis(501);
+fn an_old_not_run_reply_is_passed_on_as_may_have_run() {
+    let mut fixture = Fixture::new();
+    fixture.submit();
+    fixture.claimed("a1", other_claim());
+    fixture.claimed("a2", other_claim());
+    fixture.now = NOW + Duration::from_millis(501);
     let refusal = Failure::new(Code::Overloaded, Verdict::NotRun, "full");
     let reply = Some(Err(refusal));
-    let actions = bench.handle(Event::OwnerReplied { call: OwnerCall(1), submission: id(), reply });
+    let actions =
+        fixture.handle(Event::OwnerReplied { call: OwnerCall(1), submission: id(), reply });
     assert_eq!(failure(&actions), Some((Code::Overloaded, Verdict::MayHaveRun)));
 }
 
 #[test]
-fn settings_of_a_lower_version_are_refused() {
-    let mut bench = Bench::new();
+fn settings_of_a_lower_version_are_rejected() {
+    let mut fixture = Fixture::new();
     let tree = Tree::from_ini(TREE).unwrap();
-    bench.handle(Event::Settings { catalog: Arc::new(Catalog::new(4, &tree)) });
-    bench.handle(Event::Settings { catalog: Arc::new(Catalog::new(3, &tree)) });
-    assert_eq!(bench.entry.settings_version(), Some(4));
-    assert_eq!(bench.entry.counters().breaches, 1);
+    fixture.handle(Event::Settings { catalog: Arc::new(Catalog::new(4, &tree)) });
+    fixture.handle(Event::Settings { catalog: Arc::new(Catalog::new(3, &tree)) });
+    assert_eq!(fixture.entry.settings_version(), Some(4));
+    assert_eq!(fixture.entry.counters().breaches, 1);
 }
 
 #[test]
-fn unconfirmed_settings_stop_new_work_and_confirmed_ones_take_it_again() {
-    let mut bench = Bench::new();
-    bench.now = NOW + Duration::from_secs(9);
-    bench.submit();
-    bench.claimed("a1", ClaimReply::Granted);
-    let refused = bench.claimed("a2", ClaimReply::Granted);
+fn unconfirmed_settings_stop_admission_until_they_are_confirmed() {
+    let mut fixture = Fixture::new();
+    fixture.now = NOW + Duration::from_secs(9);
+    fixture.submit();
+    fixture.claimed("a1", ClaimReply::Granted);
+    let refused = fixture.claimed("a2", ClaimReply::Granted);
     assert_eq!(failure(&refused), Some((Code::NotReady, Verdict::NotRun)));
-    bench.now = bench.now + Duration::from_secs(2);
-    let at = bench.now;
-    bench.handle(Event::SettingsConfirmed { at });
-    bench.submit();
-    assert_eq!(bench.entry.counters().active, 1);
+    fixture.now = fixture.now + Duration::from_secs(2);
+    let at = fixture.now;
+    fixture.handle(Event::SettingsConfirmed { at });
+    fixture.submit();
+    assert_eq!(fixture.entry.counters().active, 1);
 }
