--- a/components/agent/src/agent.rs
+++ b/components/agent/src/agent.rs
@@ -50,7 +50,9 @@
     pub(crate) sessions: Sessions,
     pub(crate) running: Map<TaskKey, RunningTask>,
     pub(crate) counters: AgentCounters,
+    /// When expired claims and tasks were last removed.
     pub(crate) last_expiry: Time,
+    /// Whether the end of the last task of a leaving target was reported.
     pub(crate) drained: bool,
     /// When an unreachable target is tried again; `None` while it is reachable.
     pub(crate) paused_until: Option<Time>,
@@ -123,6 +125,7 @@
         self.fleet.token_lease / RENEWAL_DIVISOR
     }
 
+    /// The silence after which a session's idle tokens are taken back.
     fn lease_with_grace(&self) -> Duration {
         self.fleet.token_lease + self.fleet.token_lease / LEASE_GRACE_DIVISOR
     }
--- a/components/claims/src/register.rs
+++ b/components/claims/src/register.rs
@@ -110,6 +110,7 @@
         Claim { owner: self.owners.value(held.owner).clone(), digest: held.digest }
     }
 
+    /// Why this holder must not vote on an id; `None` if it may vote.
     fn abstain_reason(
         &self,
         id: SubmissionId,
--- a/components/claims/src/view.rs
+++ b/components/claims/src/view.rs
@@ -109,6 +109,7 @@
     ranked.take(HOLDERS).map(|member| member.name.clone()).collect()
 }
 
+/// The rendezvous hash of a rack or member for a submission's key.
 fn rank(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -32,8 +32,11 @@
     pub(crate) setup: Setup,
     pub(crate) catalog: Option<Arc<Catalog>>,
     pub(crate) views: Views,
+    /// When the settings in force were last known to be the newest.
     pub(crate) settings_confirmed: Time,
+    /// Whether the settings were last logged as too old to admit work.
     pub(crate) settings_stale: bool,
+    /// Entries that share the targets, including this one.
     pub(crate) entry_count: u32,
     pub(crate) table: Table,
     pub(crate) owner_lookups: Map<SubmissionId, OwnerLookup>,
@@ -43,9 +46,13 @@
     /// Starts sent to agents and not yet answered.
     pub(crate) in_flight: Map<TaskKey, InFlight>,
     pub(crate) counters: EntryCounters,
+    /// Submissions checked for admission so far, for numbering jobs.
     pub(crate) arrivals: u64,
+    /// Calls to owners so far, for numbering them.
     owner_calls: u64,
+    /// The time of the event that is being processed.
     pub(crate) now: Time,
+    /// When expired submissions and leases were last removed.
     last_expiry: Time,
 }
 
@@ -179,6 +186,8 @@
             .is_none_or(|bound| now.since(self.settings_confirmed) > bound)
     }
 
+    /// Puts a version of the settings in force; a lower version is rejected as an invariant
+    /// violation.
     fn apply_settings(&mut self, now: Time, catalog: Arc<Catalog>, out: &mut Vec<Action>) {
         if let Some(have) = self.settings_version().filter(|have| *have > catalog.version()) {
             let breach = Breach::SettingsWentBack { have, got: catalog.version() };
@@ -190,6 +199,7 @@
         self.settings_confirmed = self.settings_confirmed.max(now);
     }
 
+    /// Handles the expired timers and periodically removes expired state.
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
         while let Some((id, timer)) = self.table.pop_expired_timer(now) {
             match timer {
--- a/components/entry/src/intake.rs
+++ b/components/entry/src/intake.rs
@@ -253,6 +253,7 @@
         self.claim(now, id, out);
     }
 
+    /// Opens a claim round to admit a request or, if a check failed, to refuse it with proof.
     fn claim_phase(
         &self,
         now: Time,
--- a/components/entry/src/job.rs
+++ b/components/entry/src/job.rs
@@ -34,7 +34,9 @@
 /// A submission known to an entry.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
+    /// The digest of the tasks, which detects a reused submission id.
     pub digest: Digest,
+    /// Whether the tasks may run more than once.
     pub repeatable: bool,
     /// The settings of its kind; `None` if the kind is unknown.
     pub kind: Option<Arc<KindSettings>>,
@@ -50,6 +52,7 @@
     pub claimed_before: bool,
     /// Whether the submission may be relayed; false if another entry relayed it here.
     pub may_relay: bool,
+    /// The calls that the outcome answers.
     pub waiters: Vec<CallId>,
     pub phase: Phase,
 }
--- a/components/entry/src/placing.rs
+++ b/components/entry/src/placing.rs
@@ -126,6 +126,7 @@
         self.dispatch(now, &kind.service, out);
     }
 
+    /// Sends the start of a placed task and logs the decision.
     fn send_start(
         &mut self,
         target: TargetId,
--- a/components/entry/src/table.rs
+++ b/components/entry/src/table.rs
@@ -31,8 +31,11 @@
     expiry: Expiry<SubmissionId>,
     /// Submissions with an outcome, oldest first.
     done: VecDeque<SubmissionId>,
+    /// Estimated size of the kept outcomes, in bytes.
     done_bytes: usize,
+    /// Submissions in progress.
     active: usize,
+    /// Outcomes dropped for the memory limit.
     dropped: u64,
 }
 
@@ -121,6 +124,7 @@
         }
     }
 
+    /// Removes a submission and its kept outcome; false if it had none.
     fn remove_done(&mut self, id: SubmissionId) -> bool {
         let Some(Job { phase: Phase::Done(reply), .. }) = self.jobs.remove(&id) else {
             return false;
--- a/components/execution/src/ledger.rs
+++ b/components/execution/src/ledger.rs
@@ -92,7 +92,9 @@
     orphaned: u32,
     accounts: BTreeMap<Session, Account>,
     waiters: Waiters,
+    /// Whether the target leaves, so that nothing is lent any more.
     leaving: bool,
+    /// Whether the target is unreachable, so that nothing is lent until it resumes.
     paused: bool,
 }
 
--- a/components/execution/src/table.rs
+++ b/components/execution/src/table.rs
@@ -38,7 +38,7 @@
 pub enum StartOutcome {
     /// The task is new and starts now.
     Starts,
-    /// The task is running since an earlier request.
+    /// An earlier request started the task, and it is still running.
     AlreadyRunning,
     /// The task ended; the outcome if it is still held.
     AlreadyEnded(Option<TaskOutcome>),
@@ -92,6 +92,7 @@
     expiry: Expiry<TaskKey>,
     /// Ended tasks in the order of their ends, for dropping the oldest outcomes.
     held: VecDeque<TaskKey>,
+    /// Total size of the outcomes held, in bytes.
     held_bytes: usize,
     running: usize,
     /// Tasks of submissions that were made before this time may have been removed.
@@ -166,6 +167,7 @@
         true
     }
 
+    /// Whether the task is so old that its record may have been removed.
     fn may_be_forgotten(&self, key: TaskKey) -> bool {
         key.submission.made() < self.forgotten_before
     }
@@ -226,6 +228,7 @@
         }
     }
 
+    /// The result of another start of a recorded task.
     fn known_outcome(&self, record: &Record, owner: &NodeRef) -> StartOutcome {
         let first = self.owners.value(record.owner);
         if first != owner {
