--- a/bench/src/policy/tokens.rs
+++ b/bench/src/policy/tokens.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use agent::{Agent, CallId, Reply, Request};
-use entry::{Connection, Entry, Event, Ticket};
+use entry::{Connection, Entry, Event};
 use execution::{Session, TaskOutcome};
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, TaskKey, Time, Verdict};
 use settings::{Catalog, Tree};
@@ -125,7 +125,7 @@
             self.entries.push(Entry::new(setup));
             let catalog = catalog.clone();
             self.deliver_to_entry(number, Event::Settings { catalog });
-            self.deliver_to_entry(number, Event::Entries { count: SHARES.len() as u32 });
+            self.deliver_to_entry(number, Event::EntryCount { count: SHARES.len() as u32 });
             self.clock.after(TICK, Happening::EntryTick(number));
             for agent in 0..TARGETS {
                 let request = Request::Hello(HelloRequest { entry: entry_node(number) });
@@ -187,8 +187,8 @@
             deadline_ms: Some(deadline.as_millis() as u64),
             repeatable: !self.claims,
         };
-        let ticket = Ticket(number as u64);
-        self.deliver_to_entry(entry, Event::Submit { ticket, request, relayed: false });
+        let call = entry::CallId(number as u64);
+        self.deliver_to_entry(entry, Event::Submit { call, request, relayed: false });
     }
 
     fn deliver_to_entry(&mut self, number: usize, event: Event) {
@@ -203,7 +203,7 @@
         use entry::Action;
         let number = |name: &NodeName| name.as_str()[1..].parse().unwrap_or(0);
         match action {
-            Action::Respond { ticket, reply } => self.respond(ticket, &reply),
+            Action::Respond { call, reply } => self.respond(call, &reply),
             Action::Claim { holder, request } => {
                 let called = Called::Claim(request.submission);
                 self.call(entry, number(&holder), Request::Claim(request), called);
@@ -243,7 +243,7 @@
                     self.clock.after(self.workload.link, happening);
                 }
                 agent::Action::Run { key, .. } => self.run_task(number, key),
-                agent::Action::News(_) => {}
+                agent::Action::Log(_) => {}
             }
         }
     }
@@ -259,18 +259,18 @@
         let connection = Connection(agent as u64);
         let name = agent_node(agent).name;
         let event = match (called, reply) {
-            (Called::Hello, Reply::Hello(info)) => Event::Up { connection, info },
+            (Called::Hello, Reply::Hello(info)) => Event::Connected { connection, info },
             (Called::Claim(submission), Reply::Claim(reply)) => {
-                Event::Claimed { holder: name, submission, reply: Some(reply) }
+                Event::ClaimReplied { holder: name, submission, reply: Some(reply) }
             }
             (Called::Start(key), Reply::Start(reply)) => {
-                Event::Started { agent: name, connection, key, reply: Some(reply) }
+                Event::StartReplied { agent: name, connection, key, reply: Some(reply) }
             }
             (Called::Settle(key), Reply::Settle(reply)) => {
-                Event::Settled { agent: name, key, reply: Some(reply) }
+                Event::SettleReplied { agent: name, key, reply: Some(reply) }
             }
             (Called::Sync, Reply::Sync(reply)) => {
-                Event::Synced { agent: name, connection, reply: Some(reply) }
+                Event::SyncReplied { agent: name, connection, reply: Some(reply) }
             }
             _ => return,
         };
@@ -283,8 +283,8 @@
         let name = agent_node(number).name;
         for entry in 0..self.entries.len() {
             let connection = Connection(number as u64);
-            self.deliver_to_entry(entry, Event::Down { agent: name.clone(), connection });
-            self.deliver_to_entry(entry, Event::Dead { agent: name.clone() });
+            self.deliver_to_entry(entry, Event::Disconnected { agent: name.clone(), connection });
+            self.deliver_to_entry(entry, Event::AgentDead { agent: name.clone() });
         }
         let lost = |(_, (agent, _)): &(&CallId, &(usize, Called))| *agent == number;
         let mut calls: Vec<CallId> = self.calls.iter().filter(lost).map(|(id, _)| *id).collect();
@@ -296,18 +296,18 @@
             let agent = name.clone();
             let event = match called {
                 Called::Claim(submission) => {
-                    Event::Claimed { holder: agent, submission, reply: None }
+                    Event::ClaimReplied { holder: agent, submission, reply: None }
                 }
-                Called::Start(key) => Event::Started { agent, connection, key, reply: None },
-                Called::Settle(key) => Event::Settled { agent, key, reply: None },
+                Called::Start(key) => Event::StartReplied { agent, connection, key, reply: None },
+                Called::Settle(key) => Event::SettleReplied { agent, key, reply: None },
                 Called::Hello | Called::Sync => continue,
             };
             self.deliver_to_entry(entry, event);
         }
     }
 
-    fn respond(&mut self, ticket: Ticket, reply: &RelayReply) {
-        let job = &self.workload.jobs[ticket.0 as usize];
+    fn respond(&mut self, call: entry::CallId, reply: &RelayReply) {
+        let job = &self.workload.jobs[call.0 as usize];
         match reply {
             Ok(_) => {
                 let response = (self.clock.now + CLIENT_LINK).since(job.at);
--- a/bench/src/slopes/entry.rs
+++ b/bench/src/slopes/entry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use claims::ClaimReply;
-use entry::{Action, Connection, Entry, Event, Setup, Ticket};
+use entry::{Action, CallId, Connection, Entry, Event, Setup};
 use execution::TaskOutcome;
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, Time};
 use settings::{Catalog, Tree};
@@ -67,10 +67,10 @@
                 leaving: false,
             };
             let connection = Connection(number as u64);
-            driver.events.push_back(Event::Up { connection, info });
+            driver.events.push_back(Event::Connected { connection, info });
             let reply = Some(SyncReply { granted: slots, ..SyncReply::default() });
             let agent = NodeName::new(&name);
-            driver.events.push_back(Event::Synced { agent, connection, reply });
+            driver.events.push_back(Event::SyncReplied { agent, connection, reply });
         }
         driver.run(false);
         driver
@@ -87,8 +87,8 @@
             deadline_ms: Some(60_000),
             repeatable: false,
         };
-        let ticket = Ticket(self.submissions);
-        self.events.push_back(Event::Submit { ticket, request, relayed: false });
+        let call = CallId(self.submissions);
+        self.events.push_back(Event::Submit { call, request, relayed: false });
     }
 
     /// Handles events until none is left; agents answer starts at once where `answer` says so.
@@ -107,7 +107,7 @@
         match action {
             Action::Claim { holder, request } => {
                 let (submission, reply) = (request.submission, Some(ClaimReply::Granted));
-                self.events.push_back(Event::Claimed { holder, submission, reply });
+                self.events.push_back(Event::ClaimReplied { holder, submission, reply });
             }
             Action::Start { agent, connection, request } => {
                 self.started += 1;
@@ -115,7 +115,7 @@
                 let reply = Some(StartReply { result: StartResult::Ended(outcome), token: true });
                 let key = request.key;
                 if answer {
-                    self.events.push_back(Event::Started { agent, connection, key, reply });
+                    self.events.push_back(Event::StartReplied { agent, connection, key, reply });
                 }
             }
             Action::Respond { .. } => self.answered += 1,
--- a/daemon/src/entry_role/decide.rs
+++ b/daemon/src/entry_role/decide.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use entry::{Action, Entry, Event, News, Setup, Ticket};
+use entry::{Action, CallId, Entry, Event, LogEvent, Setup};
 use futures::channel::oneshot;
 use model::{SubmissionId, Time};
 use serde::Serialize;
@@ -72,7 +72,7 @@
     shared: Arc<Shared>,
     links: Sender<LinkInput>,
     decisions: DecisionLog,
-    callers: HashMap<Ticket, oneshot::Sender<RelayReply>>,
+    callers: HashMap<CallId, oneshot::Sender<RelayReply>>,
     next_ticket: u64,
     actions: Vec<Action>,
     counters_every: Duration,
@@ -121,14 +121,14 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Respond { ticket, reply } => {
-                if let Some(caller) = self.callers.remove(&ticket) {
+            Action::Respond { call, reply } => {
+                if let Some(caller) = self.callers.remove(&call) {
                     // A caller that hung up can come back for its answer.
                     let _ = caller.send(reply);
                 }
             }
-            Action::Decide(decision) => self.decisions.add(decision),
-            Action::News(news) => log_news(&self.name, &news),
+            Action::LogDecision(decision) => self.decisions.add(decision),
+            Action::Log(news) => log_news(&self.name, &news),
             // The links' thread only ever passes actions on, so a full ring empties soon.
             action => drop(self.links.send_blocking(LinkInput::Action(action))),
         }
@@ -136,11 +136,11 @@
 
     fn call(&mut self, now: Time, ask: Ask, relayed: bool, reply: oneshot::Sender<RelayReply>) {
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
-        self.callers.insert(ticket, reply);
+        let call = CallId(self.next_ticket);
+        self.callers.insert(call, reply);
         let event = match ask {
-            Ask::Submit(request) => Event::Submit { ticket, request, relayed },
-            Ask::Fetch(submission) => Event::Fetch { ticket, submission, relayed },
+            Ask::Submit(request) => Event::Submit { call, request, relayed },
+            Ask::Fetch(submission) => Event::Fetch { call, submission, relayed },
         };
         self.event(now, event);
     }
@@ -192,7 +192,9 @@
             Input::Settings(Update::Catalog(catalog)) => {
                 self.event(now, Event::Settings { catalog });
             }
-            Input::Settings(Update::Confirmed(at)) => self.event(now, Event::Confirmed { at }),
+            Input::Settings(Update::Confirmed(at)) => {
+                self.event(now, Event::SettingsConfirmed { at })
+            }
             Input::Status(reply) => {
                 // The one who asked may be gone.
                 let _ = reply.try_send(self.status(now));
@@ -212,21 +214,25 @@
     }
 }
 
-fn log_news(name: &str, news: &News) {
+fn log_news(name: &str, news: &LogEvent) {
     match news {
-        News::TargetUp(agent) => info!("entry {}: agent {} is up", name, agent),
-        News::TargetDown(agent) => warn!("entry {}: agent {} is out of reach", name, agent),
-        News::TargetLeaving(agent) => info!("entry {}: agent {} is leaving", name, agent),
-        News::Straggling(agent, true) => warn!("entry {}: agent {} straggles", name, agent),
-        News::Straggling(agent, false) => info!("entry {}: agent {} keeps up again", name, agent),
-        News::LeaseEnded(agent, tokens) => {
+        LogEvent::TargetConnected(agent) => info!("entry {}: agent {} is up", name, agent),
+        LogEvent::TargetDisconnected(agent) => {
+            warn!("entry {}: agent {} is out of reach", name, agent)
+        }
+        LogEvent::TargetLeaving(agent) => info!("entry {}: agent {} is leaving", name, agent),
+        LogEvent::Straggling(agent, true) => warn!("entry {}: agent {} straggles", name, agent),
+        LogEvent::Straggling(agent, false) => {
+            info!("entry {}: agent {} keeps up again", name, agent)
+        }
+        LogEvent::LeaseEnded(agent, tokens) => {
             warn!("entry {}: gave up {} tokens of silent agent {}", name, tokens, agent);
         }
-        News::Settings(version) => info!("entry {}: settings {} in force", name, version),
-        News::SettingsStale(true) => {
+        LogEvent::Settings(version) => info!("entry {}: settings {} in force", name, version),
+        LogEvent::SettingsStale(true) => {
             warn!("entry {}: settings unconfirmed, taking no new work", name);
         }
-        News::SettingsStale(false) => info!("entry {}: settings confirmed", name),
-        News::Breach(breach) => error!("entry {}: BREACH: {}", name, breach),
+        LogEvent::SettingsStale(false) => info!("entry {}: settings confirmed", name),
+        LogEvent::Breach(breach) => error!("entry {}: BREACH: {}", name, breach),
     }
 }
