--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -4,6 +4,7 @@
 //! talks to the other side. The deciding thread drives a library that does no I/O.
 
 mod agent_role;
+mod capacity;
 mod clock;
 mod config;
 mod decisions;
@@ -15,11 +16,11 @@
 mod logs;
 mod node;
 mod probe;
-mod room;
 mod settings_link;
 mod threads;
 
 pub use agent_role::{AgentHandle, AgentOptions};
+pub use capacity::{RoomError, run_room};
 pub use config::{
     AgentConfig, Config, ConfigError, EntryConfig, KeeperConfig, NodeConfig, Scheduling,
     print_reference,
@@ -30,4 +31,3 @@
 pub use keeper_role::{KeeperError, KeeperHandle, KeeperOptions, KeeperStatus, init_keeper};
 pub use logs::{LogError, init_logs};
 pub use node::{Node, NodeError};
-pub use room::{RoomError, run_room};
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -37,7 +37,7 @@
 #[path = "../src/keeper_role/peers.rs"]
 #[allow(dead_code)]
 mod peers;
-#[path = "../src/room/session.rs"]
+#[path = "../src/capacity/session.rs"]
 #[allow(dead_code)]
 mod session;
 
