--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -24,7 +24,7 @@
 use super::metrics::{self, Page};
 use super::session::Outgoing;
 use super::watch::{Watch, WatchCallbacks};
-use super::{RoomError, Started, agent_news, io_error, target_http, until_stopped};
+use super::{CapacityNodeError, Started, agent_news, io_error, target_http, until_stopped};
 use crate::clock::Clock;
 use crate::config::AgentConfig;
 use crate::event_log::{Budget, EventLog};
@@ -61,12 +61,16 @@
 }
 
 /// Runs the agent until it is told to stop.
-pub(super) fn run(started: Started) -> Result<(), RoomError> {
+pub(super) fn run(started: Started) -> Result<(), CapacityNodeError> {
     let Some(config) = started.config.agent.clone() else { return Ok(()) };
     net::block_on(|tasks| async move { serve(started, config, tasks).await })
 }
 
-async fn serve(started: Started, config: AgentConfig, tasks: Tasks) -> Result<(), RoomError> {
+async fn serve(
+    started: Started,
+    config: AgentConfig,
+    tasks: Tasks,
+) -> Result<(), CapacityNodeError> {
     let clock = started.clock;
     let node = &started.config.node;
     let timing = Timing { longest_lease: config.longest_lease, ..Timing::default() };
--- a/daemon/src/capacity/entry.rs
+++ b/daemon/src/capacity/entry.rs
@@ -24,7 +24,7 @@
 use super::metrics;
 use super::session::{self, Outgoing};
 use super::watch::{AgentEvent, Watch, WatchCallbacks};
-use super::{RoomError, Started, entry_http, io_error, until_stopped};
+use super::{CapacityNodeError, Started, entry_http, io_error, until_stopped};
 use crate::clock::Clock;
 use crate::config::EntryConfig;
 use crate::event_log::{Budget, EventLog};
@@ -58,12 +58,16 @@
 }
 
 /// Runs the entry until it is told to stop.
-pub(super) fn run(started: Started) -> Result<(), RoomError> {
+pub(super) fn run(started: Started) -> Result<(), CapacityNodeError> {
     let Some(config) = started.config.entry else { return Ok(()) };
     net::block_on(|tasks| async move { serve(started, config, tasks).await })
 }
 
-async fn serve(started: Started, config: EntryConfig, tasks: Tasks) -> Result<(), RoomError> {
+async fn serve(
+    started: Started,
+    config: EntryConfig,
+    tasks: Tasks,
+) -> Result<(), CapacityNodeError> {
     let clock = started.clock;
     let peer_address = config.peer_address.unwrap_or(config.peer_listen);
     let entry = Rc::new(Entry {
--- a/daemon/src/capacity/keeper.rs
+++ b/daemon/src/capacity/keeper.rs
@@ -4,14 +4,14 @@
 
 use async_io::Timer;
 
-use super::{RoomError, Started, io_error, metrics, until_stopped};
+use super::{CapacityNodeError, Started, io_error, metrics, until_stopped};
 use crate::keeper_role::{KeeperHandle, KeeperOptions};
 
 /// How long a leader that resigns waits for another to lead.
 const HAND_OVER: Duration = Duration::from_millis(250);
 
 /// Runs the keeper until it is told to stop.
-pub(super) fn run(started: Started) -> Result<(), RoomError> {
+pub(super) fn run(started: Started) -> Result<(), CapacityNodeError> {
     let Some(keeper) = started.config.keeper.clone() else { return Ok(()) };
     let log = Some(started.log.clone());
     let options = KeeperOptions { log, ..KeeperOptions::new(started.config.node.clone(), keeper) };
--- a/daemon/src/capacity/mod.rs
+++ b/daemon/src/capacity/mod.rs
@@ -42,7 +42,7 @@
 
 /// Why a node can't run.
 #[derive(Debug, Error)]
-pub enum RoomError {
+pub enum CapacityNodeError {
     /// A socket or a thread can't be had.
     #[error("{what}: {source}")]
     Io {
@@ -57,9 +57,9 @@
     Keeper(#[from] KeeperError),
 }
 
-fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> RoomError {
+fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> CapacityNodeError {
     let what = what.into();
-    move |source| RoomError::Io { what, source }
+    move |source| CapacityNodeError::Io { what, source }
 }
 
 /// What the process was told from outside.
@@ -72,7 +72,7 @@
 }
 
 /// Runs a node until a signal asks for the end.
-pub fn run_room(config: &Config, path: &Path) -> Result<(), RoomError> {
+pub fn run_capacity_node(config: &Config, path: &Path) -> Result<(), CapacityNodeError> {
     let clock = Clock::start();
     let name = config.node.name.as_str();
     let log = EventLog::to_stdout(name, clock).map_err(io_error("log"))?;
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -20,7 +20,7 @@
 mod threads;
 
 pub use agent_role::{AgentHandle, AgentOptions};
-pub use capacity::{RoomError, run_room};
+pub use capacity::{CapacityNodeError, run_capacity_node};
 pub use config::{
     AgentConfig, Config, ConfigError, EntryConfig, KeeperConfig, NodeConfig, Scheduling,
     print_reference,
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use daemon::{
-    Config, Node, Platform, Scheduling, init_keeper, init_logs, print_reference, run_room,
+    Config, Node, Platform, Scheduling, init_keeper, init_logs, print_reference, run_capacity_node,
 };
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -44,7 +44,7 @@
         return init(&config);
     }
     if config.node.scheduling == Scheduling::Room {
-        return finish(run_room(&config, Path::new(path)));
+        return finish(run_capacity_node(&config, Path::new(path)));
     }
     finish(run(&config))
 }
