--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -22,7 +22,7 @@
 use super::agent_entries::{self, Contact};
 use super::messages::Messages;
 use super::metrics::{self, Page};
-use super::session::Outgoing;
+use super::session::SessionSender;
 use super::watch::{Watch, WatchCallbacks};
 use super::{CapacityNodeError, Started, agent_news, io_error, target_http, until_stopped};
 use crate::clock::Clock;
@@ -46,7 +46,7 @@
     orders: Client,
     holds: Client,
     runner: RefCell<Runner>,
-    pub(super) sessions: RefCell<HashMap<SessionId, Outgoing<ToEntry>>>,
+    pub(super) sessions: RefCell<HashMap<SessionId, SessionSender<ToEntry>>>,
     pub(super) messages: Messages,
     pub(super) subset: RefCell<Subset>,
     /// Entries that are connected to, or tried.
--- a/daemon/src/capacity/agent_entries.rs
+++ b/daemon/src/capacity/agent_entries.rs
@@ -11,7 +11,7 @@
 use wire::{NodeInfo, NodeRole, ToAgent};
 
 use super::agent::Agent;
-use super::session::{self, Outgoing};
+use super::session::{self, SessionSender};
 use crate::event_log::Budget;
 
 /// Pause before an entry is connected to again.
@@ -108,7 +108,7 @@
     async fn run_session(self: &Rc<Self>, address: SocketAddr, stream: Async<TcpStream>) {
         self.next.set(self.next.get() + 1);
         let id = SessionId(self.next.get());
-        let (outgoing, waiting) = Outgoing::new();
+        let (outgoing, waiting) = SessionSender::new();
         self.sessions.borrow_mut().insert(id, outgoing);
         self.log.line(
             "entry-heard",
--- a/daemon/src/capacity/entry.rs
+++ b/daemon/src/capacity/entry.rs
@@ -22,7 +22,7 @@
 use super::entry_stop::StopProgress;
 use super::messages::Messages;
 use super::metrics;
-use super::session::{self, Outgoing};
+use super::session::{self, SessionSender};
 use super::watch::{AgentEvent, Watch, WatchCallbacks};
 use super::{CapacityNodeError, Started, entry_http, io_error, until_stopped};
 use crate::clock::Clock;
@@ -45,7 +45,7 @@
     pub(super) dispatcher: RefCell<Dispatcher>,
     /// The routes in force; none before the first configuration.
     table: RefCell<Option<Rc<RouteTable>>>,
-    agents: RefCell<HashMap<SessionId, Outgoing<ToAgent>>>,
+    agents: RefCell<HashMap<SessionId, SessionSender<ToAgent>>>,
     waiting: RefCell<HashMap<Ticket, Sender<Outcome>>>,
     pub(super) figures: RefCell<Figures>,
     next: Cell<u64>,
@@ -137,7 +137,7 @@
             continue;
         };
         let id = SessionId(entry.number());
-        let (outgoing, waiting) = Outgoing::new();
+        let (outgoing, waiting) = SessionSender::new();
         entry.agents.borrow_mut().insert(id, outgoing);
         entry.feed(Event::AgentOpened(id));
         let entry = entry.clone();
--- a/daemon/src/capacity/entry_peers.rs
+++ b/daemon/src/capacity/entry_peers.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 use wire::{NodeInfo, NodeRole, ToAgent, ToEntry};
 
-use super::session::{self, Outgoing};
+use super::session::{self, SessionSender};
 use crate::clock::Clock;
 use crate::event_log::{Budget, EventLog};
 
@@ -35,7 +35,7 @@
     log: EventLog,
     clock: Clock,
     notices: RefCell<CancelNotices>,
-    links: RefCell<HashMap<SocketAddr, Rc<Outgoing<ToEntry>>>>,
+    links: RefCell<HashMap<SocketAddr, Rc<SessionSender<ToEntry>>>>,
 }
 
 impl EntryPeers {
@@ -74,11 +74,11 @@
         }
     }
 
-    fn link(self: &Rc<Self>, address: SocketAddr) -> Rc<Outgoing<ToEntry>> {
+    fn link(self: &Rc<Self>, address: SocketAddr) -> Rc<SessionSender<ToEntry>> {
         if let Some(link) = self.links.borrow().get(&address) {
             return link.clone();
         }
-        let (outgoing, waiting) = Outgoing::new();
+        let (outgoing, waiting) = SessionSender::new();
         let link = Rc::new(outgoing);
         self.links.borrow_mut().insert(address, link.clone());
         let (peers, held) = (self.clone(), link.clone());
--- a/daemon/src/capacity/session.rs
+++ b/daemon/src/capacity/session.rs
@@ -14,7 +14,7 @@
 const BATCH: usize = 256;
 
 /// The sending side of a session. Dropping it closes the connection, also while it takes no bytes.
-pub(crate) struct Outgoing<M> {
+pub(crate) struct SessionSender<M> {
     ring: Sender<M>,
     /// Dropped with this.
     _open: Sender<()>,
@@ -26,7 +26,7 @@
     open: Receiver<()>,
 }
 
-impl<M> Outgoing<M> {
+impl<M> SessionSender<M> {
     /// A ring for a session that is about to run.
     pub fn new() -> (Self, Waiting<M>) {
         let (ring, waiting) = async_channel::unbounded();
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -21,7 +21,7 @@
 use net::Tasks;
 use peers::ToPeers;
 use room_support::{Fleet, eventually};
-use session::Outgoing;
+use session::SessionSender;
 use socket2::SockRef;
 use tarpc::client::NewClient;
 use tarpc::context::Context;
@@ -228,7 +228,7 @@
 #[test]
 fn a_session_ends_when_it_is_closed_though_the_other_side_takes_nothing() {
     let (listener, address) = listener();
-    let (outgoing, waiting) = Outgoing::<Vec<u8>>::new();
+    let (outgoing, waiting) = SessionSender::<Vec<u8>>::new();
     // More than the buffers of both kernels hold, and less than the longest frame.
     for _ in 0..16 {
         assert!(outgoing.send(vec![0; 1024 * 1024]));
