--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -19,12 +19,14 @@
 use subset::Subset;
 use wire::{NodeInfo, NodeRole, ToEntry};
 
-use super::agent_entries::{self, Contact};
-use super::messages::Messages;
-use super::metrics::{self, Page};
+use super::agent_sessions::{self, EntryContact};
+use super::keeper_watch::{KeeperWatch, WatchCallbacks};
+use super::message_counters::MessageCounters;
+use super::metrics::{self, MetricsPage};
 use super::session::SessionSender;
-use super::watch::{Watch, WatchCallbacks};
-use super::{CapacityNodeError, Started, agent_news, io_error, target_http, until_stopped};
+use super::{
+    CapacityNodeError, NodeContext, agent_log, io_error, reload_until_stopped, target_http,
+};
 use crate::clock::Clock;
 use crate::config::AgentConfig;
 use crate::event_log::{Budget, EventLog};
@@ -35,7 +37,7 @@
 /// How often a stopping agent looks whether it is done.
 const STOP_POLL: Duration = Duration::from_millis(20);
 /// How long the last reports of a stopping agent may take to leave.
-const LAST_REPORTS: Duration = Duration::from_millis(60);
+const FINAL_REPORT_DELAY: Duration = Duration::from_millis(60);
 
 /// An agent's state, shared by the tasks of its thread.
 pub(super) struct Agent {
@@ -43,65 +45,65 @@
     pub(super) clock: Clock,
     pub(super) tasks: Tasks,
     /// Orders other than holds.
-    orders: Client,
-    holds: Client,
+    command_client: Client,
+    hold_client: Client,
     runner: RefCell<Runner>,
     pub(super) sessions: RefCell<HashMap<SessionId, SessionSender<ToEntry>>>,
-    pub(super) messages: Messages,
+    pub(super) message_counters: MessageCounters,
     pub(super) subset: RefCell<Subset>,
     /// Entries that are connected to, or tried.
-    pub(super) entries: RefCell<BTreeMap<SocketAddr, Contact>>,
-    pub(super) next: Cell<u64>,
+    pub(super) contacts: RefCell<BTreeMap<SocketAddr, EntryContact>>,
+    pub(super) last_session: Cell<u64>,
     /// How long the platform waits for the end of a planned stop.
     stop_grace: Cell<Duration>,
     /// The service of its target; empty for any.
     service: String,
     /// Reports that named no target to use, by what was wrong with them.
-    refused_reports: RefCell<BTreeMap<&'static str, u64>>,
+    rejected_reports: RefCell<BTreeMap<&'static str, u64>>,
 }
 
 /// Runs the agent until it is told to stop.
-pub(super) fn run(started: Started) -> Result<(), CapacityNodeError> {
-    let Some(config) = started.config.agent.clone() else { return Ok(()) };
-    net::block_on(|tasks| async move { serve(started, config, tasks).await })
+pub(super) fn run(context: NodeContext) -> Result<(), CapacityNodeError> {
+    let Some(config) = context.config.agent.clone() else { return Ok(()) };
+    net::block_on(|tasks| async move { serve(context, config, tasks).await })
 }
 
 async fn serve(
-    started: Started,
+    context: NodeContext,
     config: AgentConfig,
     tasks: Tasks,
 ) -> Result<(), CapacityNodeError> {
-    let clock = started.clock;
-    let node = &started.config.node;
+    let clock = context.clock;
+    let node = &context.config.node;
     let timing = Timing { longest_lease: config.longest_lease, ..Timing::default() };
     let agent = Rc::new(Agent {
-        log: started.log.clone(),
+        log: context.log.clone(),
         clock,
         tasks: tasks.clone(),
-        orders: Client::new(config.target, tasks.clone()),
-        holds: Client::new(config.target, tasks.clone()),
+        command_client: Client::new(config.target, tasks.clone()),
+        hold_client: Client::new(config.target, tasks.clone()),
         runner: RefCell::new(Runner::new(node.name.clone(), timing, clock.now())),
         sessions: RefCell::default(),
-        messages: Messages::default(),
+        message_counters: MessageCounters::default(),
         subset: RefCell::new(Subset::new(node.name.clone(), config.sizes)),
-        entries: RefCell::default(),
-        next: Cell::new(0),
+        contacts: RefCell::default(),
+        last_session: Cell::new(0),
         stop_grace: Cell::new(node.stop_grace),
         service: config.service.clone(),
-        refused_reports: RefCell::default(),
+        rejected_reports: RefCell::default(),
     });
     let listener =
         Async::<TcpListener>::bind(config.listen).map_err(io_error(config.listen.to_string()))?;
     target_http::serve(listener, &tasks, agent.clone());
     if let Some(address) = node.metrics {
-        let shown = agent.clone();
-        metrics::serve(address, &tasks, move |page| shown.fill(page))
+        let metrics_source = agent.clone();
+        metrics::serve(address, &tasks, move |page| metrics_source.write_metrics(page))
             .map_err(io_error(address.to_string()))?;
     }
-    tasks.spawn(keep_time(agent.clone()));
-    tasks.spawn(agent_entries::keep_choice(agent.clone()));
-    let watch = agent.start_watch(&started, &config);
-    until_stopped(&started, |config| {
+    tasks.spawn(run_timers(agent.clone()));
+    tasks.spawn(agent_sessions::poll_selection(agent.clone()));
+    let watch = agent.start_watch(&context, &config);
+    reload_until_stopped(&context, |config| {
         agent.stop_grace.set(config.node.stop_grace);
         watch.set_seeds(&config.node.keepers);
     })
@@ -110,40 +112,44 @@
     Ok(())
 }
 
-async fn keep_time(agent: Rc<Agent>) {
+async fn run_timers(agent: Rc<Agent>) {
     loop {
         let now = agent.clock.now();
         let due = agent.runner.borrow().next_timer(now);
         Timer::after(due.since(now)).await;
-        agent.feed(Event::Tick);
+        agent.handle_event(Event::Tick);
     }
 }
 
 impl Agent {
-    fn start_watch(self: &Rc<Self>, started: &Started, config: &AgentConfig) -> Rc<Watch> {
-        let node = &started.config.node;
+    fn start_watch(
+        self: &Rc<Self>,
+        context: &NodeContext,
+        config: &AgentConfig,
+    ) -> Rc<KeeperWatch> {
+        let node = &context.config.node;
         let own = NodeInfo {
             name: node.name.clone(),
             role: NodeRole::Agent,
             address: config.listen,
-            incarnation: started.life,
+            incarnation: context.incarnation,
             service: Arc::from(config.service.as_str()),
         };
         let (for_documents, for_nodes, for_halls) = (self.clone(), self.clone(), self.clone());
-        Watch::start(
+        KeeperWatch::start(
             own,
             self.tasks.clone(),
             self.log.clone(),
             node.node_port,
             &node.keepers,
             WatchCallbacks {
-                document: Box::new(move |document, _| {
-                    for_documents.feed(Event::Document(document));
+                on_document: Box::new(move |document, _| {
+                    for_documents.handle_event(Event::Document(document));
                 }),
-                nodes: Box::new(move |entries, agents| for_nodes.entries_are(entries, agents)),
-                halls: Box::new(move |halls| for_halls.feed(Event::Halls(halls))),
+                on_nodes: Box::new(move |nodes, agents| for_nodes.update_entries(nodes, agents)),
+                on_halls: Box::new(move |halls| for_halls.handle_event(Event::Halls(halls))),
                 // Agents have sessions with entries alone.
-                ask_agent: Box::new(|_, _| {}),
+                request_agent_part: Box::new(|_, _| {}),
             },
         )
     }
@@ -152,24 +158,24 @@
     pub fn read_report(&self, id: &str, body: &[u8]) -> Result<TargetReport, BadBeat> {
         let report = platform::read_beat(id, &self.service, body);
         if let Err(error) = &report {
-            *self.refused_reports.borrow_mut().entry(error.kind()).or_default() += 1;
+            *self.rejected_reports.borrow_mut().entry(error.kind()).or_default() += 1;
         }
         report
     }
 
     /// Hands an event to the runner and does what follows.
-    pub fn feed(self: &Rc<Self>, event: Event) {
+    pub fn handle_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         self.runner.borrow_mut().handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send(id, message) => {
-                self.messages.sent(message.kind());
+                self.message_counters.record_sent(message.kind());
                 let sent = self.sessions.borrow().get(&id).is_some_and(|entry| entry.send(message));
                 if !sent {
                     // Its end is told once the connection is closed.
@@ -179,19 +185,19 @@
             Action::Close(id) => {
                 self.sessions.borrow_mut().remove(&id);
             }
-            Action::Start(order) => {
+            Action::Start(command) => {
                 let agent = self.clone();
-                self.tasks.spawn(async move { agent.start(order).await });
+                self.tasks.spawn(async move { agent.send_start(command).await });
             }
-            Action::Stop(order) => {
+            Action::Stop(command) => {
                 let agent = self.clone();
-                self.tasks.spawn(async move { agent.stop(order).await });
+                self.tasks.spawn(async move { agent.send_stop(command).await });
             }
-            Action::Hold(order) => {
+            Action::Hold(command) => {
                 let agent = self.clone();
-                self.tasks.spawn(async move { agent.hold(order).await });
+                self.tasks.spawn(async move { agent.send_hold(command).await });
             }
-            Action::News(news) => agent_news::write(&self.log, &news),
+            Action::News(event) => agent_log::write_event(&self.log, &event),
         }
     }
 
@@ -199,62 +205,68 @@
         *self.runner.borrow().timing()
     }
 
-    async fn start(self: Rc<Self>, order: StartOrder) {
-        let target = &order.key.target;
-        let time = self.timing().order_time;
-        let reply = self.send(&self.orders, target, platform::start_order(&order), time).await;
+    async fn send_start(self: Rc<Self>, command: StartOrder) {
+        let target = &command.key.target;
+        let timeout = self.timing().order_time;
+        let reply = self
+            .send_command(&self.command_client, target, platform::start_order(&command), timeout)
+            .await;
         let reply = reply
             .map_or(StartReply::Silent, |reply| platform::read_start(reply.status, &reply.body));
-        self.feed(Event::Started(order.key, reply));
+        self.handle_event(Event::Started(command.key, reply));
     }
 
-    async fn stop(self: Rc<Self>, order: StopOrder) {
-        let target = &order.key.target;
-        let time = self.timing().order_time;
-        let reply = self.send(&self.orders, target, platform::stop_order(&order), time).await;
+    async fn send_stop(self: Rc<Self>, command: StopOrder) {
+        let target = &command.key.target;
+        let timeout = self.timing().order_time;
+        let reply = self
+            .send_command(&self.command_client, target, platform::stop_order(&command), timeout)
+            .await;
         let reply = reply.map_or(StopReply::Silent, |reply| platform::read_stop(reply.status));
-        self.feed(Event::Stopped(order.key, reply));
+        self.handle_event(Event::Stopped(command.key, reply));
     }
 
-    async fn hold(self: Rc<Self>, order: HoldOrder) {
-        let (target, time) = (&order.target, order.answer_within);
-        let reply = self.send(&self.holds, target, platform::hold_order(&order), time).await;
+    async fn send_hold(self: Rc<Self>, command: HoldOrder) {
+        let (target, timeout) = (&command.target, command.answer_within);
+        let reply = self
+            .send_command(&self.hold_client, target, platform::hold_order(&command), timeout)
+            .await;
         let reply =
             reply.map_or(HoldReply::Silent, |reply| platform::read_hold(reply.status, &reply.body));
-        self.feed(Event::Held(order.target, reply));
+        self.handle_event(Event::Held(command.target, reply));
     }
 
     /// Sends an order for a life of the target; `None` where there is no whole answer in time. The runner's counters
     /// tell how often that is so.
-    async fn send(
+    async fn send_command(
         self: &Rc<Self>,
         client: &Client,
         target: &TargetLife,
-        order: HttpOrder,
-        time: Duration,
+        command: HttpOrder,
+        timeout: Duration,
     ) -> Option<net::Reply> {
-        let HttpOrder { path, headers, body } = order;
-        let sent = client.send(Method::POST, path, headers, body.into(), time).await;
+        let HttpOrder { path, headers, body } = command;
+        let sent = client.send(Method::POST, path, headers, body.into(), timeout).await;
         if sent.as_ref().is_err_and(ClientError::is_refused) {
-            self.feed(Event::NoListener(target.clone()));
+            self.handle_event(Event::NoListener(target.clone()));
         }
         sent.ok()
     }
 
     /// A planned stop: takes no new work, waits for what runs, ends.
     async fn drain(self: &Rc<Self>) {
-        let began = self.clock.now();
+        let started = self.clock.now();
         let (waiting, running) = self.runner.borrow().sizes();
         self.log.line("draining", Budget::Full, || json!({"waiting": waiting, "running": running}));
-        self.feed(Event::Drain);
-        let longest = self.stop_grace.get().saturating_sub(STOP_MARGIN);
-        while !self.runner.borrow().is_idle() && self.clock.now().since(began) < longest {
+        self.handle_event(Event::Drain);
+        let max_wait = self.stop_grace.get().saturating_sub(STOP_MARGIN);
+        while !self.runner.borrow().is_idle() && self.clock.now().since(started) < max_wait {
             Timer::after(STOP_POLL).await;
         }
-        Timer::after(LAST_REPORTS).await;
+        Timer::after(FINAL_REPORT_DELAY).await;
     }
 
-    fn fill(&self, page: &mut Page) {
+    fn write_metrics(&self, page: &mut MetricsPage) {
         let runner = self.runner.borrow();
         let counters = runner.counters();
         let ends = [
@@ -274,11 +286,11 @@
         page.value("starts_unanswered_total", "", counters.silent_starts);
         page.value("sessions_lost_total", "", counters.sessions_lost);
         page.value("target_reports_late_total", "", counters.late_reports);
-        for (kind, count) in &*self.refused_reports.borrow() {
+        for (kind, count) in &*self.rejected_reports.borrow() {
             let label = format!("{{why=\"{kind}\"}}");
             page.value("target_reports_refused_total", &label, *count);
         }
-        self.messages.fill(page);
+        self.message_counters.write_metrics(page);
         page.value("sessions", "", self.sessions.borrow().len() as u64);
         let (waiting, running) = runner.sizes();
         page.value("tasks", "{state=\"waiting\"}", waiting as u64);
--- a/daemon/src/capacity/agent_news.rs
+++ b/daemon/src/capacity/agent_log.rs
@@ -14,8 +14,8 @@
 }
 
 /// Writes a decision or a change of state.
-pub(super) fn write(log: &EventLog, news: &News) {
-    match news {
+pub(super) fn write_event(log: &EventLog, event: &News) {
+    match event {
         News::TargetFound { id, fencing_token } => log.line(
             "target-found",
             Budget::Full,
--- a/daemon/src/capacity/entry_http.rs
+++ b/daemon/src/capacity/entry_http.rs
@@ -18,7 +18,7 @@
 use crate::event_log::Budget;
 
 /// Most open connections of callers.
-const CONNECTIONS: usize = 3_000;
+const MAX_CONNECTIONS: usize = 3_000;
 /// Limits of the balancer's connections.
 const READY_LIMITS: Limits = Limits {
     header_bytes: net::HEADER_BYTES,
@@ -27,54 +27,61 @@
     connections: 64,
 };
 /// When to come back to an entry whose configuration is on its way.
-const NO_TABLE_PAUSE: Duration = Duration::from_secs(1);
+const CONFIGURATION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Serves callers until the entry closes its intake.
 pub(super) fn serve_callers(listener: Async<TcpListener>, tasks: &Tasks, entry: Rc<Entry>) {
-    let limited = entry.clone();
-    let listed = entry.stop.callers.clone();
+    let limits_source = entry.clone();
+    let connections = entry.stop.connections.clone();
     let limits = move || {
-        let limits = limited.table().map_or_else(TransferLimits::default, |table| table.limits);
+        let limits =
+            limits_source.route_table().map_or_else(TransferLimits::default, |table| table.limits);
         Limits {
             header_bytes: limits.header_bytes,
             body_bytes: limits.body_bytes,
             // The time for a head counts from the answer before it, so it is that of an idle
             // connection.
             read_time: limits.idle_time.max(limits.header_time),
-            connections: CONNECTIONS,
+            connections: MAX_CONNECTIONS,
         }
     };
     let handler = move |request| {
         let entry = entry.clone();
-        async move { answer(&entry, request).await }
+        async move { handle_request(&entry, request).await }
     };
-    tasks.spawn(net::serve_until_closed(listener, tasks.clone(), listed, limits, handler));
+    tasks.spawn(net::serve_until_closed(listener, tasks.clone(), connections, limits, handler));
 }
 
 /// Serves the balancer's question until the process ends.
 pub(super) fn serve_ready(listener: Async<TcpListener>, tasks: &Tasks, entry: Rc<Entry>) {
     let handler = move |_: Request<Result<Bytes, BodyError>>| {
         let status = if entry.is_ready() { 200 } else { 503 };
-        entry.stop.told_balancer(entry.now());
-        async move { plain(status, "") }
+        entry.stop.record_readiness_check(entry.now());
+        async move { plain_response(status, "") }
     };
     tasks.spawn(net::serve(listener, tasks.clone(), || READY_LIMITS, handler));
 }
 
-async fn answer(entry: &Rc<Entry>, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
-    let mut response = route(entry, request).await;
+async fn handle_request(
+    entry: &Rc<Entry>,
+    request: Request<Result<Bytes, BodyError>>,
+) -> Response<Body> {
+    let mut response = route_request(entry, request).await;
     if entry.is_draining() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    entry.answered(response.status().as_u16());
+    entry.record_response(response.status().as_u16());
     response
 }
 
-async fn route(entry: &Rc<Entry>, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
+async fn route_request(
+    entry: &Rc<Entry>,
+    request: Request<Result<Bytes, BodyError>>,
+) -> Response<Body> {
     let (head, body) = request.into_parts();
-    let Some(table) = entry.table() else {
-        let reply = problem(503, "no configuration yet");
-        return render(&Reply { retry_after: Some(NO_TABLE_PAUSE), ..reply });
+    let Some(table) = entry.route_table() else {
+        let reply = error_reply(503, "no configuration yet");
+        return json_response(&Reply { retry_after: Some(CONFIGURATION_RETRY_AFTER), ..reply });
     };
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let host = head.uri.host().unwrap_or(host);
@@ -85,20 +92,25 @@
             json!({"host": host, "path": path, "version": version,
                 "behind": entry.is_behind()})
         });
-        return render(&no_queue(entry));
+        return json_response(&queue_not_found(entry));
     };
     let call = match CallerCall::read(route, &head.method, path) {
         Ok(call) => call,
         Err(error) => {
             let status = if error == Malformed::BadMethod { 405 } else { 400 };
-            return render(&refuse(entry, path, status, &error.to_string()));
+            return json_response(&reject(entry, path, status, &error.to_string()));
         }
     };
     match (call, body) {
         (CallerCall::Submit(id), Ok(body)) => {
             match platform::read_job(route, id, &head.headers, &body) {
                 Ok(job) => submit(entry, job).await,
-                Err(error) => render(&refuse(entry, path, status_of(&error), &error.to_string())),
+                Err(error) => json_response(&reject(
+                    entry,
+                    path,
+                    job_error_status(&error),
+                    &error.to_string(),
+                )),
             }
         }
         (CallerCall::Submit(_), Err(error)) => {
@@ -107,39 +119,39 @@
                 BodyError::TooSlow => 408,
                 BodyError::Broken => 400,
             };
-            render(&refuse(entry, path, status, &error.to_string()))
+            json_response(&reject(entry, path, status, &error.to_string()))
         }
-        (CallerCall::State(id), _) => render(&platform::state_reply(entry.has_job(&id))),
+        (CallerCall::State(id), _) => json_response(&platform::state_reply(entry.has_job(&id))),
         (CallerCall::Cancel(id), _) => cancel(entry, id),
-        (CallerCall::Count, _) => render(&count(entry, route)),
+        (CallerCall::Count, _) => json_response(&queue_count(entry, route)),
     }
 }
 
-fn status_of(error: &BadJob) -> u16 {
+fn job_error_status(error: &BadJob) -> u16 {
     match error {
         BadJob::Unsupported(_) => 503,
         _ => 400,
     }
 }
 
-fn count(entry: &Entry, route: &Route) -> Reply {
-    platform::count_reply(entry.waiting(&route.name))
+fn queue_count(entry: &Entry, route: &Route) -> Reply {
+    platform::count_reply(entry.waiting_jobs(&route.name))
 }
 
 async fn submit(entry: &Rc<Entry>, job: dispatch::JobRequest) -> Response<Body> {
-    note_late(entry, &job);
-    let (answer, _guard) = entry.submit(job);
+    log_late_request(entry, &job);
+    let (receiver, _guard) = entry.submit(job);
     // The channel is closed only with the entry.
-    let outcome = answer.recv().await;
+    let outcome = receiver.recv().await;
     let outcome = outcome.unwrap_or(Outcome::MayHaveRun(dispatch::Reason::Draining));
-    render(&platform::reply(outcome))
+    json_response(&platform::reply(outcome))
 }
 
 /// A job that comes after the balancer has noticed the stop is told apart in the log.
-fn note_late(entry: &Entry, job: &dispatch::JobRequest) {
-    let Some(left) = entry.stop.time_left(entry.now()) else { return };
+fn log_late_request(entry: &Entry, job: &dispatch::JobRequest) {
+    let Some(time_left) = entry.stop.time_left(entry.now()) else { return };
     entry.log.line("late-request", Budget::Full, || {
-        json!({"job": job.id.as_str(), "left_ms": left.as_millis() as u64,
+        json!({"job": job.id.as_str(), "left_ms": time_left.as_millis() as u64,
             "objective_ms": job.objective.as_millis() as u64,
             "deadline_ms": job.deadline.as_millis() as u64})
     });
@@ -149,8 +161,8 @@
 fn cancel(entry: &Entry, id: model::JobId) -> Response<Body> {
     let known = entry.has_job(&id);
     entry.log.line("cancel", Budget::Full, || json!({"job": id.as_str(), "here": known}));
-    entry.feed(dispatch::Event::Cancel(id));
-    render(&match known {
+    entry.handle_event(dispatch::Event::Cancel(id));
+    json_response(&match known {
         true => Reply { status: 200, retry_after: None, body: "{}".to_owned() },
         false => platform::state_reply(false),
     })
@@ -158,30 +170,30 @@
 
 /// There is no such queue. It may be in a configuration that is on its way here: clients take 404 for final, so they
 /// are told to come back for as long as one is (0.3 s for 845 kB by 25 Mbit/s).
-fn no_queue(entry: &Entry) -> Reply {
+fn queue_not_found(entry: &Entry) -> Reply {
     if !entry.is_behind() {
-        return problem(404, "no such queue");
+        return error_reply(404, "no such queue");
     }
-    let reply = problem(503, "a newer configuration is on its way");
-    Reply { retry_after: Some(NO_TABLE_PAUSE), ..reply }
+    let reply = error_reply(503, "a newer configuration is on its way");
+    Reply { retry_after: Some(CONFIGURATION_RETRY_AFTER), ..reply }
 }
 
 /// A request that is refused for what it is.
-fn refuse(entry: &Entry, path: &str, status: u16, reason: &str) -> Reply {
+fn reject(entry: &Entry, path: &str, status: u16, reason: &str) -> Reply {
     entry.log.line(
         "malformed",
         Budget::Full,
         || json!({"path": path, "status": status, "reason": reason}),
     );
-    problem(status, reason)
+    error_reply(status, reason)
 }
 
-fn problem(status: u16, reason: &str) -> Reply {
+fn error_reply(status: u16, reason: &str) -> Reply {
     Reply { status, retry_after: None, body: json!({"error": reason}).to_string() }
 }
 
-fn render(reply: &Reply) -> Response<Body> {
-    let mut response = plain(reply.status, &reply.body);
+fn json_response(reply: &Reply) -> Response<Body> {
+    let mut response = plain_response(reply.status, &reply.body);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = reply.retry_after {
         // Whole seconds, at least one.
@@ -191,7 +203,7 @@
     response
 }
 
-fn plain(status: u16, body: &str) -> Response<Body> {
+fn plain_response(status: u16, body: &str) -> Response<Body> {
     let mut response = Response::new(Body::from(body.to_owned()));
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/daemon/src/capacity/entry_news.rs
+++ b/daemon/src/capacity/entry_log.rs
@@ -6,7 +6,7 @@
 use crate::event_log::{Budget, EventLog};
 
 /// The answer as a word, and its reason.
-pub(super) fn outcome_fields(outcome: Outcome) -> (&'static str, &'static str) {
+pub(super) fn outcome_and_reason(outcome: Outcome) -> (&'static str, &'static str) {
     match outcome {
         Outcome::Completed => ("completed", ""),
         Outcome::Failed(reason) => ("failed", reason.as_str()),
@@ -24,8 +24,8 @@
 }
 
 /// Writes a decision or a change of state.
-pub(super) fn write(log: &EventLog, news: &News) {
-    match news {
+pub(super) fn write_event(log: &EventLog, event: &News) {
+    match event {
         News::Breach(breach) => {
             log.line("breach", Budget::Full, || json!({"breach": breach.to_string()}));
         }
@@ -77,12 +77,12 @@
                 Outcome::Completed => ("completed", Budget::Sampled),
                 _ => ("answered", Budget::Full),
             };
-            log.line(kind, budget, || answered(news));
+            log.line(kind, budget, || answered_fields(event));
         }
     }
 }
 
-fn answered(news: &News) -> Value {
+fn answered_fields(event: &News) -> Value {
     let News::Answered {
         job,
         queue,
@@ -93,12 +93,12 @@
         starts,
         waited_ms,
         seen,
-    } = news
+    } = event
     else {
         return json!({});
     };
-    let (word, reason) = outcome_fields(*outcome);
-    json!({"job": job.as_str(), "queue": &**queue, "outcome": word, "reason": reason,
+    let (outcome_name, reason) = outcome_and_reason(*outcome);
+    json!({"job": job.as_str(), "queue": &**queue, "outcome": outcome_name, "reason": reason,
         "took_ms": took_ms, "objective_ms": objective_ms, "tasks": tasks, "starts": starts,
         "waited_ms": waited_ms, "open": seen.open, "most_free": seen.most_free.to_string(),
         "oldest_ms": seen.oldest_ms, "waiting": seen.waiting})
--- a/daemon/src/capacity/entry_figures.rs
+++ b/daemon/src/capacity/entry_metrics.rs
@@ -8,62 +8,62 @@
 use telemetry::Latency;
 
 use super::entry::Entry;
-use super::entry_news::outcome_fields;
-use super::metrics::Page;
+use super::entry_log::outcome_and_reason;
+use super::metrics::MetricsPage;
 
 /// What an entry counts of the jobs that it has answered.
 #[derive(Default)]
-pub(super) struct Figures {
+pub(super) struct EntryMetrics {
     /// From handing in to the answer, of completed jobs, by queue.
-    latencies: HashMap<String, Latency>,
+    completion_times: HashMap<String, Latency>,
     /// The longest wait of a task for room, of jobs of which something started.
-    waits: Latency,
+    wait_times: Latency,
     /// How long jobs were held that were then told not to have run.
-    holds: Latency,
+    refusal_times: Latency,
     /// Answers by their outcome and its reason.
     outcomes: BTreeMap<(&'static str, &'static str), u64>,
     /// Responses by their status.
     statuses: BTreeMap<u16, u64>,
 }
 
-impl Figures {
+impl EntryMetrics {
     /// Takes note of a decision: how long a job took, waited, or was held before it was refused.
-    pub fn note(&mut self, news: &News) {
-        let News::Answered { queue, outcome, took_ms, waited_ms, starts, .. } = news else {
-            if matches!(news, News::Refused { .. }) {
-                self.holds.record(Duration::ZERO);
+    pub fn record_event(&mut self, event: &News) {
+        let News::Answered { queue, outcome, took_ms, waited_ms, starts, .. } = event else {
+            if matches!(event, News::Refused { .. }) {
+                self.refusal_times.record(Duration::ZERO);
             }
             return;
         };
         let took = Duration::from_secs_f64(took_ms / 1e3);
         match outcome {
-            Outcome::Completed => self.latency(queue).record(took),
-            Outcome::NotRun { .. } => self.holds.record(took),
+            Outcome::Completed => self.queue_latency(queue).record(took),
+            Outcome::NotRun { .. } => self.refusal_times.record(took),
             _ => {}
         }
         if *starts > 0 {
-            self.waits.record(Duration::from_secs_f64(waited_ms / 1e3));
+            self.wait_times.record(Duration::from_secs_f64(waited_ms / 1e3));
         }
     }
 
     /// Takes note of what a client is told of its job.
-    pub fn told(&mut self, outcome: Outcome) {
-        *self.outcomes.entry(outcome_fields(outcome)).or_default() += 1;
+    pub fn record_outcome(&mut self, outcome: Outcome) {
+        *self.outcomes.entry(outcome_and_reason(outcome)).or_default() += 1;
     }
 
     /// Takes note of a response.
-    pub fn answered(&mut self, status: u16) {
+    pub fn record_response(&mut self, status: u16) {
         *self.statuses.entry(status).or_default() += 1;
     }
 
-    fn latency(&mut self, queue: &str) -> &mut Latency {
-        if !self.latencies.contains_key(queue) {
-            self.latencies.insert(queue.to_owned(), Latency::default());
+    fn queue_latency(&mut self, queue: &str) -> &mut Latency {
+        if !self.completion_times.contains_key(queue) {
+            self.completion_times.insert(queue.to_owned(), Latency::default());
         }
-        self.latencies.get_mut(queue).expect("it was added")
+        self.completion_times.get_mut(queue).expect("it was added")
     }
 
-    fn fill(&self, page: &mut Page) {
+    fn write_metrics(&self, page: &mut MetricsPage) {
         for (status, count) in &self.statuses {
             page.value("answers_total", &format!("{{status=\"{status}\"}}"), *count);
         }
@@ -71,17 +71,17 @@
             let labels = format!("{{outcome=\"{outcome}\",reason=\"{reason}\"}}");
             page.value("outcomes_total", &labels, *count);
         }
-        for (queue, latency) in &self.latencies {
+        for (queue, latency) in &self.completion_times {
             page.latency("job", "queue", queue, latency);
         }
-        page.latency("job_phase", "phase", "wait", &self.waits);
-        page.latency("job_phase", "phase", "refused", &self.holds);
+        page.latency("job_phase", "phase", "wait", &self.wait_times);
+        page.latency("job_phase", "phase", "refused", &self.refusal_times);
     }
 }
 
 impl Entry {
     /// Writes them all.
-    pub(super) fn fill(&self, page: &mut Page) {
+    pub(super) fn write_metrics(&self, page: &mut MetricsPage) {
         let dispatcher = self.dispatcher.borrow();
         let counters = dispatcher.counters();
         let outcomes = [
@@ -105,18 +105,18 @@
         page.value("agents", "{state=\"open\"}", dispatcher.open_agents() as u64);
         page.value("jobs_active", "", dispatcher.active() as u64);
         page.value("tasks_queued", "", dispatcher.queued() as u64);
-        let callers = &self.stop.callers;
-        page.value("connections_accepted_total", "", callers.accepted());
+        let connections = &self.stop.connections;
+        page.value("connections_accepted_total", "", connections.accepted());
         for phase in Phase::ALL {
             let label = format!("{{phase=\"{}\"}}", phase.as_str());
-            page.value("connections", &label, callers.count(phase) as u64);
+            page.value("connections", &label, connections.count(phase) as u64);
         }
-        self.messages.fill(page);
+        self.message_counters.write_metrics(page);
         page.value("ready", "", u64::from(self.is_ready()));
-        let version = self.table().map_or(0, |table| table.version);
+        let version = self.route_table().map_or(0, |table| table.version);
         page.value("configuration_version", "", version);
         page.value("halls_revision", "", dispatcher.halls().revision);
         page.value("log_lines_omitted_total", "", self.log.omitted());
-        self.figures.borrow().fill(page);
+        self.metrics.borrow().write_metrics(page);
     }
 }
--- a/daemon/src/capacity/entry_peers.rs
+++ b/daemon/src/capacity/entry_peers.rs
@@ -24,13 +24,13 @@
 
 /// How long a connection is used for further cancels. The other side closes it after 700 ms: by then all
 /// that was sent has long arrived.
-const USED: Duration = Duration::from_millis(300);
+const LINK_LIFETIME: Duration = Duration::from_millis(300);
 /// Pause before an entry that could not be reached is connected to again.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// The other entries.
 pub(super) struct EntryPeers {
-    own: SocketAddr,
+    own_address: SocketAddr,
     tasks: Tasks,
     log: EventLog,
     clock: Clock,
@@ -40,72 +40,73 @@
 
 impl EntryPeers {
     /// Those of an entry that others reach at an address; it knows none yet.
-    pub fn new(own: SocketAddr, tasks: Tasks, log: EventLog, clock: Clock) -> Rc<Self> {
+    pub fn new(own_address: SocketAddr, tasks: Tasks, log: EventLog, clock: Clock) -> Rc<Self> {
         let (notices, links) = (RefCell::default(), RefCell::default());
-        Rc::new(Self { own, tasks, log, clock, notices, links })
+        Rc::new(Self { own_address, tasks, log, clock, notices, links })
     }
 
     /// Keepers list these entries. Those that are new among them are told of the last cancels.
-    pub fn listed(self: &Rc<Self>, nodes: &[NodeInfo]) {
+    pub fn update_entries(self: &Rc<Self>, nodes: &[NodeInfo]) {
         let others = nodes.iter().filter(|node| node.role == NodeRole::Entry);
-        let addresses = others.map(|node| node.address).filter(|address| *address != self.own);
-        let owed = self.notices.borrow_mut().listed(self.clock.now(), addresses.collect());
-        for (entry, job) in owed {
+        let addresses =
+            others.map(|node| node.address).filter(|address| *address != self.own_address);
+        let pending = self.notices.borrow_mut().listed(self.clock.now(), addresses.collect());
+        for (entry, job) in pending {
             self.log.line(
                 "cancel-told-later",
                 Budget::Full,
                 || json!({"job": job.as_str(), "entry": entry.to_string()}),
             );
-            self.tell(entry, job);
+            self.send_cancel(entry, job);
         }
     }
 
     /// Tells every other entry that a job is cancelled.
-    pub fn cancel(self: &Rc<Self>, job: &JobId) {
-        let told = self.notices.borrow_mut().cancelled(self.clock.now(), job);
-        for entry in told {
-            self.tell(entry, job.clone());
+    pub fn broadcast_cancel(self: &Rc<Self>, job: &JobId) {
+        let recipients = self.notices.borrow_mut().cancelled(self.clock.now(), job);
+        for entry in recipients {
+            self.send_cancel(entry, job.clone());
         }
     }
 
-    fn tell(self: &Rc<Self>, entry: SocketAddr, job: JobId) {
-        if !self.link(entry).send(ToEntry::Cancelled(job)) {
-            self.note_untold(entry, "its connection takes no more");
+    fn send_cancel(self: &Rc<Self>, entry: SocketAddr, job: JobId) {
+        if !self.open_link(entry).send(ToEntry::Cancelled(job)) {
+            self.log_undelivered(entry, "its connection takes no more");
         }
     }
 
-    fn link(self: &Rc<Self>, address: SocketAddr) -> Rc<SessionSender<ToEntry>> {
+    fn open_link(self: &Rc<Self>, address: SocketAddr) -> Rc<SessionSender<ToEntry>> {
         if let Some(link) = self.links.borrow().get(&address) {
             return link.clone();
         }
-        let (outgoing, waiting) = SessionSender::new();
-        let link = Rc::new(outgoing);
+        let (sender, queue) = SessionSender::new();
+        let link = Rc::new(sender);
         self.links.borrow_mut().insert(address, link.clone());
-        let (peers, held) = (self.clone(), link.clone());
+        let (peers, link_guard) = (self.clone(), link.clone());
         self.tasks.spawn(async move {
-            if let Some(stream) = peers.reach(address).await {
-                let unused = async {
-                    Timer::after(USED).await;
+            if let Some(stream) = peers.connect_while_pending(address).await {
+                let expire = async {
+                    Timer::after(LINK_LIFETIME).await;
                     peers.links.borrow_mut().remove(&address);
                 };
                 // Of an entry's heartbeats nothing is needed.
-                let run = session::run(stream, waiting, |_: ToAgent| {});
-                future::zip(unused, run).await;
+                let run = session::run(stream, queue, |_: ToAgent| {});
+                future::zip(expire, run).await;
             }
             peers.links.borrow_mut().remove(&address);
-            drop(held);
+            drop(link_guard);
         });
         link
     }
 
     /// Connects to an entry, again for as long as it is owed a cancel.
-    async fn reach(&self, entry: SocketAddr) -> Option<Async<TcpStream>> {
+    async fn connect_while_pending(&self, entry: SocketAddr) -> Option<Async<TcpStream>> {
         loop {
             match net::connect(entry).await {
                 Ok(stream) => return Some(stream),
-                Err(error) => self.note_untold(entry, &error.to_string()),
+                Err(error) => self.log_undelivered(entry, &error.to_string()),
             }
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
             if !self.notices.borrow_mut().is_owed(self.clock.now(), entry) {
                 return None;
             }
@@ -113,7 +114,7 @@
     }
 
     /// Agents that serve both entries may still tell it; where none does, the job runs to its end.
-    fn note_untold(&self, entry: SocketAddr, reason: &str) {
+    fn log_undelivered(&self, entry: SocketAddr, reason: &str) {
         self.log.line(
             "cancel-untold",
             Budget::Full,
--- a/daemon/src/capacity/entry_stop.rs
+++ b/daemon/src/capacity/entry_stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop of an entry: carries out its steps.
+//! Executes the steps of an entry's planned stop.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,86 +13,89 @@
 use super::entry::Entry;
 use crate::event_log::Budget;
 
-/// How often a stopping entry looks at itself: a small part of what it waits for.
+/// How often a stopping entry checks for its next step.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Questions of the balancer that come closer together count once: it asks each second, and others may
-/// ask as well.
-const NOTICE_GAP: Duration = Duration::from_millis(400);
+/// Readiness checks closer together than this count as one, as clients other than the balancer may
+/// check too.
+const READINESS_CHECK_GAP: Duration = Duration::from_millis(400);
 
-/// How far an entry is with its planned stop.
+/// Progress of an entry's planned stop.
 pub(super) struct StopProgress {
-    /// How long the platform waits for the end.
+    /// How long the platform waits between the stop request and ending the process.
     pub grace: Cell<Duration>,
-    /// The connections of callers.
-    pub callers: Rc<Connections>,
-    began: Cell<bool>,
-    /// How often the balancer was told since that the entry is not ready.
-    notices: Cell<u32>,
-    /// When that was counted last.
-    noticed: Cell<Option<Time>>,
-    /// Once the balancer has noticed: when every job is answered.
-    answers_at: Cell<Option<Time>>,
+    /// Connections of callers.
+    pub connections: Rc<Connections>,
+    started: Cell<bool>,
+    /// Readiness checks counted since the stop started.
+    readiness_checks: Cell<u32>,
+    /// When a readiness check was last counted.
+    last_readiness_check: Cell<Option<Time>>,
+    /// When every job gets its final answer; `None` until the balancer has noticed the stop.
+    answer_deadline: Cell<Option<Time>>,
 }
 
 impl StopProgress {
-    /// A stop that has not begun.
+    /// Creates the state of a stop that has not started.
     pub fn new(grace: Duration) -> Self {
         Self {
             grace: Cell::new(grace),
-            callers: Rc::default(),
-            began: Cell::new(false),
-            notices: Cell::new(0),
-            noticed: Cell::new(None),
-            answers_at: Cell::new(None),
+            connections: Rc::default(),
+            started: Cell::new(false),
+            readiness_checks: Cell::new(0),
+            last_readiness_check: Cell::new(None),
+            answer_deadline: Cell::new(None),
         }
     }
 
-    /// Whether the entry was told to stop.
-    pub fn has_begun(&self) -> bool {
-        self.began.get()
+    /// Whether the planned stop has started.
+    pub fn is_started(&self) -> bool {
+        self.started.get()
     }
 
-    /// The balancer was told whether the entry is ready.
-    pub fn told_balancer(&self, now: Time) {
-        let recent = self.noticed.get().is_some_and(|at| now.since(at) < NOTICE_GAP);
-        if self.has_begun() && !recent {
-            self.noticed.set(Some(now));
-            self.notices.set(self.notices.get() + 1);
+    /// Counts a readiness check during the stop.
+    pub fn record_readiness_check(&self, now: Time) {
+        let recent =
+            self.last_readiness_check.get().is_some_and(|at| now.since(at) < READINESS_CHECK_GAP);
+        if self.is_started() && !recent {
+            self.last_readiness_check.set(Some(now));
+            self.readiness_checks.set(self.readiness_checks.get() + 1);
         }
     }
 
-    /// Once the balancer has noticed the stop: how much time is left for what still comes.
+    /// Time left until every job gets its final answer; `None` until the balancer has noticed the
+    /// stop.
     pub fn time_left(&self, now: Time) -> Option<Duration> {
-        self.answers_at.get().map(|at| at.since(now))
+        self.answer_deadline.get().map(|at| at.since(now))
     }
 
     fn view(&self, jobs: usize) -> StopView {
         StopView {
-            notices: self.notices.get(),
+            notices: self.readiness_checks.get(),
             jobs,
-            open: self.callers.unfinished(),
-            quiet: self.callers.quiet(),
+            open: self.connections.unfinished(),
+            quiet: self.connections.quiet(),
         }
     }
 
-    fn connections(&self) -> Value {
-        let count = |phase: Phase| (phase.as_str().to_owned(), self.callers.count(phase).into());
+    fn connection_counts(&self) -> Value {
+        let count =
+            |phase: Phase| (phase.as_str().to_owned(), self.connections.count(phase).into());
         Value::Object(Phase::ALL.map(count).into_iter().collect())
     }
 }
 
 impl Entry {
-    /// A planned stop, until the process may end.
+    /// Performs a planned stop; returns when the process may end.
     pub(super) async fn drain(&self) {
         let timing = StopTiming::within(self.stop.grace.get());
         let mut stop = PlannedStop::new(timing, self.now());
-        self.stop.began.set(true);
-        self.tell_stop("draining", stop.began());
+        self.stop.started.set(true);
+        self.log_step("draining", stop.began());
         loop {
             Timer::after(STOP_POLL).await;
-            while let Some(step) = stop.next(self.now(), &self.stop.view(self.active())) {
-                self.take_step(step, stop.began());
+            while let Some(step) = stop.next(self.now(), &self.stop.view(self.active_jobs())) {
+                self.execute_step(step, stop.began());
                 if step == StopStep::End {
                     return;
                 }
@@ -100,40 +103,42 @@
         }
     }
 
-    fn take_step(&self, step: StopStep, began: Time) {
+    fn execute_step(&self, step: StopStep, started: Time) {
         match step {
             StopStep::TakeOnlyWhatEndsBy(end) => {
-                self.stop.answers_at.set(Some(end));
-                self.feed(Event::TakeOnlyWhatEndsBy(end));
-                self.stop.callers.close_idle();
-                self.tell_stop("closing", began);
+                self.stop.answer_deadline.set(Some(end));
+                self.handle_event(Event::TakeOnlyWhatEndsBy(end));
+                self.stop.connections.close_idle();
+                self.log_step("closing", started);
             }
             StopStep::CloseIntake => {
-                self.stop.callers.close();
-                self.tell_stop("intake-closed", began);
+                self.stop.connections.close();
+                self.log_step("intake-closed", started);
             }
             StopStep::AnswerAll => {
-                self.tell_stop("answering-all", began);
-                self.feed(Event::AnswerAll);
+                self.log_step("answering-all", started);
+                self.handle_event(Event::AnswerAll);
             }
             StopStep::End => {
-                self.tell_stop("drained", began);
-                let open = self.stop.callers.list().into_iter();
-                open.filter(|info| info.phase.is_busy()).for_each(|info| self.tell_cut(info));
+                self.log_step("drained", started);
+                let open = self.stop.connections.list().into_iter();
+                open.filter(|info| info.phase.is_busy())
+                    .for_each(|info| self.log_cut_connection(info));
             }
         }
     }
 
-    /// A step of the stop, with what is under way.
-    fn tell_stop(&self, what: &'static str, began: Time) {
-        self.log.line(what, Budget::Full, || {
-            json!({"after_ms": self.now().since(began).as_millis() as u64, "jobs": self.active(),
-                "notices": self.stop.notices.get(), "connections": self.stop.connections()})
+    /// Logs a step of the stop with the number of open jobs and connections.
+    fn log_step(&self, kind: &'static str, started: Time) {
+        self.log.line(kind, Budget::Full, || {
+            json!({"after_ms": self.now().since(started).as_millis() as u64,
+                "jobs": self.active_jobs(), "notices": self.stop.readiness_checks.get(),
+                "connections": self.stop.connection_counts()})
         });
     }
 
-    /// The end of the process cuts off a request.
-    fn tell_cut(&self, info: ConnectionInfo) {
+    /// Logs a connection whose request is cut off by the end of the process.
+    fn log_cut_connection(&self, info: ConnectionInfo) {
         self.log.line("connection-cut", Budget::Full, || {
             json!({"peer": info.peer.map(|peer| peer.to_string()), "phase": info.phase.as_str(),
                 "age_ms": info.age.as_millis() as u64, "answered": info.answered})
--- a/daemon/src/capacity/keeper.rs
+++ b/daemon/src/capacity/keeper.rs
@@ -4,20 +4,20 @@
 
 use async_io::Timer;
 
-use super::{CapacityNodeError, Started, io_error, metrics, until_stopped};
+use super::{CapacityNodeError, NodeContext, io_error, metrics, reload_until_stopped};
 use crate::keeper_role::{KeeperHandle, KeeperOptions};
 
 /// How long a leader that resigns waits for another to lead.
-const HAND_OVER: Duration = Duration::from_millis(250);
+const HANDOVER_TIME: Duration = Duration::from_millis(250);
 
 /// Runs the keeper until it is told to stop.
-pub(super) fn run(started: Started) -> Result<(), CapacityNodeError> {
-    let Some(keeper) = started.config.keeper.clone() else { return Ok(()) };
-    let log = Some(started.log.clone());
-    let options = KeeperOptions { log, ..KeeperOptions::new(started.config.node.clone(), keeper) };
+pub(super) fn run(context: NodeContext) -> Result<(), CapacityNodeError> {
+    let Some(keeper) = context.config.keeper.clone() else { return Ok(()) };
+    let log = Some(context.log.clone());
+    let options = KeeperOptions { log, ..KeeperOptions::new(context.config.node.clone(), keeper) };
     let handle = KeeperHandle::start(options)?;
     net::block_on(|tasks| async move {
-        if let Some(address) = started.config.node.metrics {
+        if let Some(address) = context.config.node.metrics {
             let status = handle.status_source();
             metrics::serve(address, &tasks, move |page| {
                 let Some(status) = status.now() else { return };
@@ -34,13 +34,13 @@
             })
             .map_err(io_error(address.to_string()))?;
         }
-        let broken = handle.ended();
+        let failed = handle.ended();
         let stopped = async {
-            until_stopped(&started, |config| handle.set_contacts(&config.node)).await;
+            reload_until_stopped(&context, |config| handle.set_contacts(&config.node)).await;
             handle.resign();
-            Timer::after(HAND_OVER).await;
+            Timer::after(HANDOVER_TIME).await;
         };
-        futures_lite::future::or(stopped, broken).await;
+        futures_lite::future::or(stopped, failed).await;
         handle.stop();
         Ok(())
     })
--- a/daemon/src/capacity/watch.rs
+++ b/daemon/src/capacity/keeper_watch.rs
@@ -24,33 +24,33 @@
 use crate::event_log::{Budget, EventLog};
 
 /// Pause before a keeper is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// A keeper that has not answered for so long is connected to anew; it answers within a second.
-const SILENCE: Duration = Duration::from_millis(1_700);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1_700);
 /// Failures after which a keeper that nobody names any more is forgotten.
-const FAILURES: u32 = 20;
+const MAX_FAILURES: u32 = 20;
 /// Longest call of a keeper that is read: an address takes a fraction of it.
-const CALL_BYTES: usize = 64;
+const MAX_ANNOUNCEMENT_BYTES: usize = 64;
 /// Keepers of which a node takes the list of entries. Each of them lists all entries; two may be lost, or cut off from some.
-const LISTS_FROM: usize = 3;
+const LIST_SOURCES: usize = 3;
 /// Keepers beyond so many are not followed for their call alone: more than any cluster has.
-const MOST_KEEPERS: usize = 32;
+const MAX_KEEPERS: usize = 32;
 
 /// Takes a newer document, and who sent the last of it.
-type TakeDocument = Box<dyn Fn(Document, DocumentSource)>;
+type OnDocument = Box<dyn Fn(Document, DocumentSource)>;
 /// Takes the entries that are listed, and how many nodes do the same as this one.
-type TakeNodes = Box<dyn Fn(&[NodeInfo], usize)>;
+type OnNodes = Box<dyn Fn(&[NodeInfo], usize)>;
 /// Takes the halls that a keeper tells to be emptied.
-type TakeHalls = Box<dyn Fn(EmptiedHalls)>;
+type OnHalls = Box<dyn Fn(EmptiedHalls)>;
 /// Asks the agent of a session for a part of a document.
-type AskAgent = Box<dyn Fn(u64, PartRequest)>;
+type RequestAgentPart = Box<dyn Fn(u64, PartRequest)>;
 
 /// What a node does with what the watch learns, and how it asks agents.
 pub(crate) struct WatchCallbacks {
-    pub document: TakeDocument,
-    pub nodes: TakeNodes,
-    pub halls: TakeHalls,
-    pub ask_agent: AskAgent,
+    pub on_document: OnDocument,
+    pub on_nodes: OnNodes,
+    pub on_halls: OnHalls,
+    pub request_agent_part: RequestAgentPart,
 }
 
 /// What happens to an agent as a source of documents.
@@ -64,8 +64,8 @@
 }
 
 /// The watch, shared by its tasks.
-pub(crate) struct Watch {
-    own: NodeInfo,
+pub(crate) struct KeeperWatch {
+    own_node: NodeInfo,
     tasks: Tasks,
     log: EventLog,
     node_port: u16,
@@ -73,9 +73,9 @@
     /// Keepers that are named by the configuration.
     seeds: RefCell<BTreeSet<SocketAddr>>,
     /// Keepers that other keepers name.
-    named: RefCell<BTreeMap<SocketAddr, Vec<SocketAddr>>>,
-    watched: RefCell<BTreeSet<SocketAddr>>,
-    lists: RefCell<BTreeMap<SocketAddr, Listing>>,
+    reported: RefCell<BTreeMap<SocketAddr, Vec<SocketAddr>>>,
+    followed: RefCell<BTreeSet<SocketAddr>>,
+    listings: RefCell<BTreeMap<SocketAddr, Listing>>,
     /// The keepers that are connected to.
     clients: RefCell<BTreeMap<SocketAddr, KeeperServiceClient>>,
     fetch: RefCell<DocumentFetch>,
@@ -89,10 +89,10 @@
     peers: usize,
 }
 
-impl Watch {
+impl KeeperWatch {
     /// Starts to watch the keepers that the configuration names.
     pub fn start(
-        own: NodeInfo,
+        own_node: NodeInfo,
         tasks: Tasks,
         log: EventLog,
         node_port: u16,
@@ -100,28 +100,28 @@
         callbacks: WatchCallbacks,
     ) -> Rc<Self> {
         let watch = Rc::new(Self {
-            own,
+            own_node,
             tasks,
             log,
             node_port,
             callbacks,
             seeds: RefCell::default(),
-            named: RefCell::default(),
-            watched: RefCell::default(),
-            lists: RefCell::default(),
+            reported: RefCell::default(),
+            followed: RefCell::default(),
+            listings: RefCell::default(),
             clients: RefCell::default(),
             fetch: RefCell::default(),
             clock: Clock::start(),
         });
         watch.set_seeds(seeds);
-        watch.listen_for_calls();
+        watch.listen_for_announcements();
         watch
     }
 
     /// Takes calls of keepers that have started and knew this node before. Without them only the keepers that the
     /// configuration names are found.
-    fn listen_for_calls(self: &Rc<Self>) {
-        let address = SocketAddr::new(self.own.address.ip(), self.node_port);
+    fn listen_for_announcements(self: &Rc<Self>) {
+        let address = SocketAddr::new(self.own_node.address.ip(), self.node_port);
         let socket = match Async::<UdpSocket>::bind(address) {
             Ok(socket) => socket,
             Err(error) => {
@@ -132,26 +132,26 @@
         };
         let watch = self.clone();
         self.tasks.spawn(async move {
-            let mut bytes = [0; CALL_BYTES];
+            let mut bytes = [0; MAX_ANNOUNCEMENT_BYTES];
             loop {
                 let Ok(length) = socket.recv(&mut bytes).await else {
                     // What is lost is a hint, and the keeper calls again.
-                    Timer::after(RETRY_PAUSE).await;
+                    Timer::after(RETRY_DELAY).await;
                     continue;
                 };
-                watch.take_call(&bytes[..length]);
+                watch.handle_announcement(&bytes[..length]);
             }
         });
     }
 
-    fn take_call(self: &Rc<Self>, bytes: &[u8]) {
+    fn handle_announcement(self: &Rc<Self>, bytes: &[u8]) {
         // Whatever else comes to the port names no keeper, and a call that is torn comes again.
         let Ok(KeeperIsUp { keeper }) = bincode::deserialize(bytes) else { return };
-        let is_new = !self.watched.borrow().contains(&keeper);
+        let is_new = !self.followed.borrow().contains(&keeper);
         // Keepers of a cluster listen at one port.
-        if is_new && keeper.port() == self.node_port && self.watched.borrow().len() < MOST_KEEPERS {
-            self.keeper_is(keeper, "keeper-calls");
-            self.add(keeper);
+        if is_new && keeper.port() == self.node_port && self.followed.borrow().len() < MAX_KEEPERS {
+            self.log_keeper(keeper, "keeper-calls");
+            self.add_keeper(keeper);
         }
     }
 
@@ -161,27 +161,30 @@
         let seeds = seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect();
         *self.seeds.borrow_mut() = seeds;
         let all: Vec<SocketAddr> = self.seeds.borrow().iter().copied().collect();
-        all.into_iter().for_each(|keeper| self.add(keeper));
+        all.into_iter().for_each(|keeper| self.add_keeper(keeper));
     }
 
-    fn add(self: &Rc<Self>, keeper: SocketAddr) {
-        if self.watched.borrow_mut().insert(keeper) {
+    fn add_keeper(self: &Rc<Self>, keeper: SocketAddr) {
+        if self.followed.borrow_mut().insert(keeper) {
             let watch = self.clone();
             self.tasks.clone().spawn_rpc(async move { watch.follow(keeper).await });
         }
     }
 
     /// Whether anyone names a keeper.
-    fn is_named(&self, keeper: SocketAddr) -> bool {
-        let by_others =
-            self.named.borrow().iter().any(|(by, named)| *by != keeper && named.contains(&keeper));
+    fn is_referenced(&self, keeper: SocketAddr) -> bool {
+        let by_others = self
+            .reported
+            .borrow()
+            .iter()
+            .any(|(by, reported)| *by != keeper && reported.contains(&keeper));
         by_others || self.seeds.borrow().contains(&keeper)
     }
 
     /// Watches one keeper until it is gone and nobody names it any more.
     async fn follow(self: Rc<Self>, keeper: SocketAddr) {
         let mut failures = 0;
-        while failures < FAILURES || self.is_named(keeper) {
+        while failures < MAX_FAILURES || self.is_referenced(keeper) {
             if let Ok(stream) = net::connect(keeper).await {
                 let NewClient { client, dispatch } =
                     KeeperServiceClient::new(Config::default(), net::frames(stream));
@@ -190,95 +193,99 @@
                     let _ = dispatch.await;
                 };
                 self.clients.borrow_mut().insert(keeper, client.clone());
-                let heard = self.ask(keeper, &client).or(async {
+                let answered = self.poll_keeper(keeper, &client).or(async {
                     dispatch.await;
                     false
                 });
-                if heard.await {
+                if answered.await {
                     failures = 0;
                 }
                 self.clients.borrow_mut().remove(&keeper);
                 self.drive_fetch(|fetch, now| fetch.gone(now, DocumentSource::Keeper(keeper)));
             }
             failures += 1;
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
-        self.watched.borrow_mut().remove(&keeper);
-        self.lists.borrow_mut().remove(&keeper);
-        self.named.borrow_mut().remove(&keeper);
-        self.tell_nodes();
+        self.followed.borrow_mut().remove(&keeper);
+        self.listings.borrow_mut().remove(&keeper);
+        self.reported.borrow_mut().remove(&keeper);
+        self.report_nodes();
     }
 
     /// Asks one keeper again and again; returns whether it ever answered.
-    async fn ask(self: &Rc<Self>, keeper: SocketAddr, client: &KeeperServiceClient) -> bool {
-        let mut heard = false;
+    async fn poll_keeper(
+        self: &Rc<Self>,
+        keeper: SocketAddr,
+        client: &KeeperServiceClient,
+    ) -> bool {
+        let mut answered = false;
         let (mut revision, mut version, mut halls, mut keepers) = (0, 0, 0, 0);
         loop {
-            let node = self.own.clone();
-            let takes_list = self.takes_list_of(keeper);
+            let node = self.own_node.clone();
+            let wants_list = self.is_list_source(keeper);
             let request = WatchRequest {
                 node,
                 document: version,
-                revision: takes_list.then_some(revision),
+                revision: wants_list.then_some(revision),
                 halls,
                 keepers,
             };
             let answer = async { client.watch(net::call_context(), request).await.ok() };
-            let late = async {
-                Timer::after(SILENCE).await;
+            let timeout = async {
+                Timer::after(REPLY_TIMEOUT).await;
                 None
             };
-            let Some(reply) = answer.or(late).await else {
-                if heard {
-                    self.keeper_is(keeper, "keeper-lost");
+            let Some(reply) = answer.or(timeout).await else {
+                if answered {
+                    self.log_keeper(keeper, "keeper-lost");
                 }
-                return heard;
+                return answered;
             };
-            if !std::mem::replace(&mut heard, true) {
-                self.keeper_is(keeper, "keeper-heard");
+            if !std::mem::replace(&mut answered, true) {
+                self.log_keeper(keeper, "keeper-heard");
             }
             version = reply.version;
-            if let Some(news) = &reply.nodes {
-                revision = news.revision();
-            } else if !takes_list {
-                self.lists.borrow_mut().remove(&keeper);
+            if let Some(update) = &reply.nodes {
+                revision = update.revision();
+            } else if !wants_list {
+                self.listings.borrow_mut().remove(&keeper);
                 revision = 0;
             }
-            if let Some(news) = &reply.halls {
-                halls = news.revision;
+            if let Some(update) = &reply.halls {
+                halls = update.revision;
             }
-            if let Some(named) = &reply.keepers {
-                keepers = named.digest();
+            if let Some(reported) = &reply.keepers {
+                keepers = reported.digest();
             }
-            self.take(keeper, reply);
+            self.apply_reply(keeper, reply);
         }
     }
 
     /// Whether the list of entries is taken from a keeper: from the first few of those that are connected to, in an order of
     /// this node's own.
-    fn takes_list_of(&self, keeper: SocketAddr) -> bool {
-        let own = xxh3_64(self.own.name.as_str().as_bytes());
-        let rank = |address: &SocketAddr| xxh3_64_with_seed(address.to_string().as_bytes(), own);
+    fn is_list_source(&self, keeper: SocketAddr) -> bool {
+        let seed = xxh3_64(self.own_node.name.as_str().as_bytes());
+        let rank = |address: &SocketAddr| xxh3_64_with_seed(address.to_string().as_bytes(), seed);
         let own_rank = rank(&keeper);
         let clients = self.clients.borrow();
-        clients.keys().filter(|other| rank(other) > own_rank).count() < LISTS_FROM
+        clients.keys().filter(|other| rank(other) > own_rank).count() < LIST_SOURCES
     }
 
-    fn keeper_is(&self, keeper: SocketAddr, what: &'static str) {
-        self.log.line(what, Budget::Full, || json!({"keeper": keeper.to_string()}));
+    fn log_keeper(&self, keeper: SocketAddr, kind: &'static str) {
+        self.log.line(kind, Budget::Full, || json!({"keeper": keeper.to_string()}));
     }
 
     /// Tells the fetch of what has happened, and does what follows.
     fn drive_fetch(
         self: &Rc<Self>,
-        happened: impl FnOnce(&mut DocumentFetch, Time) -> Option<FetchStep>,
+        update: impl FnOnce(&mut DocumentFetch, Time) -> Option<FetchStep>,
     ) {
-        let mut next = happened(&mut self.fetch.borrow_mut(), self.clock.now());
+        let mut next = update(&mut self.fetch.borrow_mut(), self.clock.now());
         while let Some(step) = next.take() {
             match step {
-                FetchStep::Ask(source, request) => self.ask_part(source, request),
+                FetchStep::Ask(source, request) => self.request_part(source, request),
                 FetchStep::Whole(document, source) => {
-                    (self.callbacks.document)(document, source);
+                    (self.callbacks.on_document)(document, source);
                     next = self.fetch.borrow_mut().next(self.clock.now());
                 }
             }
@@ -286,15 +293,15 @@
     }
 
     /// Asks for a part of a document, and looks after a while whether it has come.
-    fn ask_part(self: &Rc<Self>, source: DocumentSource, request: PartRequest) {
+    fn request_part(self: &Rc<Self>, source: DocumentSource, request: PartRequest) {
         let watch = self.clone();
         self.tasks.spawn(async move {
             Timer::after(PART_WITHIN).await;
             watch.drive_fetch(DocumentFetch::next);
         });
         match source {
-            DocumentSource::Keeper(keeper) => self.ask_keeper_part(keeper, request),
-            DocumentSource::Agent(session) => (self.callbacks.ask_agent)(session, request),
+            DocumentSource::Keeper(keeper) => self.request_keeper_part(keeper, request),
+            DocumentSource::Agent(session) => (self.callbacks.request_agent_part)(session, request),
         }
     }
 
@@ -304,7 +311,7 @@
     }
 
     /// Takes what happens to an agent as a source of documents.
-    pub fn handle_agent(self: &Rc<Self>, session: u64, event: AgentEvent) {
+    pub fn handle_agent_event(self: &Rc<Self>, session: u64, event: AgentEvent) {
         let source = DocumentSource::Agent(session);
         self.drive_fetch(|fetch, now| match event {
             AgentEvent::Offered(version) => fetch.offered(now, source, version),
@@ -313,7 +320,7 @@
         });
     }
 
-    fn ask_keeper_part(self: &Rc<Self>, keeper: SocketAddr, request: PartRequest) {
+    fn request_keeper_part(self: &Rc<Self>, keeper: SocketAddr, request: PartRequest) {
         let client = self.clients.borrow().get(&keeper).cloned();
         let watch = self.clone();
         self.tasks.spawn_rpc(async move {
@@ -329,37 +336,37 @@
         });
     }
 
-    fn take(self: &Rc<Self>, keeper: SocketAddr, reply: WatchReply) {
+    fn apply_reply(self: &Rc<Self>, keeper: SocketAddr, reply: WatchReply) {
         let source = DocumentSource::Keeper(keeper);
         self.drive_fetch(|fetch, now| fetch.offered(now, source, reply.version));
         if let Some(halls) = reply.halls {
-            (self.callbacks.halls)(halls);
+            (self.callbacks.on_halls)(halls);
         }
         if let Some(names) = reply.keepers {
-            let named = names.0.iter().filter_map(|name| name.as_str().parse().ok());
-            let named: Vec<SocketAddr> = named.collect();
-            self.named.borrow_mut().insert(keeper, named.clone());
-            named.into_iter().for_each(|keeper| self.add(keeper));
+            let reported = names.0.iter().filter_map(|name| name.as_str().parse().ok());
+            let reported: Vec<SocketAddr> = reported.collect();
+            self.reported.borrow_mut().insert(keeper, reported.clone());
+            reported.into_iter().for_each(|keeper| self.add_keeper(keeper));
         }
-        if self.note_list(keeper, reply.nodes, reply.peers as usize) {
-            self.tell_nodes();
+        if self.update_listing(keeper, reply.nodes, reply.peers as usize) {
+            self.report_nodes();
         }
     }
 
     /// Takes note of what a keeper tells of other nodes; returns whether that is new.
-    fn note_list(&self, keeper: SocketAddr, news: Option<ListNews>, peers: usize) -> bool {
-        let mut lists = self.lists.borrow_mut();
-        let listing = match news {
+    fn update_listing(&self, keeper: SocketAddr, update: Option<ListNews>, peers: usize) -> bool {
+        let mut listings = self.listings.borrow_mut();
+        let listing = match update {
             Some(ListNews::Whole(list)) => {
-                lists.insert(keeper, Listing { list, peers });
+                listings.insert(keeper, Listing { list, peers });
                 return true;
             }
-            _ => lists.get_mut(&keeper),
+            _ => listings.get_mut(&keeper),
         };
         // Only who has a list is told what has changed in it.
         let Some(listing) = listing else { return false };
-        let changed = news.is_some();
-        if let Some(ListNews::Change(change)) = news {
+        let changed = update.is_some();
+        if let Some(ListNews::Change(change)) = update {
             listing.list.apply(change);
         }
         std::mem::replace(&mut listing.peers, peers) != peers || changed
@@ -367,13 +374,13 @@
 
     /// All entries that some keeper lists. Of the numbers of peers the highest counts: keepers that have
     /// just started have not heard of all yet.
-    fn tell_nodes(&self) {
-        let lists = self.lists.borrow();
+    fn report_nodes(&self) {
+        let listings = self.listings.borrow();
         let nodes: BTreeSet<NodeInfo> =
-            lists.values().flat_map(|listing| listing.list.nodes.iter().cloned()).collect();
+            listings.values().flat_map(|listing| listing.list.nodes.iter().cloned()).collect();
         let nodes: Vec<NodeInfo> = nodes.into_iter().collect();
-        let peers = lists.values().map(|listing| listing.peers).max().unwrap_or(0);
-        drop(lists);
-        (self.callbacks.nodes)(&nodes, peers);
+        let peers = listings.values().map(|listing| listing.peers).max().unwrap_or(0);
+        drop(listings);
+        (self.callbacks.on_nodes)(&nodes, peers);
     }
 }
--- a/daemon/src/capacity/messages.rs
+++ b/daemon/src/capacity/message_counters.rs
@@ -3,28 +3,28 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-use super::metrics::Page;
+use super::metrics::MetricsPage;
 
 /// The messages of all sessions of a node since its start.
 #[derive(Debug, Default)]
-pub(super) struct Messages {
+pub(super) struct MessageCounters {
     sent: RefCell<BTreeMap<&'static str, u64>>,
     received: RefCell<BTreeMap<&'static str, u64>>,
 }
 
-impl Messages {
+impl MessageCounters {
     /// A message of a kind was handed to a session.
-    pub fn sent(&self, kind: &'static str) {
+    pub fn record_sent(&self, kind: &'static str) {
         *self.sent.borrow_mut().entry(kind).or_default() += 1;
     }
 
     /// A message of a kind came over a session.
-    pub fn received(&self, kind: &'static str) {
+    pub fn record_received(&self, kind: &'static str) {
         *self.received.borrow_mut().entry(kind).or_default() += 1;
     }
 
     /// Adds the counters to a page.
-    pub fn fill(&self, page: &mut Page) {
+    pub fn write_metrics(&self, page: &mut MetricsPage) {
         for (direction, counts) in [("sent", &self.sent), ("received", &self.received)] {
             for (kind, count) in &*counts.borrow() {
                 let labels = format!("{{direction=\"{direction}\",kind=\"{kind}\"}}");
--- a/daemon/src/capacity/metrics.rs
+++ b/daemon/src/capacity/metrics.rs
@@ -24,9 +24,9 @@
 
 /// A page of figures.
 #[derive(Default)]
-pub(crate) struct Page(String);
+pub(crate) struct MetricsPage(String);
 
-impl Page {
+impl MetricsPage {
     /// Adds a counter or a gauge.
     pub fn value(&mut self, name: &str, labels: &str, value: u64) {
         let _ = writeln!(self.0, "dockpass_{name}{labels} {value}");
@@ -53,28 +53,28 @@
 pub(crate) fn serve(
     address: SocketAddr,
     tasks: &Tasks,
-    fill: impl Fn(&mut Page) + 'static,
+    write_page: impl Fn(&mut MetricsPage) + 'static,
 ) -> std::io::Result<()> {
     let listener = Async::<TcpListener>::bind(address)?;
-    let fill = Rc::new(RefCell::new(fill));
+    let write_page = Rc::new(RefCell::new(write_page));
     let handler = move |request: Request<_>| {
-        let fill = fill.clone();
-        async move { respond(&request, &*fill.borrow()) }
+        let write_page = write_page.clone();
+        async move { respond(&request, &*write_page.borrow()) }
     };
     tasks.spawn(net::serve(listener, tasks.clone(), || LIMITS, handler));
     Ok(())
 }
 
-fn respond<B>(request: &Request<B>, fill: &impl Fn(&mut Page)) -> Response<Body> {
-    let mut page = Page::default();
+fn respond<B>(request: &Request<B>, write_page: &impl Fn(&mut MetricsPage)) -> Response<Body> {
+    let mut page = MetricsPage::default();
     if request.uri().path() != "/metrics" {
         let mut response = Response::new(Body::from("see /metrics\n"));
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
     }
-    fill(&mut page);
+    write_page(&mut page);
     let mut response = Response::new(Body::from(page.0));
-    let text = HeaderValue::from_static("text/plain; version=0.0.4");
-    response.headers_mut().insert(CONTENT_TYPE, text);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
--- a/daemon/src/capacity/mod.rs
+++ b/daemon/src/capacity/mod.rs
@@ -5,20 +5,20 @@
 //! stands in `docs/design/platform.md`.
 
 mod agent;
-mod agent_entries;
-mod agent_news;
+mod agent_log;
+mod agent_sessions;
 mod entry;
-mod entry_figures;
 mod entry_http;
-mod entry_news;
+mod entry_log;
+mod entry_metrics;
 mod entry_peers;
 mod entry_stop;
 mod keeper;
-mod messages;
+mod keeper_watch;
+mod message_counters;
 mod metrics;
 mod session;
 mod target_http;
-mod watch;
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -44,10 +44,10 @@
 #[derive(Debug, Error)]
 pub enum CapacityNodeError {
     /// A socket or a thread can't be had.
-    #[error("{what}: {source}")]
+    #[error("{resource}: {source}")]
     Io {
         /// What was tried.
-        what: String,
+        resource: String,
         /// Why it failed.
         #[source]
         source: io::Error,
@@ -57,14 +57,14 @@
     Keeper(#[from] KeeperError),
 }
 
-fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> CapacityNodeError {
-    let what = what.into();
-    move |source| CapacityNodeError::Io { what, source }
+fn io_error(resource: impl Into<String>) -> impl FnOnce(io::Error) -> CapacityNodeError {
+    let resource = resource.into();
+    move |source| CapacityNodeError::Io { resource, source }
 }
 
 /// What the process was told from outside.
 #[derive(Clone, Debug)]
-enum Order {
+enum ControlEvent {
     /// A planned stop.
     Stop,
     /// The configuration's file may have changed.
@@ -76,21 +76,28 @@
     let clock = Clock::start();
     let name = config.node.name.as_str();
     let log = EventLog::to_stdout(name, clock).map_err(io_error("log"))?;
-    let orders = listen_to_signals().map_err(io_error("signals"))?;
-    let life = new_incarnation();
+    let control_events = listen_for_signals().map_err(io_error("signals"))?;
+    let incarnation = new_incarnation();
     log.line("start", Budget::Full, || {
         let roles: Vec<String> = config.node.roles.iter().map(|role| format!("{role:?}")).collect();
         let version = env!("CARGO_PKG_VERSION");
-        json!({"roles": roles, "version": version, "incarnation": life.0})
+        json!({"roles": roles, "version": version, "incarnation": incarnation.0})
     });
-    let node = Started { config: config.clone(), path: path.to_owned(), clock, log, orders, life };
-    let log = node.log.clone();
+    let context = NodeContext {
+        config: config.clone(),
+        path: path.to_owned(),
+        clock,
+        log,
+        control_events,
+        incarnation,
+    };
+    let log = context.log.clone();
     let result = if config.entry.is_some() {
-        entry::run(node)
+        entry::run(context)
     } else if config.agent.is_some() {
-        agent::run(node)
+        agent::run(context)
     } else {
-        keeper::run(node)
+        keeper::run(context)
     };
     let failure = result.as_ref().err().map(ToString::to_string);
     log.line("stop", Budget::Full, || json!({"error": failure}));
@@ -99,13 +106,13 @@
 }
 
 /// What every role begins with.
-struct Started {
+struct NodeContext {
     config: Config,
     path: PathBuf,
     clock: Clock,
     log: EventLog,
-    orders: Receiver<Order>,
-    life: Incarnation,
+    control_events: Receiver<ControlEvent>,
+    incarnation: Incarnation,
 }
 
 /// A number that no earlier life of the node had, but by a chance of one in 2^64.
@@ -117,54 +124,54 @@
 /// Turns signals into orders: stops are planned; only a second SIGINT, from a terminal, ends the process at
 /// once. A restart and a removal of a host may both send SIGTERM, and the stop that goes on leaves nothing
 /// unanswered.
-fn listen_to_signals() -> io::Result<Receiver<Order>> {
+fn listen_for_signals() -> io::Result<Receiver<ControlEvent>> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
-    let (orders, received) = async_channel::bounded(16);
+    let (sender, receiver) = async_channel::bounded(16);
     std::thread::Builder::new().name("signals".to_owned()).spawn(move || {
         let mut stopping = false;
         for signal in signals.forever() {
             if signal == SIGHUP {
                 // A full ring has an order of the same kind in it already.
-                let _ = orders.try_send(Order::Reload);
+                let _ = sender.try_send(ControlEvent::Reload);
             } else if !std::mem::replace(&mut stopping, true) {
                 // Fails only where nobody waits for orders any more: the process ends.
-                let _ = orders.send_blocking(Order::Stop);
+                let _ = sender.send_blocking(ControlEvent::Stop);
             } else if signal == SIGINT {
                 std::process::exit(1);
             }
         }
     })?;
-    Ok(received)
+    Ok(receiver)
 }
 
 /// Waits for the order to stop. Each time the configuration's file has changed, with a signal or
 /// without, it is checked and handed on; a file that can't be used changes nothing.
-async fn until_stopped(started: &Started, mut changed: impl FnMut(&Config)) {
-    let mut in_force = started.config.clone();
+async fn reload_until_stopped(context: &NodeContext, mut on_reload: impl FnMut(&Config)) {
+    let mut current = context.config.clone();
     loop {
-        let order = async { started.orders.recv().await.unwrap_or(Order::Stop) };
+        let event = async { context.control_events.recv().await.unwrap_or(ControlEvent::Stop) };
         let poll = async {
             Timer::after(FILE_POLL).await;
-            Order::Reload
+            ControlEvent::Reload
         };
-        match futures_lite::future::or(order, poll).await {
-            Order::Stop => return,
-            Order::Reload => {}
+        match futures_lite::future::or(event, poll).await {
+            ControlEvent::Stop => return,
+            ControlEvent::Reload => {}
         }
-        match Config::load(&started.path) {
-            Ok(config) if config == in_force => {}
+        match Config::load(&context.path) {
+            Ok(config) if config == current => {}
             Ok(config) => {
-                started.log.line(
+                context.log.line(
                     "reload",
                     Budget::Full,
                     || json!({"keepers": config.node.keepers.len()}),
                 );
-                changed(&config);
-                in_force = config;
+                on_reload(&config);
+                current = config;
             }
             Err(error) => {
                 let reason = error.to_string();
-                started.log.line("reload-refused", Budget::Full, || json!({"error": reason}));
+                context.log.line("reload-refused", Budget::Full, || json!({"error": reason}));
             }
         }
     }
--- a/daemon/src/capacity/session.rs
+++ b/daemon/src/capacity/session.rs
@@ -9,34 +9,34 @@
 
 /// Messages that wait to be sent; a session whose other side does not read is closed. Slots are not
 /// allocated ahead: 4,096 of them take 340 KB, for each session, whatever is sent.
-const RING: usize = 4_096;
+const MAX_QUEUED_MESSAGES: usize = 4_096;
 /// Most messages in one frame.
-const BATCH: usize = 256;
+const MAX_BATCH_MESSAGES: usize = 256;
 
 /// The sending side of a session. Dropping it closes the connection, also while it takes no bytes.
 pub(crate) struct SessionSender<M> {
-    ring: Sender<M>,
+    messages: Sender<M>,
     /// Dropped with this.
     _open: Sender<()>,
 }
 
 /// What waits to be sent in a session, and whether it is closed.
-pub(crate) struct Waiting<M> {
-    ring: Receiver<M>,
+pub(crate) struct OutboundQueue<M> {
+    messages: Receiver<M>,
     open: Receiver<()>,
 }
 
 impl<M> SessionSender<M> {
     /// A ring for a session that is about to run.
-    pub fn new() -> (Self, Waiting<M>) {
-        let (ring, waiting) = async_channel::unbounded();
+    pub fn new() -> (Self, OutboundQueue<M>) {
+        let (messages, queued) = async_channel::unbounded();
         let (open, closed) = async_channel::bounded(1);
-        (Self { ring, _open: open }, Waiting { ring: waiting, open: closed })
+        (Self { messages, _open: open }, OutboundQueue { messages: queued, open: closed })
     }
 
     /// Sends a message; false where the ring is full or the session over.
     pub fn send(&self, message: M) -> bool {
-        self.ring.len() < RING && self.ring.try_send(message).is_ok()
+        self.messages.len() < MAX_QUEUED_MESSAGES && self.messages.try_send(message).is_ok()
     }
 }
 
@@ -44,8 +44,8 @@
 /// here nothing more is sent: the other side may have stopped reading for good.
 pub(crate) async fn run<Out, In>(
     stream: Async<TcpStream>,
-    waiting: Waiting<Out>,
-    mut take: impl FnMut(In),
+    queue: OutboundQueue<Out>,
+    mut on_message: impl FnMut(In),
 ) where
     Out: Serialize,
     In: for<'de> Deserialize<'de>,
@@ -53,12 +53,12 @@
     net::tune(&stream);
     let frames = net::frames::<Vec<In>, Vec<Out>>(stream);
     let (mut sink, mut source) = frames.split();
-    let Waiting { ring, open } = waiting;
+    let OutboundQueue { messages, open } = queue;
     let send = async move {
-        while let Ok(first) = ring.recv().await {
+        while let Ok(first) = messages.recv().await {
             let mut batch = vec![first];
-            while batch.len() < BATCH
-                && let Ok(next) = ring.try_recv()
+            while batch.len() < MAX_BATCH_MESSAGES
+                && let Ok(next) = messages.try_recv()
             {
                 batch.push(next);
             }
@@ -69,7 +69,7 @@
     };
     let receive = async move {
         while let Some(Ok(batch)) = source.next().await {
-            batch.into_iter().for_each(&mut take);
+            batch.into_iter().for_each(&mut on_message);
         }
     };
     let closed = async move {
--- a/daemon/src/capacity/target_http.rs
+++ b/daemon/src/capacity/target_http.rs
@@ -27,12 +27,12 @@
 pub(super) fn serve(listener: Async<TcpListener>, tasks: &Tasks, agent: Rc<Agent>) {
     let handler = move |request| {
         let agent = agent.clone();
-        async move { answer(&agent, request) }
+        async move { handle_request(&agent, request) }
     };
     tasks.spawn(net::serve(listener, tasks.clone(), || LIMITS, handler));
 }
 
-fn answer(agent: &Rc<Agent>, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
+fn handle_request(agent: &Rc<Agent>, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
     let (head, body) = request.into_parts();
     match (TargetCall::read(&head.method, head.uri.path()), body) {
         (Some(TargetCall::Beat(id)), Ok(body)) => match agent.read_report(&id, &body) {
@@ -40,8 +40,8 @@
                 // A late one is answered as well: a life that is over hears nothing, and one that
                 // is there would take a refusal for a failed report and for want of an
                 // acknowledgement that it is leaving. What is acknowledged has been taken in.
-                agent.feed(Event::Target(report));
-                reply(200, "{}".to_owned())
+                agent.handle_event(Event::Target(report));
+                build_response(200, "{}".to_owned())
             }
             Err(error) => {
                 let reason = error.to_string();
@@ -50,23 +50,23 @@
                     Budget::Full,
                     || json!({"target": id, "reason": reason}),
                 );
-                reply(400, json!({"error": reason}).to_string())
+                build_response(400, json!({"error": reason}).to_string())
             }
         },
         (Some(TargetCall::Leave(id)), body) => {
             // A body that can't be read leaves open which life it is, as none does.
             let body = body.unwrap_or_default();
-            agent.feed(Event::TargetLeft(platform::read_leave(&id, &body)));
-            reply(200, "{}".to_owned())
+            agent.handle_event(Event::TargetLeft(platform::read_leave(&id, &body)));
+            build_response(200, "{}".to_owned())
         }
         (Some(TargetCall::Beat(_)), Err(error)) => {
-            reply(400, json!({"error": error.to_string()}).to_string())
+            build_response(400, json!({"error": error.to_string()}).to_string())
         }
-        (None, _) => reply(404, "{}".to_owned()),
+        (None, _) => build_response(404, "{}".to_owned()),
     }
 }
 
-fn reply(status: u16, body: String) -> Response<Body> {
+fn build_response(status: u16, body: String) -> Response<Body> {
     let mut response = Response::new(Body::from(body));
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
