--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -1,4 +1,5 @@
-//! An agent beside a target that has room: the runner with its sockets, on one thread.
+//! The agent role for a target that reports capacity: drives a [`Runner`] with sockets and timers
+//! on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -31,38 +32,39 @@
 use crate::config::AgentConfig;
 use crate::event_log::{Budget, EventLog};
 
-/// Left of the platform's time at the end of a planned stop: runs that go on beyond it lapse a second
-/// later, while a new process may already be there.
+/// Reserved at the end of the platform's stop grace period. The leases of runs that outlast the
+/// stop expire only afterwards, when a replacement process may already be running.
 const STOP_MARGIN: Duration = Duration::from_millis(1_200);
-/// How often a stopping agent looks whether it is done.
+/// How often a stopping agent checks whether its runs have ended.
 const STOP_POLL: Duration = Duration::from_millis(20);
-/// How long the last reports of a stopping agent may take to leave.
+/// How long a stopping agent waits for its last reports to be sent.
 const FINAL_REPORT_DELAY: Duration = Duration::from_millis(60);
 
-/// An agent's state, shared by the tasks of its thread.
+/// State of an agent, shared by the tasks on its thread.
 pub(super) struct Agent {
     pub log: EventLog,
     pub(super) clock: Clock,
     pub(super) tasks: Tasks,
-    /// Orders other than holds.
+    /// Sends start and stop commands; holds have a client of their own, as the target keeps them
+    /// waiting.
     command_client: Client,
     hold_client: Client,
     runner: RefCell<Runner>,
     pub(super) sessions: RefCell<HashMap<SessionId, SessionSender<ToEntry>>>,
     pub(super) message_counters: MessageCounters,
     pub(super) subset: RefCell<Subset>,
-    /// Entries that are connected to, or tried.
+    /// Entries that the agent is connected to or tries to reach, by address.
     pub(super) contacts: RefCell<BTreeMap<SocketAddr, EntryContact>>,
     pub(super) last_session: Cell<u64>,
-    /// How long the platform waits for the end of a planned stop.
+    /// How long the platform waits between the stop request and ending the process.
     stop_grace: Cell<Duration>,
-    /// The service of its target; empty for any.
+    /// The service that the target must report; empty accepts any.
     service: String,
-    /// Reports that named no target to use, by what was wrong with them.
+    /// Rejected target reports, counted by reason.
     rejected_reports: RefCell<BTreeMap<&'static str, u64>>,
 }
 
-/// Runs the agent until it is told to stop.
+/// Runs the agent until the process is asked to stop.
 pub(super) fn run(context: NodeContext) -> Result<(), CapacityNodeError> {
     let Some(config) = context.config.agent.clone() else { return Ok(()) };
     net::block_on(|tasks| async move { serve(context, config, tasks).await })
@@ -148,13 +150,13 @@
                 }),
                 on_nodes: Box::new(move |nodes, agents| for_nodes.update_entries(nodes, agents)),
                 on_halls: Box::new(move |halls| for_halls.handle_event(Event::Halls(halls))),
-                // Agents have sessions with entries alone.
+                // Agents have no sessions with other agents to request parts over.
                 request_agent_part: Box::new(|_, _| {}),
             },
         )
     }
 
-    /// Reads a report of the target, and counts those that name none to use.
+    /// Parses a target's report; counts a rejected one by its reason.
     pub fn read_report(&self, id: &str, body: &[u8]) -> Result<TargetReport, BadBeat> {
         let report = platform::read_beat(id, &self.service, body);
         if let Err(error) = &report {
@@ -163,7 +165,7 @@
         report
     }
 
-    /// Hands an event to the runner and does what follows.
+    /// Passes an event to the runner and executes the resulting actions.
     pub fn handle_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         self.runner.borrow_mut().handle(self.clock.now(), event, &mut actions);
@@ -178,7 +180,7 @@
                 self.message_counters.record_sent(message.kind());
                 let sent = self.sessions.borrow().get(&id).is_some_and(|entry| entry.send(message));
                 if !sent {
-                    // Its end is told once the connection is closed.
+                    // `SessionClosed` follows once the connection is closed.
                     self.sessions.borrow_mut().remove(&id);
                 }
             }
@@ -236,8 +238,8 @@
         self.handle_event(Event::Held(command.target, reply));
     }
 
-    /// Sends an order for a life of the target; `None` where there is no whole answer in time. The runner's counters
-    /// tell how often that is so.
+    /// Sends a command to a target instance. Returns `None` without a complete response in time,
+    /// and reports a refused connection to the runner.
     async fn send_command(
         self: &Rc<Self>,
         client: &Client,
@@ -253,7 +255,8 @@
         sent.ok()
     }
 
-    /// A planned stop: takes no new work, waits for what runs, ends.
+    /// Performs a planned stop: accepts no new work and waits until nothing runs or the stop grace
+    /// period is nearly over.
     async fn drain(self: &Rc<Self>) {
         let started = self.clock.now();
         let (waiting, running) = self.runner.borrow().sizes();
--- a/daemon/src/capacity/agent_log.rs
+++ b/daemon/src/capacity/agent_log.rs
@@ -1,4 +1,4 @@
-//! The agent's decisions as lines of the log.
+//! Writes the runner's events to the log.
 
 use runner::{HallsSource, News};
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
     }
 }
 
-/// Writes a decision or a change of state.
+/// Writes an event as one log line.
 pub(super) fn write_event(log: &EventLog, event: &News) {
     match event {
         News::TargetFound { id, fencing_token } => log.line(
--- a/daemon/src/capacity/agent_sessions.rs
+++ b/daemon/src/capacity/agent_sessions.rs
@@ -1,4 +1,4 @@
-//! The entries that an agent serves: sessions with those that are chosen, as the choice changes.
+//! Keeps an agent's sessions in step with the subset of entries selected for it.
 
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -14,25 +14,25 @@
 use super::session::{self, SessionSender};
 use crate::event_log::Budget;
 
-/// Pause before an entry is connected to again.
+/// Delay before reconnecting to an entry.
 const RETRY_DELAY: Duration = Duration::from_millis(120);
-/// An entry that is no longer listed is still tried for so long.
+/// How long an entry that is no longer listed is still retried.
 const UNLISTED_RETRY_TIME: Duration = Duration::from_secs(30);
-/// How often the choice of entries is looked at when keepers tell nothing new: it waits some seconds for
-/// entries that are missing from a list, and for numbers to hold.
+/// How often the selection is recomputed without news from keepers. It also changes with time:
+/// absent entries expire, and a changed number of entries takes effect after a delay.
 const SELECTION_POLL: Duration = Duration::from_millis(500);
 
-/// An entry that the agent has a session with, or tries to have one with.
+/// An entry that the agent has a session with or tries to connect to.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EntryContact {
-    /// Whether the agent is to serve it.
+    /// Whether the entry is in the agent's subset.
     selected: bool,
-    /// One that is not listed any more is tried until then.
+    /// When reconnecting to an entry that is no longer listed ends.
     retry_until: Time,
     session: Option<SessionId>,
 }
 
-/// Follows changes of the choice that come with time alone.
+/// Reapplies the selection periodically, for changes that depend only on time.
 pub(super) async fn poll_selection(agent: Rc<Agent>) {
     loop {
         Timer::after(SELECTION_POLL).await;
@@ -41,7 +41,7 @@
 }
 
 impl Agent {
-    /// Keepers list these entries, and so many agents of the service.
+    /// Takes the nodes that keepers list and the number of agents of the service.
     pub(super) fn update_entries(self: &Rc<Self>, nodes: &[NodeInfo], agents: usize) {
         let listed = nodes.iter().filter(|node| node.role == NodeRole::Entry);
         let listed = listed.map(|node| (&node.name, node.address));
@@ -49,7 +49,8 @@
         self.update_selection();
     }
 
-    /// Connects to entries that are chosen now, and retires the sessions with listed ones that are not.
+    /// Connects to the selected entries and retires sessions with listed entries that are not
+    /// selected.
     fn update_selection(self: &Rc<Self>) {
         let now = self.clock.now();
         let selected = self.subset.borrow_mut().chosen(now);
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Marks the contacts that are listed and not chosen; returns their sessions. An entry that is not
-    /// listed keeps its session: it may live on where no keeper can be reached.
+    /// Deselects listed entries that are not in `selected` and returns their sessions. An unlisted
+    /// entry keeps its session, as it may be running where it reaches no keeper.
     fn deselect_others(&self, selected: &[SocketAddr]) -> Vec<SessionId> {
         let subset = self.subset.borrow();
         let mut contacts = self.contacts.borrow_mut();
@@ -88,8 +89,8 @@
         others.filter_map(deselect).collect()
     }
 
-    /// Keeps a session with an entry for as long as it is chosen, and with one that is no longer listed
-    /// a while longer: an entry that has restarted while no keeper can be reached is found again so.
+    /// Reconnects to an entry while it is selected, and for a while after it is no longer listed:
+    /// an entry that restarts while no keeper is reachable is found again.
     async fn maintain_connection(self: Rc<Self>, address: SocketAddr) {
         loop {
             if let Ok(stream) = net::connect(address).await {
@@ -128,8 +129,8 @@
         self.record_session(address, None);
     }
 
-    /// Takes note of the session with an entry. A chosen one that answers is listed, or was so a moment
-    /// ago.
+    /// Records the start or end of the session with an entry. A selected entry is retried for the
+    /// full time from now; a session with an entry that has been deselected meanwhile is retired.
     fn record_session(self: &Rc<Self>, address: SocketAddr, session: Option<SessionId>) {
         let retry_until = self.clock.now() + UNLISTED_RETRY_TIME;
         let selected = {
--- a/daemon/src/capacity/target_http.rs
+++ b/daemon/src/capacity/target_http.rs
@@ -1,4 +1,4 @@
-//! The agent's HTTP: what its target reports.
+//! The agent's HTTP server for reports of its target.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use super::agent::Agent;
 use crate::event_log::Budget;
 
-/// Limits of the target's connections.
+/// Limits for the connections of the target.
 const LIMITS: Limits = Limits {
     header_bytes: net::HEADER_BYTES,
     body_bytes: 256 * 1024,
@@ -37,9 +37,10 @@
     match (TargetCall::read(&head.method, head.uri.path()), body) {
         (Some(TargetCall::Beat(id)), Ok(body)) => match agent.read_report(&id, &body) {
             Ok(report) => {
-                // A late one is answered as well: a life that is over hears nothing, and one that
-                // is there would take a refusal for a failed report and for want of an
-                // acknowledgement that it is leaving. What is acknowledged has been taken in.
+                // A late report is acknowledged too. An instance that has ended ignores the
+                // response, while the current one would count a refusal as a failed report and miss
+                // the acknowledgement that it is leaving. A report is acknowledged only once it is
+                // processed.
                 agent.handle_event(Event::Target(report));
                 build_response(200, "{}".to_owned())
             }
@@ -54,7 +55,7 @@
             }
         },
         (Some(TargetCall::Leave(id)), body) => {
-            // A body that can't be read leaves open which life it is, as none does.
+            // Without a readable body the instance is unknown, as with an empty body.
             let body = body.unwrap_or_default();
             agent.handle_event(Event::TargetLeft(platform::read_leave(&id, &body)));
             build_response(200, "{}".to_owned())
