--- a/daemon/src/capacity/entry.rs
+++ b/daemon/src/capacity/entry.rs
@@ -1,4 +1,5 @@
-//! An entry whose targets have room: the dispatcher with its sockets, on one thread.
+//! The entry role for targets that report capacity: drives a [`Dispatcher`] with sockets and timers
+//! on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -29,27 +30,27 @@
 use crate::config::EntryConfig;
 use crate::event_log::{Budget, EventLog};
 
-/// An entry that can't serve listens after so long all the same.
+/// How long a starting entry waits until it can serve before it listens anyway.
 const MAX_LISTEN_DELAY: Duration = Duration::from_secs(4);
-/// How often a starting entry looks whether it is ready.
+/// How often a starting entry checks whether it can serve.
 const READY_POLL: Duration = Duration::from_millis(20);
-/// Pause before a port that can't be had is tried again.
+/// Delay before retrying to bind the callers' port.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Pause before a failed accept is tried again.
+/// Delay after a failed accept, to avoid a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// An entry's state, shared by the tasks of its thread.
+/// State of an entry, shared by the tasks on its thread.
 pub(super) struct Entry {
     pub log: EventLog,
     clock: Clock,
     pub(super) dispatcher: RefCell<Dispatcher>,
-    /// The routes in force; none before the first configuration.
+    /// The routing table in force; `None` before the first configuration.
     route_table: RefCell<Option<Rc<RouteTable>>>,
     agent_sessions: RefCell<HashMap<SessionId, SessionSender<ToAgent>>>,
     pending_calls: RefCell<HashMap<Ticket, Sender<Outcome>>>,
     pub(super) metrics: RefCell<EntryMetrics>,
     last_id: Cell<u64>,
-    /// Callers find it.
+    /// Whether the callers' port is bound.
     listening: Cell<bool>,
     pub stop: StopProgress,
     pub(super) message_counters: MessageCounters,
@@ -57,7 +58,7 @@
     watch: RefCell<Option<Rc<KeeperWatch>>>,
 }
 
-/// Runs the entry until it is told to stop.
+/// Runs the entry until the process is asked to stop.
 pub(super) fn run(context: NodeContext) -> Result<(), CapacityNodeError> {
     let Some(config) = context.config.entry else { return Ok(()) };
     net::block_on(|tasks| async move { serve(context, config, tasks).await })
@@ -150,7 +151,7 @@
             let on_message = move |message: ToEntry| {
                 receiver.message_counters.record_received(message.kind());
                 receiver.handle_event(match message {
-                    // Agents tell this, and other entries.
+                    // Both agents and other entries send cancellations.
                     ToEntry::Cancelled(job) => Event::CancelledElsewhere(job),
                     message => Event::FromAgent(id, message),
                 });
@@ -173,8 +174,9 @@
 }
 
 impl Entry {
-    /// Waits until it can serve. A caller who finds nobody listening comes back a little later; one
-    /// who is refused is lost. After a while it listens all the same, to say why it can't serve.
+    /// Waits until the entry can serve, up to [`MAX_LISTEN_DELAY`]. Clients retry a refused
+    /// connection, but may take an error response as final. After the delay, error responses tell
+    /// them why the entry can't serve.
     async fn wait_until_ready(&self) {
         let started = self.clock.now();
         while !self.can_serve() && self.clock.now().since(started) < MAX_LISTEN_DELAY {
@@ -221,7 +223,7 @@
         *self.watch.borrow_mut() = Some(watch);
     }
 
-    /// Hands an event to the dispatcher and does what follows.
+    /// Passes an event to the dispatcher and executes the resulting actions.
     pub fn handle_event(&self, event: Event) {
         let mut actions = Vec::new();
         self.dispatcher.borrow_mut().handle(self.clock.now(), event, &mut actions);
@@ -234,14 +236,14 @@
         self.message_counters.record_sent(message.kind());
         let sent = self.agent_sessions.borrow().get(&id).is_some_and(|agent| agent.send(message));
         if !sent {
-            // Its end is told once the connection is closed.
+            // `AgentClosed` follows once the connection is closed.
             self.agent_sessions.borrow_mut().remove(&id);
         }
     }
 
-    /// Tells the watch what happens to an agent as a source of documents.
+    /// Notifies the keeper watch of an event of an agent as a document source.
     fn notify_watch(&self, id: SessionId, event: AgentEvent) {
-        // There is one before any agent can connect.
+        // The watch is set before any agent connects.
         let watch = self.watch.borrow().clone();
         if let Some(watch) = watch {
             watch.handle_agent_event(id.0, event);
@@ -262,7 +264,7 @@
             Action::Answer(call_id, outcome) => {
                 self.metrics.borrow_mut().record_outcome(outcome);
                 if let Some(sender) = self.pending_calls.borrow_mut().remove(&call_id) {
-                    // The client may be gone.
+                    // The receiver is gone if the client has disconnected.
                     let _ = sender.try_send(outcome);
                 }
             }
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Puts a configuration into force, unless its version is not above the one in force.
+    /// Applies a configuration document unless its version is at or below the one in force.
     fn apply_document(&self, document: &Document, from: &'static str) {
         let current = self.route_table.borrow().as_ref().map_or(0, |table| table.version);
         self.log.line("document", Budget::Full, || {
@@ -302,22 +304,22 @@
         }
     }
 
-    /// The routes in force.
+    /// Returns the routing table in force.
     pub fn route_table(&self) -> Option<Rc<RouteTable>> {
         self.route_table.borrow().clone()
     }
 
-    /// Whether a newer configuration is known of than is in force here.
+    /// Whether a configuration newer than the received one is known to exist.
     pub fn is_behind(&self) -> bool {
         self.watch.borrow().as_ref().is_some_and(|watch| watch.is_behind())
     }
 
-    /// Whether it could serve requests, if it listened for them.
+    /// Whether the entry has a routing table and knows an agent.
     fn can_serve(&self) -> bool {
         self.route_table.borrow().is_some() && self.dispatcher.borrow().known_agents() > 0
     }
 
-    /// Whether it can serve requests that come now.
+    /// Whether the entry accepts and can serve new requests.
     pub fn is_ready(&self) -> bool {
         self.listening.get() && !self.is_draining() && self.can_serve()
     }
@@ -326,7 +328,7 @@
         self.stop.is_started()
     }
 
-    /// Jobs whose client waits.
+    /// Number of jobs whose client waits for the outcome.
     pub fn active_jobs(&self) -> usize {
         self.dispatcher.borrow().active()
     }
@@ -335,13 +337,13 @@
         self.clock.now()
     }
 
-    /// Takes note of an answer.
+    /// Counts a response by its status.
     pub fn record_response(&self, status: u16) {
         self.metrics.borrow_mut().record_response(status);
     }
 
-    /// Hands in a job; the answer comes over the returned channel. Dropping the guard before tells
-    /// that the client is gone.
+    /// Submits a job; its outcome arrives on the returned channel. Dropping the guard before that
+    /// abandons the call.
     pub fn submit(
         self: &Rc<Self>,
         request: dispatch::JobRequest,
@@ -363,7 +365,7 @@
     }
 }
 
-/// A client that waits; dropped before the answer when the client goes away.
+/// A client that waits for an outcome; dropping it early reports that the client is gone.
 pub(super) struct CallGuard {
     entry: Rc<Entry>,
     call_id: Ticket,
--- a/daemon/src/capacity/entry_http.rs
+++ b/daemon/src/capacity/entry_http.rs
@@ -1,4 +1,4 @@
-//! The entry's HTTP: callers, and the balancer's question whether it is ready.
+//! The entry's HTTP servers: requests of callers and readiness checks of the balancer.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -17,16 +17,16 @@
 use super::entry::Entry;
 use crate::event_log::Budget;
 
-/// Most open connections of callers.
+/// Max open connections of callers.
 const MAX_CONNECTIONS: usize = 3_000;
-/// Limits of the balancer's connections.
+/// Limits for the connections of the balancer.
 const READY_LIMITS: Limits = Limits {
     header_bytes: net::HEADER_BYTES,
     body_bytes: 4_096,
     read_time: Duration::from_secs(30),
     connections: 64,
 };
-/// When to come back to an entry whose configuration is on its way.
+/// `Retry-After` while a configuration is still being fetched.
 const CONFIGURATION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Serves callers until the entry closes its intake.
@@ -39,8 +39,8 @@
         Limits {
             header_bytes: limits.header_bytes,
             body_bytes: limits.body_bytes,
-            // The time for a head counts from the answer before it, so it is that of an idle
-            // connection.
+            // The server starts the header timeout at the previous response, so it has to cover the
+            // idle time.
             read_time: limits.idle_time.max(limits.header_time),
             connections: MAX_CONNECTIONS,
         }
@@ -52,7 +52,7 @@
     tasks.spawn(net::serve_until_closed(listener, tasks.clone(), connections, limits, handler));
 }
 
-/// Serves the balancer's question until the process ends.
+/// Answers readiness checks until the process ends.
 pub(super) fn serve_ready(listener: Async<TcpListener>, tasks: &Tasks, entry: Rc<Entry>) {
     let handler = move |_: Request<Result<Bytes, BodyError>>| {
         let status = if entry.is_ready() { 200 } else { 503 };
@@ -141,13 +141,13 @@
 async fn submit(entry: &Rc<Entry>, job: dispatch::JobRequest) -> Response<Body> {
     log_late_request(entry, &job);
     let (receiver, _guard) = entry.submit(job);
-    // The channel is closed only with the entry.
+    // The sender is dropped without an outcome only when the entry ends.
     let outcome = receiver.recv().await;
     let outcome = outcome.unwrap_or(Outcome::MayHaveRun(dispatch::Reason::Draining));
     json_response(&platform::reply(outcome))
 }
 
-/// A job that comes after the balancer has noticed the stop is told apart in the log.
+/// Logs a job that arrives after the balancer has noticed the planned stop.
 fn log_late_request(entry: &Entry, job: &dispatch::JobRequest) {
     let Some(time_left) = entry.stop.time_left(entry.now()) else { return };
     entry.log.line("late-request", Budget::Full, || {
@@ -157,7 +157,7 @@
     });
 }
 
-/// Every agent is told; what runs ends within moments.
+/// Cancels a job, also if another entry has it.
 fn cancel(entry: &Entry, id: model::JobId) -> Response<Body> {
     let known = entry.has_job(&id);
     entry.log.line("cancel", Budget::Full, || json!({"job": id.as_str(), "here": known}));
@@ -168,8 +168,8 @@
     })
 }
 
-/// There is no such queue. It may be in a configuration that is on its way here: clients take 404 for final, so they
-/// are told to come back for as long as one is (0.3 s for 845 kB by 25 Mbit/s).
+/// Rejects a request whose queue is not in the routing table. Clients take 404 as final, so they
+/// are told to retry while a newer configuration, which may have the queue, is still being fetched.
 fn queue_not_found(entry: &Entry) -> Reply {
     if !entry.is_behind() {
         return error_reply(404, "no such queue");
@@ -178,7 +178,7 @@
     Reply { retry_after: Some(CONFIGURATION_RETRY_AFTER), ..reply }
 }
 
-/// A request that is refused for what it is.
+/// Logs and rejects an invalid request.
 fn reject(entry: &Entry, path: &str, status: u16, reason: &str) -> Reply {
     entry.log.line(
         "malformed",
@@ -196,7 +196,7 @@
     let mut response = plain_response(reply.status, &reply.body);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = reply.retry_after {
-        // Whole seconds, at least one.
+        // `Retry-After` takes whole seconds; zero would ask for an immediate retry.
         let seconds = after.as_secs_f64().ceil().max(1.0) as u64;
         response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
--- a/daemon/src/capacity/entry_log.rs
+++ b/daemon/src/capacity/entry_log.rs
@@ -1,11 +1,11 @@
-//! The entry's decisions as lines of the log.
+//! Writes the dispatcher's events to the log.
 
 use dispatch::{HallsSource, News, Outcome};
 use serde_json::{Value, json};
 
 use crate::event_log::{Budget, EventLog};
 
-/// The answer as a word, and its reason.
+/// Returns the name of an outcome and its reason, which is empty for outcomes without one.
 pub(super) fn outcome_and_reason(outcome: Outcome) -> (&'static str, &'static str) {
     match outcome {
         Outcome::Completed => ("completed", ""),
@@ -23,7 +23,7 @@
     }
 }
 
-/// Writes a decision or a change of state.
+/// Writes an event as one log line.
 pub(super) fn write_event(log: &EventLog, event: &News) {
     match event {
         News::Breach(breach) => {
--- a/daemon/src/capacity/entry_metrics.rs
+++ b/daemon/src/capacity/entry_metrics.rs
@@ -1,4 +1,4 @@
-//! The entry's figures, as monitoring reads them.
+//! The entry's metrics.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use super::entry_log::outcome_and_reason;
 use super::metrics::MetricsPage;
 
-/// What an entry counts of the jobs that it has answered.
+/// Latencies and counts of the jobs and requests that an entry has answered.
 #[derive(Default)]
 pub(super) struct EntryMetrics {
-    /// From handing in to the answer, of completed jobs, by queue.
+    /// Time from submission to outcome of completed jobs, by queue.
     completion_times: HashMap<String, Latency>,
-    /// The longest wait of a task for room, of jobs of which something started.
+    /// Longest wait of a task for capacity, per job that was started.
     wait_times: Latency,
-    /// How long jobs were held that were then told not to have run.
+    /// Time from submission to refusal of jobs that did not run.
     refusal_times: Latency,
-    /// Answers by their outcome and its reason.
+    /// Outcomes by name and reason.
     outcomes: BTreeMap<(&'static str, &'static str), u64>,
-    /// Responses by their status.
+    /// Responses by status.
     statuses: BTreeMap<u16, u64>,
 }
 
 impl EntryMetrics {
-    /// Takes note of a decision: how long a job took, waited, or was held before it was refused.
+    /// Records the latencies of an answered or refused job.
     pub fn record_event(&mut self, event: &News) {
         let News::Answered { queue, outcome, took_ms, waited_ms, starts, .. } = event else {
             if matches!(event, News::Refused { .. }) {
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Takes note of what a client is told of its job.
+    /// Counts an outcome sent to a client.
     pub fn record_outcome(&mut self, outcome: Outcome) {
         *self.outcomes.entry(outcome_and_reason(outcome)).or_default() += 1;
     }
 
-    /// Takes note of a response.
+    /// Counts a response.
     pub fn record_response(&mut self, status: u16) {
         *self.statuses.entry(status).or_default() += 1;
     }
@@ -60,7 +60,7 @@
         if !self.completion_times.contains_key(queue) {
             self.completion_times.insert(queue.to_owned(), Latency::default());
         }
-        self.completion_times.get_mut(queue).expect("it was added")
+        self.completion_times.get_mut(queue).expect("the queue's latency was inserted above")
     }
 
     fn write_metrics(&self, page: &mut MetricsPage) {
@@ -80,7 +80,7 @@
 }
 
 impl Entry {
-    /// Writes them all.
+    /// Adds the entry's metrics to a page.
     pub(super) fn write_metrics(&self, page: &mut MetricsPage) {
         let dispatcher = self.dispatcher.borrow();
         let counters = dispatcher.counters();
--- a/daemon/src/capacity/entry_peers.rs
+++ b/daemon/src/capacity/entry_peers.rs
@@ -1,8 +1,9 @@
-//! What an entry tells the others: jobs that a client has cancelled here and that one of them has.
+//! Forwards cancellations to the other entries, one of which may have the job.
 //!
-//! Entries keep no connections with each other, as these would grow with their square and cancels seldom
-//! come to an entry that has not the job. A connection is opened when there is something to tell, used for a moment, and
-//! closed by the other side, which takes it for that of an agent that never says who it is.
+//! Entries keep no permanent connections with each other: their number would grow with the square
+//! of the entries, while few clients cancel a job at an entry that does not have it. A connection
+//! is opened on demand, reused for a moment and closed by the other side, which takes it for an
+//! agent that never identifies itself.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,13 +23,13 @@
 use crate::clock::Clock;
 use crate::event_log::{Budget, EventLog};
 
-/// How long a connection is used for further cancels. The other side closes it after 700 ms: by then all
-/// that was sent has long arrived.
+/// How long a connection is used for further cancellations. Well below the time after which the
+/// other side closes it, so that all messages sent arrive before.
 const LINK_LIFETIME: Duration = Duration::from_millis(300);
-/// Pause before an entry that could not be reached is connected to again.
+/// Delay before reconnecting to an entry.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The other entries.
+/// The other entries and the cancellations to be sent to them.
 pub(super) struct EntryPeers {
     own_address: SocketAddr,
     tasks: Tasks,
@@ -39,13 +40,13 @@
 }
 
 impl EntryPeers {
-    /// Those of an entry that others reach at an address; it knows none yet.
+    /// Creates the peers of an entry that others reach at `own_address`; none is known yet.
     pub fn new(own_address: SocketAddr, tasks: Tasks, log: EventLog, clock: Clock) -> Rc<Self> {
         let (notices, links) = (RefCell::default(), RefCell::default());
         Rc::new(Self { own_address, tasks, log, clock, notices, links })
     }
 
-    /// Keepers list these entries. Those that are new among them are told of the last cancels.
+    /// Takes the nodes that keepers list. Entries new to the list receive the recent cancellations.
     pub fn update_entries(self: &Rc<Self>, nodes: &[NodeInfo]) {
         let others = nodes.iter().filter(|node| node.role == NodeRole::Entry);
         let addresses =
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Tells every other entry that a job is cancelled.
+    /// Notifies every other entry that a job is cancelled.
     pub fn broadcast_cancel(self: &Rc<Self>, job: &JobId) {
         let recipients = self.notices.borrow_mut().cancelled(self.clock.now(), job);
         for entry in recipients {
@@ -71,7 +72,7 @@
 
     fn send_cancel(self: &Rc<Self>, entry: SocketAddr, job: JobId) {
         if !self.open_link(entry).send(ToEntry::Cancelled(job)) {
-            self.log_undelivered(entry, "its connection takes no more");
+            self.log_undelivered(entry, "the send queue is full or the session has ended");
         }
     }
 
@@ -89,7 +90,7 @@
                     Timer::after(LINK_LIFETIME).await;
                     peers.links.borrow_mut().remove(&address);
                 };
-                // Of an entry's heartbeats nothing is needed.
+                // The other side's heartbeats are ignored.
                 let run = session::run(stream, queue, |_: ToAgent| {});
                 future::zip(expire, run).await;
             }
@@ -99,7 +100,7 @@
         link
     }
 
-    /// Connects to an entry, again for as long as it is owed a cancel.
+    /// Connects to an entry, retrying while a cancellation is pending for it.
     async fn connect_while_pending(&self, entry: SocketAddr) -> Option<Async<TcpStream>> {
         loop {
             match net::connect(entry).await {
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Agents that serve both entries may still tell it; where none does, the job runs to its end.
+    /// Logs a failed delivery. Agents that serve both entries may still forward the cancellation;
+    /// without one, the job runs to its end.
     fn log_undelivered(&self, entry: SocketAddr, reason: &str) {
         self.log.line(
             "cancel-untold",
