--- a/daemon/src/capacity/keeper.rs
+++ b/daemon/src/capacity/keeper.rs
@@ -1,4 +1,4 @@
-//! A keeper of nodes whose targets have room.
+//! The keeper role for nodes that schedule by reported capacity.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use super::{CapacityNodeError, NodeContext, io_error, metrics, reload_until_stopped};
 use crate::keeper_role::{KeeperHandle, KeeperOptions};
 
-/// How long a leader that resigns waits for another to lead.
+/// How long a resigning leader waits for another keeper to take over.
 const HANDOVER_TIME: Duration = Duration::from_millis(250);
 
-/// Runs the keeper until it is told to stop.
+/// Runs the keeper until the process is asked to stop or the keeper fails.
 pub(super) fn run(context: NodeContext) -> Result<(), CapacityNodeError> {
     let Some(keeper) = context.config.keeper.clone() else { return Ok(()) };
     let log = Some(context.log.clone());
--- a/daemon/src/capacity/keeper_watch.rs
+++ b/daemon/src/capacity/keeper_watch.rs
@@ -1,5 +1,5 @@
-//! A node's watch of the keepers: it registers at each of them, takes the list of nodes of each, and fetches the
-//! newest document from those that have it.
+//! A node's connections to the keepers: registers at each of them, merges their lists of nodes, and
+//! fetches the newest document from the sources that have it.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,29 +23,31 @@
 use crate::clock::Clock;
 use crate::event_log::{Budget, EventLog};
 
-/// Pause before a keeper is tried again.
+/// Delay before reconnecting to a keeper.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// A keeper that has not answered for so long is connected to anew; it answers within a second.
+/// A keeper that has not replied for this long is reconnected to. Keepers reply sooner, even
+/// without changes.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1_700);
-/// Failures after which a keeper that nobody names any more is forgotten.
+/// Consecutive failures after which a keeper that nothing refers to any more is forgotten.
 const MAX_FAILURES: u32 = 20;
-/// Longest call of a keeper that is read: an address takes a fraction of it.
+/// Max size of a keeper's announcement that is read; an encoded address is well below it.
 const MAX_ANNOUNCEMENT_BYTES: usize = 64;
-/// Keepers of which a node takes the list of entries. Each of them lists all entries; two may be lost, or cut off from some.
+/// Number of keepers that a node takes the list of entries from. Each keeper lists all entries, so
+/// a few suffice even if some are lost or cut off.
 const LIST_SOURCES: usize = 3;
-/// Keepers beyond so many are not followed for their call alone: more than any cluster has.
+/// Announcements are ignored once this many keepers are followed, which is more than a cluster has.
 const MAX_KEEPERS: usize = 32;
 
-/// Takes a newer document, and who sent the last of it.
+/// Called with a newer document and the source of its last part.
 type OnDocument = Box<dyn Fn(Document, DocumentSource)>;
-/// Takes the entries that are listed, and how many nodes do the same as this one.
+/// Called with the listed entries and the number of nodes with this node's role and service.
 type OnNodes = Box<dyn Fn(&[NodeInfo], usize)>;
-/// Takes the halls that a keeper tells to be emptied.
+/// Called with the halls that a keeper reports as emptied.
 type OnHalls = Box<dyn Fn(EmptiedHalls)>;
-/// Asks the agent of a session for a part of a document.
+/// Requests a part of a document from the agent of a session.
 type RequestAgentPart = Box<dyn Fn(u64, PartRequest)>;
 
-/// What a node does with what the watch learns, and how it asks agents.
+/// Callbacks for what the keepers report, and for requests to agents.
 pub(crate) struct WatchCallbacks {
     pub on_document: OnDocument,
     pub on_nodes: OnNodes,
@@ -53,44 +55,44 @@
     pub request_agent_part: RequestAgentPart,
 }
 
-/// What happens to an agent as a source of documents.
+/// An event of an agent as a document source.
 pub(crate) enum AgentEvent {
-    /// It tells the version that it has.
+    /// The agent announced its document version.
     Offered(u64),
-    /// It answers a question for a part; with none where it has not that version.
+    /// The agent answered a request for a part; `None` if it lacks the requested version.
     Answered(Option<DocumentPart>),
-    /// Its session is over.
+    /// The agent's session ended.
     Gone,
 }
 
-/// The watch, shared by its tasks.
+/// State of the watch, shared by its tasks.
 pub(crate) struct KeeperWatch {
     own_node: NodeInfo,
     tasks: Tasks,
     log: EventLog,
     node_port: u16,
     callbacks: WatchCallbacks,
-    /// Keepers that are named by the configuration.
+    /// Keepers named in the configuration.
     seeds: RefCell<BTreeSet<SocketAddr>>,
-    /// Keepers that other keepers name.
+    /// Keepers that other keepers report, by the reporting keeper.
     reported: RefCell<BTreeMap<SocketAddr, Vec<SocketAddr>>>,
     followed: RefCell<BTreeSet<SocketAddr>>,
     listings: RefCell<BTreeMap<SocketAddr, Listing>>,
-    /// The keepers that are connected to.
+    /// Clients of the connected keepers.
     clients: RefCell<BTreeMap<SocketAddr, KeeperServiceClient>>,
     fetch: RefCell<DocumentFetch>,
     clock: Clock,
 }
 
-/// What one keeper has told of other nodes.
+/// The nodes that one keeper lists.
 struct Listing {
     list: NodeList,
-    /// Nodes that do the same as this one.
+    /// Number of nodes with this node's role and service, itself included.
     peers: usize,
 }
 
 impl KeeperWatch {
-    /// Starts to watch the keepers that the configuration names.
+    /// Starts following the configured keepers.
     pub fn start(
         own_node: NodeInfo,
         tasks: Tasks,
@@ -118,8 +120,8 @@
         watch
     }
 
-    /// Takes calls of keepers that have started and knew this node before. Without them only the keepers that the
-    /// configuration names are found.
+    /// Receives announcements of restarted keepers that remember this node. If the port is
+    /// unavailable, only the configured keepers and those that they report are found.
     fn listen_for_announcements(self: &Rc<Self>) {
         let address = SocketAddr::new(self.own_node.address.ip(), self.node_port);
         let socket = match Async::<UdpSocket>::bind(address) {
@@ -135,7 +137,7 @@
             let mut bytes = [0; MAX_ANNOUNCEMENT_BYTES];
             loop {
                 let Ok(length) = socket.recv(&mut bytes).await else {
-                    // What is lost is a hint, and the keeper calls again.
+                    // A lost announcement is only a hint; the keeper repeats it.
                     Timer::after(RETRY_DELAY).await;
                     continue;
                 };
@@ -145,17 +147,17 @@
     }
 
     fn handle_announcement(self: &Rc<Self>, bytes: &[u8]) {
-        // Whatever else comes to the port names no keeper, and a call that is torn comes again.
+        // Other datagrams are ignored; the keeper repeats a damaged announcement.
         let Ok(KeeperIsUp { keeper }) = bincode::deserialize(bytes) else { return };
         let is_new = !self.followed.borrow().contains(&keeper);
-        // Keepers of a cluster listen at one port.
+        // All keepers of a cluster listen on the same port.
         if is_new && keeper.port() == self.node_port && self.followed.borrow().len() < MAX_KEEPERS {
             self.log_keeper(keeper, "keeper-calls");
             self.add_keeper(keeper);
         }
     }
 
-    /// The configuration names other keepers.
+    /// Replaces the configured keepers and follows new ones.
     pub fn set_seeds(self: &Rc<Self>, seeds: &[SocketAddr]) {
         let port = self.node_port;
         let seeds = seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect();
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Whether anyone names a keeper.
+    /// Whether a keeper is configured or reported by another keeper.
     fn is_referenced(&self, keeper: SocketAddr) -> bool {
         let by_others = self
             .reported
@@ -181,7 +183,7 @@
         by_others || self.seeds.borrow().contains(&keeper)
     }
 
-    /// Watches one keeper until it is gone and nobody names it any more.
+    /// Follows a keeper until it stays unreachable and nothing refers to it any more.
     async fn follow(self: Rc<Self>, keeper: SocketAddr) {
         let mut failures = 0;
         while failures < MAX_FAILURES || self.is_referenced(keeper) {
@@ -189,7 +191,7 @@
                 let NewClient { client, dispatch } =
                     KeeperServiceClient::new(Config::default(), net::frames(stream));
                 let dispatch = async move {
-                    // The calls see why it ended.
+                    // The pending calls return the error.
                     let _ = dispatch.await;
                 };
                 self.clients.borrow_mut().insert(keeper, client.clone());
@@ -212,7 +214,7 @@
         self.report_nodes();
     }
 
-    /// Asks one keeper again and again; returns whether it ever answered.
+    /// Polls a keeper until a call fails or times out; returns whether any call succeeded.
     async fn poll_keeper(
         self: &Rc<Self>,
         keeper: SocketAddr,
@@ -261,8 +263,8 @@
         }
     }
 
-    /// Whether the list of entries is taken from a keeper: from the first few of those that are connected to, in an order of
-    /// this node's own.
+    /// Whether the list of entries is taken from a keeper: it ranks among the first of the
+    /// connected keepers, in an order specific to this node.
     fn is_list_source(&self, keeper: SocketAddr) -> bool {
         let seed = xxh3_64(self.own_node.name.as_str().as_bytes());
         let rank = |address: &SocketAddr| xxh3_64_with_seed(address.to_string().as_bytes(), seed);
@@ -275,7 +277,7 @@
         self.log.line(kind, Budget::Full, || json!({"keeper": keeper.to_string()}));
     }
 
-    /// Tells the fetch of what has happened, and does what follows.
+    /// Updates the document fetch and executes the resulting steps.
     fn drive_fetch(
         self: &Rc<Self>,
         update: impl FnOnce(&mut DocumentFetch, Time) -> Option<FetchStep>,
@@ -292,7 +294,8 @@
         }
     }
 
-    /// Asks for a part of a document, and looks after a while whether it has come.
+    /// Requests a part of a document, and resumes the fetch after a timeout in case it has not
+    /// arrived.
     fn request_part(self: &Rc<Self>, source: DocumentSource, request: PartRequest) {
         let watch = self.clone();
         self.tasks.spawn(async move {
@@ -305,12 +308,12 @@
         }
     }
 
-    /// Whether a newer document is known of than has come.
+    /// Whether a document newer than the received one is known to exist.
     pub fn is_behind(&self) -> bool {
         self.fetch.borrow().is_behind()
     }
 
-    /// Takes what happens to an agent as a source of documents.
+    /// Handles an event of an agent as a document source.
     pub fn handle_agent_event(self: &Rc<Self>, session: u64, event: AgentEvent) {
         let source = DocumentSource::Agent(session);
         self.drive_fetch(|fetch, now| match event {
@@ -353,7 +356,7 @@
         }
     }
 
-    /// Takes note of what a keeper tells of other nodes; returns whether that is new.
+    /// Stores a keeper's list of nodes; returns whether it changed.
     fn update_listing(&self, keeper: SocketAddr, update: Option<ListNews>, peers: usize) -> bool {
         let mut listings = self.listings.borrow_mut();
         let listing = match update {
@@ -363,7 +366,7 @@
             }
             _ => listings.get_mut(&keeper),
         };
-        // Only who has a list is told what has changed in it.
+        // Keepers send changes only to nodes that have their list.
         let Some(listing) = listing else { return false };
         let changed = update.is_some();
         if let Some(ListNews::Change(change)) = update {
@@ -372,8 +375,8 @@
         std::mem::replace(&mut listing.peers, peers) != peers || changed
     }
 
-    /// All entries that some keeper lists. Of the numbers of peers the highest counts: keepers that have
-    /// just started have not heard of all yet.
+    /// Reports all entries that any keeper lists. The highest peer count is used, as keepers that
+    /// have just started do not know all nodes yet.
     fn report_nodes(&self) {
         let listings = self.listings.borrow();
         let nodes: BTreeSet<NodeInfo> =
--- a/daemon/src/capacity/message_counters.rs
+++ b/daemon/src/capacity/message_counters.rs
@@ -1,11 +1,11 @@
-//! Counts the messages of sessions by kind: what a node spends on other nodes, and what that grows with.
+//! Counts session messages by direction and kind.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
 use super::metrics::MetricsPage;
 
-/// The messages of all sessions of a node since its start.
+/// Messages of all sessions of a node since it started.
 #[derive(Debug, Default)]
 pub(super) struct MessageCounters {
     sent: RefCell<BTreeMap<&'static str, u64>>,
@@ -13,17 +13,17 @@
 }
 
 impl MessageCounters {
-    /// A message of a kind was handed to a session.
+    /// Counts a message handed to a session.
     pub fn record_sent(&self, kind: &'static str) {
         *self.sent.borrow_mut().entry(kind).or_default() += 1;
     }
 
-    /// A message of a kind came over a session.
+    /// Counts a message received from a session.
     pub fn record_received(&self, kind: &'static str) {
         *self.received.borrow_mut().entry(kind).or_default() += 1;
     }
 
-    /// Adds the counters to a page.
+    /// Adds the counters to a metrics page.
     pub fn write_metrics(&self, page: &mut MetricsPage) {
         for (direction, counts) in [("sent", &self.sent), ("received", &self.received)] {
             for (kind, count) in &*counts.borrow() {
--- a/daemon/src/capacity/metrics.rs
+++ b/daemon/src/capacity/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies as text, in the form that monitoring reads.
+//! Serves counters, gauges and latencies in the Prometheus text format.
 
 use std::cell::RefCell;
 use std::fmt::Write as _;
@@ -12,17 +12,17 @@
 use net::{Body, Limits, Tasks};
 use telemetry::Latency;
 
-/// Limits of the connections of monitoring.
+/// Limits for the connections of the monitoring system.
 const LIMITS: Limits = Limits {
     header_bytes: net::HEADER_BYTES,
     body_bytes: 4_096,
     read_time: Duration::from_secs(10),
     connections: 16,
 };
-/// The quantiles that are told.
+/// Quantiles reported for each latency.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 
-/// A page of figures.
+/// A metrics page in the Prometheus text format.
 #[derive(Default)]
 pub(crate) struct MetricsPage(String);
 
@@ -32,7 +32,7 @@
         let _ = writeln!(self.0, "dockpass_{name}{labels} {value}");
     }
 
-    /// Adds a histogram as quantiles in seconds, with its count.
+    /// Adds a latency as quantiles in seconds, with its count.
     pub fn latency(&mut self, name: &str, label: &str, value: &str, latency: &Latency) {
         for quantile in QUANTILES {
             let seconds = latency.at(quantile).as_secs_f64();
@@ -49,7 +49,7 @@
     }
 }
 
-/// Serves a page that is made at each request.
+/// Serves a page that is generated for each request.
 pub(crate) fn serve(
     address: SocketAddr,
     tasks: &Tasks,
--- a/daemon/src/capacity/mod.rs
+++ b/daemon/src/capacity/mod.rs
@@ -1,8 +1,7 @@
-//! Nodes whose targets have room: an entry, an agent or a keeper in one process.
+//! Nodes that schedule by reported capacity: an entry, an agent or a keeper in one process.
 //!
-//! Entries and agents run on one thread, beside those of the log and the signals. The machines
-//! beside targets are small, and each hand-over between threads costs a wake-up there; the account
-//! stands in `docs/design/platform.md`.
+//! Entries and agents run on one thread, besides those for the log and the signals. Hosts beside
+//! targets are small, and each handover between threads costs a wake-up there.
 
 mod agent;
 mod agent_log;
@@ -37,22 +36,22 @@
 use crate::event_log::{Budget, EventLog};
 use crate::keeper_role::KeeperError;
 
-/// How often the configuration's file is looked at for changes without a signal.
+/// How often the configuration file is checked for changes without a signal.
 const FILE_POLL: Duration = Duration::from_secs(2);
 
-/// Why a node can't run.
+/// Why a node failed to start or to run.
 #[derive(Debug, Error)]
 pub enum CapacityNodeError {
-    /// A socket or a thread can't be had.
+    /// A socket or a thread is unavailable.
     #[error("{resource}: {source}")]
     Io {
-        /// What was tried.
+        /// The resource, such as an address to listen on.
         resource: String,
-        /// Why it failed.
+        /// The cause.
         #[source]
         source: io::Error,
     },
-    /// The keeper's state can't be used.
+    /// The keeper failed, for example because its stored state is unusable.
     #[error(transparent)]
     Keeper(#[from] KeeperError),
 }
@@ -62,16 +61,18 @@
     move |source| CapacityNodeError::Io { resource, source }
 }
 
-/// What the process was told from outside.
+/// A request to the running process.
 #[derive(Clone, Debug)]
 enum ControlEvent {
-    /// A planned stop.
+    /// Start a planned stop.
     Stop,
-    /// The configuration's file may have changed.
+    /// Check the configuration file for changes.
     Reload,
 }
 
-/// Runs a node until a signal asks for the end.
+/// Runs a node until a signal asks it to stop.
+///
+/// Fails if a socket, a thread or the keeper's state is unavailable.
 pub fn run_capacity_node(config: &Config, path: &Path) -> Result<(), CapacityNodeError> {
     let clock = Clock::start();
     let name = config.node.name.as_str();
@@ -105,7 +106,7 @@
     result
 }
 
-/// What every role begins with.
+/// What every role needs to start.
 struct NodeContext {
     config: Config,
     path: PathBuf,
@@ -115,15 +116,15 @@
     incarnation: Incarnation,
 }
 
-/// A number that no earlier life of the node had, but by a chance of one in 2^64.
+/// Draws a random incarnation number, which with near certainty no earlier process of the node had.
 fn new_incarnation() -> Incarnation {
     let random = uuid::Uuid::new_v4().as_u128();
     Incarnation((random >> 64) as u64 ^ random as u64)
 }
 
-/// Turns signals into orders: stops are planned; only a second SIGINT, from a terminal, ends the process at
-/// once. A restart and a removal of a host may both send SIGTERM, and the stop that goes on leaves nothing
-/// unanswered.
+/// Turns signals into control events. The first SIGTERM or SIGINT starts a planned stop. During the
+/// stop only SIGINT, sent from a terminal, exits at once: a restart and the removal of a host may
+/// each send SIGTERM, and the stop in progress still answers every request.
 fn listen_for_signals() -> io::Result<Receiver<ControlEvent>> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let (sender, receiver) = async_channel::bounded(16);
@@ -131,10 +132,10 @@
         let mut stopping = false;
         for signal in signals.forever() {
             if signal == SIGHUP {
-                // A full ring has an order of the same kind in it already.
+                // A full channel already holds a reload.
                 let _ = sender.try_send(ControlEvent::Reload);
             } else if !std::mem::replace(&mut stopping, true) {
-                // Fails only where nobody waits for orders any more: the process ends.
+                // Fails only if the process is ending and the receiver is dropped.
                 let _ = sender.send_blocking(ControlEvent::Stop);
             } else if signal == SIGINT {
                 std::process::exit(1);
@@ -144,8 +145,8 @@
     Ok(receiver)
 }
 
-/// Waits for the order to stop. Each time the configuration's file has changed, with a signal or
-/// without, it is checked and handed on; a file that can't be used changes nothing.
+/// Waits for a request to stop. A configuration file that has changed, with or without a signal, is
+/// checked and passed to `on_reload`; an invalid one is logged and changes nothing.
 async fn reload_until_stopped(context: &NodeContext, mut on_reload: impl FnMut(&Config)) {
     let mut current = context.config.clone();
     loop {
--- a/daemon/src/capacity/session.rs
+++ b/daemon/src/capacity/session.rs
@@ -1,4 +1,5 @@
-//! A session between an entry and an agent: a connection with batches of typed messages both ways.
+//! A session between an entry and an agent: one connection with batches of typed messages in both
+//! directions.
 
 use async_channel::{Receiver, Sender};
 use async_io::Async;
@@ -7,41 +8,42 @@
 use serde::{Deserialize, Serialize};
 use std::net::TcpStream;
 
-/// Messages that wait to be sent; a session whose other side does not read is closed. Slots are not
-/// allocated ahead: 4,096 of them take 340 KB, for each session, whatever is sent.
+/// Max messages queued in a session, so that a peer that stops reading is disconnected. Checked on
+/// sending: a bounded channel would allocate all its slots in advance for each session.
 const MAX_QUEUED_MESSAGES: usize = 4_096;
-/// Most messages in one frame.
+/// Max messages per frame.
 const MAX_BATCH_MESSAGES: usize = 256;
 
-/// The sending side of a session. Dropping it closes the connection, also while it takes no bytes.
+/// The sending half of a session. Dropping it closes the connection, even while a write is blocked.
 pub(crate) struct SessionSender<M> {
     messages: Sender<M>,
-    /// Dropped with this.
+    /// Closes the session when dropped.
     _open: Sender<()>,
 }
 
-/// What waits to be sent in a session, and whether it is closed.
+/// Messages queued in a session, and a channel that is closed with its sender.
 pub(crate) struct OutboundQueue<M> {
     messages: Receiver<M>,
     open: Receiver<()>,
 }
 
 impl<M> SessionSender<M> {
-    /// A ring for a session that is about to run.
+    /// Creates a sender and the queue that [`run`] takes its messages from.
     pub fn new() -> (Self, OutboundQueue<M>) {
         let (messages, queued) = async_channel::unbounded();
         let (open, closed) = async_channel::bounded(1);
         (Self { messages, _open: open }, OutboundQueue { messages: queued, open: closed })
     }
 
-    /// Sends a message; false where the ring is full or the session over.
+    /// Queues a message; returns false if the queue is full or the session has ended.
     pub fn send(&self, message: M) -> bool {
         self.messages.len() < MAX_QUEUED_MESSAGES && self.messages.try_send(message).is_ok()
     }
 }
 
-/// Runs a session until either side ends it: sends what waits, hands on what comes. Once it is closed
-/// here nothing more is sent: the other side may have stopped reading for good.
+/// Runs a session until either side ends it: sends queued messages and passes received ones to
+/// `on_message`. Once the sender is dropped nothing more is sent, as the peer may have stopped
+/// reading.
 pub(crate) async fn run<Out, In>(
     stream: Async<TcpStream>,
     queue: OutboundQueue<Out>,
@@ -73,7 +75,7 @@
         }
     };
     let closed = async move {
-        // Nothing is ever sent; it fails once the other half is dropped.
+        // Nothing is sent on this channel; `recv` fails once the sender is dropped.
         let _ = open.recv().await;
     };
     future::or(closed, future::or(send, receive)).await;
