--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -32,8 +32,8 @@
 use crate::config::AgentConfig;
 use crate::event_log::{Budget, EventLog};
 
-/// Reserved at the end of the platform's stop grace period. The leases of runs that outlast the
-/// stop expire only afterwards, when a replacement process may already be running.
+/// Time left unused at the end of the platform's stop grace period: runs that outlast the stop end
+/// only when their leases expire, and a replacement process may be running by then.
 const STOP_MARGIN: Duration = Duration::from_millis(1_200);
 /// How often a stopping agent checks whether its runs have ended.
 const STOP_POLL: Duration = Duration::from_millis(20);
@@ -130,7 +130,7 @@
         config: &AgentConfig,
     ) -> Rc<KeeperWatch> {
         let node = &context.config.node;
-        let own = NodeInfo {
+        let own_node = NodeInfo {
             name: node.name.clone(),
             role: NodeRole::Agent,
             address: config.listen,
@@ -139,7 +139,7 @@
         };
         let (for_documents, for_nodes, for_halls) = (self.clone(), self.clone(), self.clone());
         KeeperWatch::start(
-            own,
+            own_node,
             self.tasks.clone(),
             self.log.clone(),
             node.node_port,
--- a/daemon/src/capacity/agent_sessions.rs
+++ b/daemon/src/capacity/agent_sessions.rs
@@ -18,7 +18,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(120);
 /// How long an entry that is no longer listed is still retried.
 const UNLISTED_RETRY_TIME: Duration = Duration::from_secs(30);
-/// How often the selection is recomputed without news from keepers. It also changes with time:
+/// How often the selection is recomputed without updates from keepers. It also changes with time:
 /// absent entries expire, and a changed number of entries takes effect after a delay.
 const SELECTION_POLL: Duration = Duration::from_millis(500);
 
--- a/daemon/src/capacity/entry.rs
+++ b/daemon/src/capacity/entry.rs
@@ -191,7 +191,7 @@
 
     fn start_watch(self: &Rc<Self>, context: &NodeContext, address: SocketAddr, tasks: &Tasks) {
         let node = &context.config.node;
-        let own = NodeInfo {
+        let own_node = NodeInfo {
             name: node.name.clone(),
             role: NodeRole::Entry,
             address,
@@ -208,7 +208,7 @@
             requester.send_to_agent(SessionId(id), ToAgent::SendPart(request));
         });
         let watch = KeeperWatch::start(
-            own,
+            own_node,
             tasks.clone(),
             self.log.clone(),
             node.node_port,
--- a/daemon/src/capacity/entry_peers.rs
+++ b/daemon/src/capacity/entry_peers.rs
@@ -24,7 +24,7 @@
 use crate::event_log::{Budget, EventLog};
 
 /// How long a connection is used for further cancellations. Well below the time after which the
-/// other side closes it, so that all messages sent arrive before.
+/// other side closes it, so that every message sent arrives before that.
 const LINK_LIFETIME: Duration = Duration::from_millis(300);
 /// Delay before reconnecting to an entry.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
@@ -40,7 +40,7 @@
 }
 
 impl EntryPeers {
-    /// Creates the peers of an entry that others reach at `own_address`; none is known yet.
+    /// Creates an empty list of peers for the entry that others reach at `own_address`.
     pub fn new(own_address: SocketAddr, tasks: Tasks, log: EventLog, clock: Clock) -> Rc<Self> {
         let (notices, links) = (RefCell::default(), RefCell::default());
         Rc::new(Self { own_address, tasks, log, clock, notices, links })
