--- a/daemon/src/room/agent_news.rs
+++ b/daemon/src/capacity/agent_log.rs
@@ -1,4 +1,4 @@
-//! The agent's decisions as lines of the log.
+//! Writes the runner's events to the log.
 
 use runner::{HallsSource, LogEvent};
 use serde_json::{Value, json};
@@ -13,9 +13,9 @@
     }
 }
 
-/// Writes a decision or a change of state.
-pub(super) fn write(log: &EventLog, news: &LogEvent) {
-    match news {
+/// Writes an event as one log line.
+pub(super) fn write_event(log: &EventLog, event: &LogEvent) {
+    match event {
         LogEvent::TargetFound { instance, fencing_token } => log.line(
             "target-found",
             Budget::Full,
--- a/daemon/src/room/entry_news.rs
+++ b/daemon/src/capacity/entry_log.rs
@@ -1,12 +1,12 @@
-//! The entry's decisions as lines of the log.
+//! Writes the dispatcher's events to the log.
 
 use dispatch::{HallsSource, LogEvent, Outcome};
 use serde_json::{Value, json};
 
 use crate::event_log::{Budget, EventLog};
 
-/// The answer as a word, and its reason.
-pub(super) fn outcome_fields(outcome: Outcome) -> (&'static str, &'static str) {
+/// Returns the name of an outcome and its reason, which is empty for outcomes without one.
+pub(super) fn outcome_and_reason(outcome: Outcome) -> (&'static str, &'static str) {
     match outcome {
         Outcome::Completed => ("completed", ""),
         Outcome::Failed(reason) => ("failed", reason.as_str()),
@@ -23,9 +23,9 @@
     }
 }
 
-/// Writes a decision or a change of state.
-pub(super) fn write(log: &EventLog, news: &LogEvent) {
-    match news {
+/// Writes an event as one log line.
+pub(super) fn write_event(log: &EventLog, event: &LogEvent) {
+    match event {
         LogEvent::Breach(breach) => {
             log.line("breach", Budget::Full, || json!({"breach": breach.to_string()}));
         }
@@ -79,12 +79,12 @@
                 Outcome::Completed => ("completed", Budget::Sampled),
                 _ => ("answered", Budget::Full),
             };
-            log.line(kind, budget, || answered(news));
+            log.line(kind, budget, || answered_fields(event));
         }
     }
 }
 
-fn answered(news: &LogEvent) -> Value {
+fn answered_fields(event: &LogEvent) -> Value {
     let LogEvent::Answered {
         job,
         queue,
@@ -95,12 +95,12 @@
         starts,
         waited_ms,
         targets,
-    } = news
+    } = event
     else {
         return json!({});
     };
-    let (word, reason) = outcome_fields(*outcome);
-    json!({"job": job.as_str(), "queue": &**queue, "outcome": word, "reason": reason,
+    let (outcome_name, reason) = outcome_and_reason(*outcome);
+    json!({"job": job.as_str(), "queue": &**queue, "outcome": outcome_name, "reason": reason,
         "took_ms": took_ms, "objective_ms": objective_ms, "tasks": tasks, "starts": starts,
         "waited_ms": waited_ms, "open": targets.open, "most_free": targets.most_free.to_string(),
         "oldest_ms": targets.oldest_ms, "waiting": targets.waiting})
--- a/daemon/src/room/metrics.rs
+++ b/daemon/src/capacity/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies as text, in the form that monitoring reads.
+//! Serves counters, gauges and latencies in the Prometheus text format.
 
 use std::cell::RefCell;
 use std::fmt::Write as _;
@@ -12,27 +12,27 @@
 use net::{Body, Limits, Tasks};
 use telemetry::Latency;
 
-/// Limits of the connections of monitoring.
+/// Limits for the connections of the monitoring system.
 const LIMITS: Limits = Limits {
     header_bytes: net::HEADER_BYTES,
     body_bytes: 4_096,
     read_time: Duration::from_secs(10),
     connections: 16,
 };
-/// The quantiles that are told.
+/// Quantiles reported for each latency.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 
-/// A page of figures.
+/// A metrics page in the Prometheus text format.
 #[derive(Default)]
-pub(crate) struct Page(String);
+pub(crate) struct MetricsPage(String);
 
-impl Page {
+impl MetricsPage {
     /// Adds a counter or a gauge.
     pub fn value(&mut self, name: &str, labels: &str, value: u64) {
         let _ = writeln!(self.0, "dockpass_{name}{labels} {value}");
     }
 
-    /// Adds a histogram as quantiles in seconds, with its count.
+    /// Adds a latency as quantiles in seconds, with its count.
     pub fn latency(&mut self, name: &str, label: &str, value: &str, latency: &Latency) {
         for quantile in QUANTILES {
             let seconds = latency.at(quantile).as_secs_f64();
@@ -49,32 +49,32 @@
     }
 }
 
-/// Serves a page that is made at each request.
+/// Serves a page that is generated for each request.
 pub(crate) fn serve(
     address: SocketAddr,
     tasks: &Tasks,
-    fill: impl Fn(&mut Page) + 'static,
+    write_page: impl Fn(&mut MetricsPage) + 'static,
 ) -> std::io::Result<()> {
     let listener = Async::<TcpListener>::bind(address)?;
-    let fill = Rc::new(RefCell::new(fill));
+    let write_page = Rc::new(RefCell::new(write_page));
     let handler = move |request: Request<_>| {
-        let fill = fill.clone();
-        async move { respond(&request, &*fill.borrow()) }
+        let write_page = write_page.clone();
+        async move { respond(&request, &*write_page.borrow()) }
     };
     tasks.spawn(net::serve(listener, tasks.clone(), || LIMITS, handler));
     Ok(())
 }
 
-fn respond<B>(request: &Request<B>, fill: &impl Fn(&mut Page)) -> Response<Body> {
-    let mut page = Page::default();
+fn respond<B>(request: &Request<B>, write_page: &impl Fn(&mut MetricsPage)) -> Response<Body> {
+    let mut page = MetricsPage::default();
     if request.uri().path() != "/metrics" {
         let mut response = Response::new(Body::from("see /metrics\n"));
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
     }
-    fill(&mut page);
+    write_page(&mut page);
     let mut response = Response::new(Body::from(page.0));
-    let text = HeaderValue::from_static("text/plain; version=0.0.4");
-    response.headers_mut().insert(CONTENT_TYPE, text);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
--- a/daemon/src/room/target_http.rs
+++ b/daemon/src/capacity/target_http.rs
@@ -1,4 +1,4 @@
-//! The agent's HTTP: what its target reports.
+//! The agent's HTTP server for reports of its target.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use super::agent::Agent;
 use crate::event_log::Budget;
 
-/// Limits of the target's connections.
+/// Limits for the connections of the target.
 const LIMITS: Limits = Limits {
     header_bytes: net::HEADER_BYTES,
     body_bytes: 256 * 1024,
@@ -27,21 +27,22 @@
 pub(super) fn serve(listener: Async<TcpListener>, tasks: &Tasks, agent: Rc<Agent>) {
     let handler = move |request| {
         let agent = agent.clone();
-        async move { answer(&agent, request) }
+        async move { handle_request(&agent, request) }
     };
     tasks.spawn(net::serve(listener, tasks.clone(), || LIMITS, handler));
 }
 
-fn answer(agent: &Rc<Agent>, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
+fn handle_request(agent: &Rc<Agent>, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
     let (head, body) = request.into_parts();
     match (TargetCall::read(&head.method, head.uri.path()), body) {
         (Some(TargetCall::Beat(id)), Ok(body)) => match agent.read_report(&id, &body) {
             Ok(report) => {
-                // A late one is answered as well: a life that is over hears nothing, and one that
-                // is there would take a refusal for a failed report and for want of an
-                // acknowledgement that it is leaving. What is acknowledged has been taken in.
-                agent.feed(Event::TargetReported(report));
-                reply(200, "{}".to_owned())
+                // A late report is acknowledged too. An instance that has ended ignores the
+                // response, while the current one would count a refusal as a failed report and miss
+                // the acknowledgement that it is leaving. A report is acknowledged only once it is
+                // processed.
+                agent.handle_event(Event::TargetReported(report));
+                build_response(200, "{}".to_owned())
             }
             Err(error) => {
                 let reason = error.to_string();
@@ -50,23 +51,23 @@
                     Budget::Full,
                     || json!({"target": id, "reason": reason}),
                 );
-                reply(400, json!({"error": reason}).to_string())
+                build_response(400, json!({"error": reason}).to_string())
             }
         },
         (Some(TargetCall::Leave(id)), body) => {
-            // A body that can't be read leaves open which life it is, as none does.
+            // Without a readable body the instance is unknown, as with an empty body.
             let body = body.unwrap_or_default();
-            agent.feed(Event::TargetLeft(platform::read_leave(&id, &body)));
-            reply(200, "{}".to_owned())
+            agent.handle_event(Event::TargetLeft(platform::read_leave(&id, &body)));
+            build_response(200, "{}".to_owned())
         }
         (Some(TargetCall::Beat(_)), Err(error)) => {
-            reply(400, json!({"error": error.to_string()}).to_string())
+            build_response(400, json!({"error": error.to_string()}).to_string())
         }
-        (None, _) => reply(404, "{}".to_owned()),
+        (None, _) => build_response(404, "{}".to_owned()),
     }
 }
 
-fn reply(status: u16, body: String) -> Response<Body> {
+fn build_response(status: u16, body: String) -> Response<Body> {
     let mut response = Response::new(Body::from(body));
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
