--- a/components/client/src/caller.rs
+++ b/components/client/src/caller.rs
@@ -8,7 +8,7 @@
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method};
 use model::{SubmissionId, Verdict};
-use net::{Client, ClientError, Reply, Tasks};
+use net::{Client, ClientError, Reply, Spawner};
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -64,7 +64,7 @@
 
 impl Caller {
     /// A client that waits so long for each answer.
-    pub fn new(entry: SocketAddr, tasks: Tasks, time: Duration) -> Self {
+    pub fn new(entry: SocketAddr, tasks: Spawner, time: Duration) -> Self {
         Self { client: Client::new(entry, tasks), time }
     }
 
--- a/components/client/src/operator.rs
+++ b/components/client/src/operator.rs
@@ -5,7 +5,7 @@
 
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method};
-use net::{Client, Reply, Tasks};
+use net::{Client, Reply, Spawner};
 use serde::Deserialize;
 use settings::{Edit, SettingsError, Tree};
 use thiserror::Error;
@@ -84,7 +84,7 @@
 
 impl Operator {
     /// A client of these keepers.
-    pub fn new(keepers: &[SocketAddr], tasks: &Tasks) -> Self {
+    pub fn new(keepers: &[SocketAddr], tasks: &Spawner) -> Self {
         let client = |address: &SocketAddr| Client::new(*address, tasks.clone());
         Self { keepers: keepers.iter().map(client).collect() }
     }
@@ -139,7 +139,7 @@
     ) -> Option<T> {
         for round in 0..ROUNDS {
             if round > 0 {
-                net::pause(ROUND_PAUSE).await;
+                net::sleep(ROUND_PAUSE).await;
             }
             for keeper in &self.keepers {
                 let reply = exchange(keeper, Method::POST, path, body.to_vec()).await;
--- a/components/fakes/src/target.rs
+++ b/components/fakes/src/target.rs
@@ -111,10 +111,10 @@
     stopped: async_channel::Receiver<()>,
 ) {
     let limits = Limits {
-        header_bytes: net::HEADER_BYTES,
-        body_bytes: 1 << 20,
-        read_time: Duration::from_secs(10),
-        connections: 1_000,
+        max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
+        max_body_bytes: 1 << 20,
+        read_timeout: Duration::from_secs(10),
+        max_connections: 1_000,
     };
     let handler = move |request: Request<Result<Bytes, BodyError>>| {
         let starts = starts.clone();
--- a/components/net/src/client.rs
+++ b/components/net/src/client.rs
@@ -17,7 +17,7 @@
 use smol_hyper::rt::FuturesIo;
 use thiserror::Error;
 
-use crate::{Tasks, connect};
+use crate::{Spawner, connect};
 
 /// Longest answer taken, in bytes.
 const ANSWER_BYTES_MAX: usize = 32 * 1024 * 1024;
@@ -30,13 +30,13 @@
     Connect(#[source] io::Error),
     /// The request could not be made: it was not sent.
     #[error("not a request: {0}")]
-    BadRequest(String),
+    InvalidRequest(String),
     /// The connection broke after the request was sent, in part or whole.
     #[error("broke off: {0}")]
-    Broken(String),
+    Disconnected(String),
     /// No whole answer came in time.
     #[error("no answer in time")]
-    TooLate,
+    Timeout,
 }
 
 impl ClientError {
@@ -48,8 +48,8 @@
     /// Whether the other side may have acted on the request.
     pub fn verdict(&self) -> Verdict {
         match self {
-            Self::Connect(_) | Self::BadRequest(_) => Verdict::NotRun,
-            Self::Broken(_) | Self::TooLate => Verdict::MayHaveRun,
+            Self::Connect(_) | Self::InvalidRequest(_) => Verdict::NotRun,
+            Self::Disconnected(_) | Self::Timeout => Verdict::MayHaveRun,
         }
     }
 }
@@ -81,13 +81,13 @@
 /// next request opens a new one. Which requests are sent again is up to the caller.
 pub struct Client {
     address: SocketAddr,
-    tasks: Tasks,
+    tasks: Spawner,
     idle: RefCell<Vec<Kept>>,
 }
 
 impl Client {
     /// A client without connections yet.
-    pub fn new(address: SocketAddr, tasks: Tasks) -> Self {
+    pub fn new(address: SocketAddr, tasks: Spawner) -> Self {
         Self { address, tasks, idle: RefCell::new(Vec::new()) }
     }
 
@@ -107,10 +107,10 @@
         let given_to_kept = Cell::new(None);
         let late = async {
             Timer::after(time).await;
-            Err(ClientError::TooLate)
+            Err(ClientError::Timeout)
         };
         let answer = self.exchange(request, &given_to_kept).or(late).await;
-        if let (Err(ClientError::TooLate), Some(sent)) = (&answer, given_to_kept.get()) {
+        if let (Err(ClientError::Timeout), Some(sent)) = (&answer, given_to_kept.get()) {
             self.idle.borrow_mut().retain(|kept| kept.answered >= sent);
         }
         answer
@@ -123,7 +123,7 @@
         headers: HeaderMap,
         body: Bytes,
     ) -> Result<Request<Full<Bytes>>, ClientError> {
-        let bad = |error: String| ClientError::BadRequest(error);
+        let bad = |error: String| ClientError::InvalidRequest(error);
         let uri: Uri = path.parse().map_err(|error| bad(format!("{error}")))?;
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method;
@@ -154,7 +154,7 @@
                 Ok(response) => return self.read(sender, response).await,
                 Err(mut error) => match error.take_message().filter(|_| was_kept) {
                     Some(unsent) => request = unsent,
-                    None => return Err(ClientError::Broken(error.into_error().to_string())),
+                    None => return Err(ClientError::Disconnected(error.into_error().to_string())),
                 },
             }
         }
@@ -182,7 +182,7 @@
         let whole = Limited::new(body, ANSWER_BYTES_MAX)
             .collect()
             .await
-            .map_err(|error| ClientError::Broken(error.to_string()))?;
+            .map_err(|error| ClientError::Disconnected(error.to_string()))?;
         if sender.is_ready() || !sender.is_closed() {
             self.idle.borrow_mut().push(Kept { sender, answered: BootInstant::now() });
         }
--- a/components/net/src/connect.rs
+++ b/components/net/src/connect.rs
@@ -26,7 +26,7 @@
         Err(io::Error::from(io::ErrorKind::TimedOut))
     };
     let stream = first_answered(address).or(late).await?;
-    tune(&stream);
+    set_socket_options(&stream);
     Ok(stream)
 }
 
@@ -48,7 +48,7 @@
 /// Sends small frames at once, and breaks a connection whose other host is silent.
 ///
 /// Without the options frames still come, only later: a failure to set them is no failure.
-pub fn tune(stream: &Async<TcpStream>) {
+pub fn set_socket_options(stream: &Async<TcpStream>) {
     let socket = SockRef::from(stream.get_ref());
     let _ = socket.set_tcp_nodelay(true);
     let _ = socket.set_tcp_user_timeout(Some(SILENCE));
--- a/components/net/src/connections.rs
+++ b/components/net/src/connections.rs
@@ -249,13 +249,13 @@
     /// request are left out, since nothing ends them. Afterwards the server gives them up by itself, and they
     /// count until their last answer is written: an end that did not wait for it left 4 of 24 such clients without
     /// an answer (an entry that drains, four of them at a time on one host).
-    pub fn unfinished(&self) -> usize {
+    pub fn active_count(&self) -> usize {
         let gives_up = self.accepting.is_closed();
         self.open.borrow().values().filter(|tracker| gives_up || !tracker.is_stalled()).count()
     }
 
     /// Since a connection was accepted or a request began to come.
-    pub fn quiet(&self) -> Duration {
+    pub fn time_since_arrival(&self) -> Duration {
         self.last_arrival.get().elapsed()
     }
 
--- a/components/net/src/lib.rs
+++ b/components/net/src/lib.rs
@@ -12,8 +12,8 @@
 mod tracked;
 
 pub use client::{Client, ClientError, Reply};
-pub use connect::{connect, tune};
+pub use connect::{connect, set_socket_options};
 pub use connections::{ConnectionInfo, Connections, Phase};
-pub use rpc::{Frames, call_context, frames, pause};
-pub use server::{Body, BodyError, HEADER_BYTES, Limits, serve, serve_until_closed};
-pub use tasks::{Tasks, block_on};
+pub use rpc::{FramedTransport, call_context, framed_transport, sleep};
+pub use server::{Body, BodyError, DEFAULT_MAX_HEADER_BYTES, Limits, serve, serve_until_closed};
+pub use tasks::{Spawner, block_on};
--- a/components/net/src/rpc.rs
+++ b/components/net/src/rpc.rs
@@ -18,11 +18,11 @@
 const CALL_TIME: Duration = Duration::from_secs(24 * 3600);
 
 /// A connection of framed bincode messages.
-pub type Frames<Item, SinkItem> =
+pub type FramedTransport<Item, SinkItem> =
     Transport<Compat<Async<TcpStream>>, Item, SinkItem, Bincode<Item, SinkItem>>;
 
 /// Frames a connection.
-pub fn frames<Item, SinkItem>(stream: Async<TcpStream>) -> Frames<Item, SinkItem>
+pub fn framed_transport<Item, SinkItem>(stream: Async<TcpStream>) -> FramedTransport<Item, SinkItem>
 where
     Item: for<'de> Deserialize<'de>,
     SinkItem: Serialize,
@@ -41,6 +41,6 @@
 }
 
 /// Waits.
-pub async fn pause(time: Duration) {
+pub async fn sleep(time: Duration) {
     Timer::after(time).await;
 }
--- a/components/net/src/server.rs
+++ b/components/net/src/server.rs
@@ -19,15 +19,15 @@
 
 use crate::connections::Tracker;
 use crate::tracked::Tracked;
-use crate::{Connections, Phase, Tasks, tune};
+use crate::{Connections, Phase, Spawner, set_socket_options};
 
 /// Pause after an accept failed, so that a lack of file descriptors does not spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// The shortest limit of a head that can be set.
-const HEADER_BYTES_LEAST: usize = 8_192;
+const MIN_HEADER_BYTES: usize = 8_192;
 /// Longest head where no limit is set.
-pub const HEADER_BYTES: usize = 64 * 1024;
+pub const DEFAULT_MAX_HEADER_BYTES: usize = 64 * 1024;
 
 /// A whole body.
 pub type Body = Full<Bytes>;
@@ -40,28 +40,28 @@
     TooLong,
     /// It did not come in time.
     #[error("the body did not come in time")]
-    TooSlow,
+    Timeout,
     /// The connection broke.
     #[error("the body broke off")]
-    Broken,
+    Disconnected,
 }
 
 /// What a client may take of the server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Longest head of a request, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Longest time for a request's head, and again for its body.
-    pub read_time: Duration,
+    pub read_timeout: Duration,
     /// Most open connections; more wait to be accepted.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// Accepts connections for ever and answers each request by `handler`. The limits are asked for at
 /// each connection.
-pub async fn serve<L, H, F>(listener: Async<TcpListener>, tasks: Tasks, limits: L, handler: H)
+pub async fn serve<L, H, F>(listener: Async<TcpListener>, tasks: Spawner, limits: L, handler: H)
 where
     L: Fn() -> Limits,
     H: Fn(Request<Result<Bytes, BodyError>>) -> F + Clone + 'static,
@@ -73,7 +73,7 @@
 /// The same, with a list of the open connections, until it is closed by them.
 pub async fn serve_until_closed<L, H, F>(
     listener: Async<TcpListener>,
-    tasks: Tasks,
+    tasks: Spawner,
     connections: Rc<Connections>,
     limits: L,
     handler: H,
@@ -92,7 +92,7 @@
     let accept = async {
         loop {
             let limits = limits();
-            if connections.len() >= limits.connections {
+            if connections.len() >= limits.max_connections {
                 Timer::after(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -122,7 +122,7 @@
     H: Fn(Request<Result<Bytes, BodyError>>) -> F + Clone,
     F: Future<Output = Response<Body>>,
 {
-    tune(&stream);
+    set_socket_options(&stream);
     let stream = Tracked::new(stream, tracker.clone());
     let service = service_fn(move |request: Request<Incoming>| {
         let handler = handler.clone();
@@ -132,7 +132,7 @@
             let stopped = async {
                 connections.no_more_accepted().await;
                 tracker.stalled().await;
-                Err(BodyError::TooSlow)
+                Err(BodyError::Timeout)
             };
             let body = read_body(body, limits).or(stopped).await;
             tracker.enter(Phase::Handling);
@@ -148,9 +148,9 @@
         }
     });
     let connection = http1::Builder::new()
-        .max_buf_size(limits.header_bytes.max(HEADER_BYTES_LEAST))
+        .max_buf_size(limits.max_header_bytes.max(MIN_HEADER_BYTES))
         .timer(SmolTimer::new())
-        .header_read_timeout(limits.read_time)
+        .header_read_timeout(limits.read_timeout)
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
     let over = async {
@@ -175,15 +175,15 @@
 
 async fn read_body(body: Incoming, limits: Limits) -> Result<Bytes, BodyError> {
     let read = async {
-        match Limited::new(body, limits.body_bytes).collect().await {
+        match Limited::new(body, limits.max_body_bytes).collect().await {
             Ok(whole) => Ok(whole.to_bytes()),
             Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLong),
-            Err(_) => Err(BodyError::Broken),
+            Err(_) => Err(BodyError::Disconnected),
         }
     };
     let late = async {
-        Timer::after(limits.read_time).await;
-        Err(BodyError::TooSlow)
+        Timer::after(limits.read_timeout).await;
+        Err(BodyError::Timeout)
     };
     read.or(late).await
 }
--- a/components/net/src/tasks.rs
+++ b/components/net/src/tasks.rs
@@ -11,11 +11,11 @@
 /// Tasks hold it too, so it does not keep the executor alive: when the thread's duty ends, its
 /// tasks are dropped and their sockets closed.
 #[derive(Clone, Debug)]
-pub struct Tasks {
+pub struct Spawner {
     executor: Weak<LocalExecutor<'static>>,
 }
 
-impl Tasks {
+impl Spawner {
     /// Spawns a task; it is dropped where the executor has ended.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(executor) = self.executor.upgrade() {
@@ -31,8 +31,8 @@
 
 /// Runs a future to its end on this thread, with an executor that it may spawn on. What it spawned
 /// ends with it.
-pub fn block_on<F: Future>(work: impl FnOnce(Tasks) -> F) -> F::Output {
+pub fn block_on<F: Future>(work: impl FnOnce(Spawner) -> F) -> F::Output {
     let executor = Rc::new(LocalExecutor::new());
-    let work = work(Tasks { executor: Rc::downgrade(&executor) });
+    let work = work(Spawner { executor: Rc::downgrade(&executor) });
     async_io::block_on(executor.run(work))
 }
--- a/components/net/tests/client_silence.rs
+++ b/components/net/tests/client_silence.rs
@@ -17,7 +17,7 @@
 use futures::future::join_all;
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method};
-use net::{Client, ClientError, Reply, Tasks, block_on};
+use net::{Client, ClientError, Reply, Spawner, block_on};
 
 /// Connections that are kept when the silence begins.
 const KEPT: usize = 4;
@@ -107,7 +107,7 @@
 }
 
 /// A client that keeps as many connections as it had requests at once.
-async fn client_with_kept(stand_in: &StandIn, tasks: Tasks) -> Client {
+async fn client_with_kept(stand_in: &StandIn, tasks: Spawner) -> Client {
     let client = Client::new(stand_in.address, tasks);
     let answers = join_all((0..KEPT).map(|_| send(&client, LONG))).await;
     assert!(answers.iter().all(Result::is_ok), "{answers:?}");
@@ -122,7 +122,7 @@
         let client = client_with_kept(&stand_in, tasks).await;
         stand_in.silence_below(KEPT);
         let first = send(&client, SHORT).await;
-        assert!(matches!(first, Err(ClientError::TooLate)), "{first:?}");
+        assert!(matches!(first, Err(ClientError::Timeout)), "{first:?}");
         let second = send(&client, LONG).await;
         assert!(second.is_ok(), "a new connection would have answered: {second:?}");
         assert_eq!(stand_in.accepted(), KEPT + 1);
@@ -136,7 +136,7 @@
         let client = client_with_kept(&stand_in, tasks).await;
         stand_in.silence_below(KEPT);
         let first = send(&client, SHORT).await;
-        assert!(matches!(first, Err(ClientError::TooLate)), "{first:?}");
+        assert!(matches!(first, Err(ClientError::Timeout)), "{first:?}");
         let mut looks = 0;
         while stand_in.ended() < KEPT {
             looks += 1;
--- a/components/net/tests/closing.rs
+++ b/components/net/tests/closing.rs
@@ -63,7 +63,7 @@
         let mut new = client(&server);
         until("it is accepted", || server.connections.count(Phase::Fresh) == 1).await;
         server.connections.close();
-        assert_eq!(server.connections.unfinished(), 1, "its request is to come");
+        assert_eq!(server.connections.active_count(), 1, "its request is to come");
         Timer::after(Duration::from_millis(30)).await;
         new.write_all(REQUEST).unwrap();
         assert_answered(&read_all(new).await);
@@ -79,7 +79,7 @@
         until("a part is read", || server.connections.count(Phase::Reading) == 1).await;
         server.connections.close();
         Timer::after(Duration::from_millis(400)).await;
-        assert_eq!(server.connections.unfinished(), 1);
+        assert_eq!(server.connections.active_count(), 1);
         slow.write_all(&REQUEST[20..]).unwrap();
         assert_answered(&read_all(slow).await);
     });
--- a/components/net/tests/closing_forms.rs
+++ b/components/net/tests/closing_forms.rs
@@ -63,7 +63,7 @@
         kept.write_all(&[REQUEST, part].concat()).unwrap();
         until("the first is answered", || server.handled.get() == 1).await;
         Timer::after(Duration::from_millis(50)).await;
-        assert_eq!(server.connections.unfinished(), 1, "{:?}", server.connections.list());
+        assert_eq!(server.connections.active_count(), 1, "{:?}", server.connections.list());
     });
 }
 
@@ -71,7 +71,7 @@
 #[test]
 fn what_waits_at_the_limit_of_connections_when_the_server_closes_is_answered() {
     net::block_on(|tasks| async move {
-        let limits = Limits { connections: 1, ..LIMITS };
+        let limits = Limits { max_connections: 1, ..LIMITS };
         let server = start(&tasks, Duration::from_millis(100), limits);
         let mut first = client(&server);
         first.write_all(REQUEST).unwrap();
@@ -141,7 +141,7 @@
             1,
             "the handler is told that the body was too slow: {text}"
         );
-        until("the other is not counted", || server.connections.unfinished() == 0).await;
+        until("the other is not counted", || server.connections.active_count() == 0).await;
     });
 }
 
@@ -156,7 +156,7 @@
         body.write_all(&REQUEST[..REQUEST.len() - 1]).unwrap();
         until("it is read", || server.connections.count(Phase::Reading) == 1).await;
         server.connections.close();
-        while server.connections.unfinished() > 0 {
+        while server.connections.active_count() > 0 {
             Timer::after(Duration::from_millis(1)).await;
         }
         assert_eq!(server.handled.get(), 1, "the handler answers that the body was too slow");
@@ -183,7 +183,7 @@
         until("one reads", || server.connections.count(Phase::Reading) == 1).await;
         server.connections.close();
         Timer::after(Duration::from_millis(100)).await;
-        assert_eq!(server.connections.unfinished(), 1, "{:?}", server.connections.list());
+        assert_eq!(server.connections.active_count(), 1, "{:?}", server.connections.list());
         expects.write_all(b"ab").unwrap();
         let (ended, text) = read_to_end(expects).await;
         assert!(ended && text.contains("100 Continue") && answers(&text) == 1, "{text}");
@@ -222,10 +222,11 @@
         server.connections.close_idle();
         // The steps of the entry's stop from here on.
         let poll = Duration::from_millis(20);
-        let none_open = || server.connections.unfinished() == 0;
+        let none_open = || server.connections.active_count() == 0;
         loop {
             Timer::after(poll).await;
-            if none_open() && server.connections.quiet() >= Duration::from_millis(100) {
+            if none_open() && server.connections.time_since_arrival() >= Duration::from_millis(100)
+            {
                 break;
             }
         }
@@ -259,7 +260,7 @@
         head.write_all(&REQUEST[..20]).unwrap();
         until("both are read", || server.connections.count(Phase::Reading) == 2).await;
         server.connections.close_idle();
-        until("both have stopped", || server.connections.unfinished() == 0).await;
+        until("both have stopped", || server.connections.active_count() == 0).await;
         Timer::after(Duration::from_millis(50)).await;
         body.write_all(&REQUEST[REQUEST.len() - 1..]).unwrap();
         head.write_all(&REQUEST[20..]).unwrap();
--- a/components/net/tests/support/mod.rs
+++ b/components/net/tests/support/mod.rs
@@ -13,14 +13,14 @@
 use futures_lite::future;
 use hyper::body::Bytes;
 use hyper::{Request, Response, StatusCode};
-use net::{Body, BodyError, Connections, Limits, Tasks};
+use net::{Body, BodyError, Connections, Limits, Spawner};
 
 /// Limits that no test comes near.
 pub const LIMITS: Limits = Limits {
-    header_bytes: net::HEADER_BYTES,
-    body_bytes: 1_000,
-    read_time: Duration::from_secs(5),
-    connections: 100,
+    max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
+    max_body_bytes: 1_000,
+    read_timeout: Duration::from_secs(5),
+    max_connections: 100,
 };
 /// A whole request.
 pub const REQUEST: &[u8] = b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab";
@@ -38,7 +38,7 @@
 }
 
 /// Starts a server.
-pub fn start(tasks: &Tasks, work: Duration, limits: Limits) -> Server {
+pub fn start(tasks: &Spawner, work: Duration, limits: Limits) -> Server {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let address = listener.get_ref().local_addr().unwrap();
     let connections = Rc::new(Connections::default());
--- a/daemon/src/agent_role/serve.rs
+++ b/daemon/src/agent_role/serve.rs
@@ -13,7 +13,7 @@
 use futures::channel::oneshot;
 use futures_lite::future;
 use model::SubmissionId;
-use net::Tasks;
+use net::Spawner;
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel, Config};
 use wire::{
@@ -27,7 +27,7 @@
 
 /// Serves until the deciding thread ends.
 pub(crate) async fn run(
-    tasks: Tasks,
+    tasks: Spawner,
     listener: Async<TcpListener>,
     ring: Sender<Input>,
     shared: Arc<Shared>,
@@ -39,7 +39,7 @@
     let accept = async {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
-            net::tune(&stream);
+            net::set_socket_options(&stream);
             let session = Session(sessions.fetch_add(1, Ordering::Relaxed));
             let server = Server { session, ring: ring.clone(), shared: shared.clone() };
             tasks.spawn(serve(tasks.clone(), stream, server));
@@ -50,10 +50,10 @@
 }
 
 /// Serves one connection to its end.
-async fn serve(tasks: Tasks, stream: Async<std::net::TcpStream>, server: Server) {
+async fn serve(tasks: Spawner, stream: Async<std::net::TcpStream>, server: Server) {
     let (session, ring) = (server.session, server.ring.clone());
     let config = Config { pending_response_buffer: RING };
-    let channel = BaseChannel::new(config, net::frames(stream));
+    let channel = BaseChannel::new(config, net::framed_transport(stream));
     let runner = tasks.clone();
     let calls = async_compat::Compat::new(async move {
         let mut calls = std::pin::pin!(channel.execute(server.serve()));
--- a/daemon/src/agent_role/target.rs
+++ b/daemon/src/agent_role/target.rs
@@ -10,7 +10,7 @@
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use model::{TaskKey, Time, Verdict};
-use net::{Client, ClientError, Reply, Tasks};
+use net::{Client, ClientError, Reply, Spawner};
 
 use super::decide::Input;
 use crate::clock::Clock;
@@ -36,7 +36,7 @@
 /// The agent has at most as many tasks at the target as it has slots, so the number of
 /// connections is bounded by the slots too.
 pub(crate) async fn run(
-    tasks: Tasks,
+    tasks: Spawner,
     config: AgentConfig,
     runs: Receiver<Run>,
     ended: Sender<Input>,
--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -10,7 +10,7 @@
 
 use async_io::{Async, Timer};
 use hyper::Method;
-use net::{Client, ClientError, Tasks};
+use net::{Client, ClientError, Spawner};
 use platform::{BadBeat, HttpOrder};
 use runner::{
     Action, Event, HoldCommand, HoldReply, Runner, SessionId, StartCommand, StartReply,
@@ -44,7 +44,7 @@
 pub(super) struct Agent {
     pub log: EventLog,
     pub(super) clock: Clock,
-    pub(super) tasks: Tasks,
+    pub(super) tasks: Spawner,
     /// Sends start and stop commands; holds have a client of their own, as the target keeps them
     /// waiting.
     command_client: Client,
@@ -73,7 +73,7 @@
 async fn serve(
     context: NodeContext,
     config: AgentConfig,
-    tasks: Tasks,
+    tasks: Spawner,
 ) -> Result<(), CapacityNodeError> {
     let clock = context.clock;
     let node = &context.config.node;
--- a/daemon/src/capacity/entry.rs
+++ b/daemon/src/capacity/entry.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use dispatch::{Action, CallId, Dispatcher, Event, Outcome, SessionId, Timing};
 use keeper::DocumentSource;
-use net::Tasks;
+use net::Spawner;
 use routing::RouteTable;
 use serde_json::json;
 use wire::{Document, NodeInfo, NodeRole, ToAgent, ToEntry};
@@ -67,7 +67,7 @@
 async fn serve(
     context: NodeContext,
     config: EntryConfig,
-    tasks: Tasks,
+    tasks: Spawner,
 ) -> Result<(), CapacityNodeError> {
     let clock = context.clock;
     let peer_address = config.peer_address.unwrap_or(config.peer_listen);
@@ -135,7 +135,7 @@
     Ok(())
 }
 
-async fn accept_agents(entry: Rc<Entry>, listener: Async<TcpListener>, tasks: Tasks) {
+async fn accept_agents(entry: Rc<Entry>, listener: Async<TcpListener>, tasks: Spawner) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             Timer::after(ACCEPT_RETRY_DELAY).await;
@@ -189,7 +189,7 @@
         self.last_id.get()
     }
 
-    fn start_watch(self: &Rc<Self>, context: &NodeContext, address: SocketAddr, tasks: &Tasks) {
+    fn start_watch(self: &Rc<Self>, context: &NodeContext, address: SocketAddr, tasks: &Spawner) {
         let node = &context.config.node;
         let own_node = NodeInfo {
             name: node.name.clone(),
--- a/daemon/src/capacity/entry_http.rs
+++ b/daemon/src/capacity/entry_http.rs
@@ -9,7 +9,7 @@
 use hyper::body::Bytes;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HOST, HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
-use net::{Body, BodyError, Limits, Tasks};
+use net::{Body, BodyError, Limits, Spawner};
 use platform::{BadJob, CallerCall, Malformed, Reply};
 use routing::{Route, TransferLimits};
 use serde_json::json;
@@ -21,28 +21,28 @@
 const MAX_CONNECTIONS: usize = 3_000;
 /// Limits for the connections of the balancer.
 const READY_LIMITS: Limits = Limits {
-    header_bytes: net::HEADER_BYTES,
-    body_bytes: 4_096,
-    read_time: Duration::from_secs(30),
-    connections: 64,
+    max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
+    max_body_bytes: 4_096,
+    read_timeout: Duration::from_secs(30),
+    max_connections: 64,
 };
 /// `Retry-After` while a configuration is still being fetched.
 const CONFIGURATION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Serves callers until the entry closes its intake.
-pub(super) fn serve_callers(listener: Async<TcpListener>, tasks: &Tasks, entry: Rc<Entry>) {
+pub(super) fn serve_callers(listener: Async<TcpListener>, tasks: &Spawner, entry: Rc<Entry>) {
     let limits_source = entry.clone();
     let connections = entry.stop.connections.clone();
     let limits = move || {
         let limits =
             limits_source.route_table().map_or_else(TransferLimits::default, |table| table.limits);
         Limits {
-            header_bytes: limits.header_bytes,
-            body_bytes: limits.body_bytes,
+            max_header_bytes: limits.header_bytes,
+            max_body_bytes: limits.body_bytes,
             // The server starts the header timeout at the previous response, so it has to cover the
             // idle time.
-            read_time: limits.idle_time.max(limits.header_time),
-            connections: MAX_CONNECTIONS,
+            read_timeout: limits.idle_time.max(limits.header_time),
+            max_connections: MAX_CONNECTIONS,
         }
     };
     let handler = move |request| {
@@ -53,7 +53,7 @@
 }
 
 /// Answers readiness checks until the process ends.
-pub(super) fn serve_ready(listener: Async<TcpListener>, tasks: &Tasks, entry: Rc<Entry>) {
+pub(super) fn serve_ready(listener: Async<TcpListener>, tasks: &Spawner, entry: Rc<Entry>) {
     let handler = move |_: Request<Result<Bytes, BodyError>>| {
         let status = if entry.is_ready() { 200 } else { 503 };
         entry.stop.record_readiness_check(entry.now());
@@ -116,8 +116,8 @@
         (CallerCall::Submit(_), Err(error)) => {
             let status = match error {
                 BodyError::TooLong => 413,
-                BodyError::TooSlow => 408,
-                BodyError::Broken => 400,
+                BodyError::Timeout => 408,
+                BodyError::Disconnected => 400,
             };
             json_response(&reject(entry, path, status, &error.to_string()))
         }
--- a/daemon/src/capacity/entry_peers.rs
+++ b/daemon/src/capacity/entry_peers.rs
@@ -15,7 +15,7 @@
 use dispatch::CancelNotices;
 use futures_lite::future;
 use model::JobId;
-use net::Tasks;
+use net::Spawner;
 use serde_json::json;
 use wire::{NodeInfo, NodeRole, ToAgent, ToEntry};
 
@@ -32,7 +32,7 @@
 /// The other entries and the cancellations to be sent to them.
 pub(super) struct EntryPeers {
     own_address: SocketAddr,
-    tasks: Tasks,
+    tasks: Spawner,
     log: EventLog,
     clock: Clock,
     notices: RefCell<CancelNotices>,
@@ -41,7 +41,7 @@
 
 impl EntryPeers {
     /// Creates an empty list of peers for the entry that others reach at `own_address`.
-    pub fn new(own_address: SocketAddr, tasks: Tasks, log: EventLog, clock: Clock) -> Rc<Self> {
+    pub fn new(own_address: SocketAddr, tasks: Spawner, log: EventLog, clock: Clock) -> Rc<Self> {
         let (notices, links) = (RefCell::default(), RefCell::default());
         Rc::new(Self { own_address, tasks, log, clock, notices, links })
     }
--- a/daemon/src/capacity/entry_stop.rs
+++ b/daemon/src/capacity/entry_stop.rs
@@ -73,8 +73,8 @@
         StopStatus {
             notices: self.readiness_checks.get(),
             jobs,
-            busy_connections: self.connections.unfinished(),
-            quiet_for: self.connections.quiet(),
+            busy_connections: self.connections.active_count(),
+            quiet_for: self.connections.time_since_arrival(),
         }
     }
 
--- a/daemon/src/capacity/keeper_watch.rs
+++ b/daemon/src/capacity/keeper_watch.rs
@@ -11,7 +11,7 @@
 use futures_lite::FutureExt;
 use keeper::{DocumentFetch, DocumentSource, FetchStep, PART_TIMEOUT};
 use model::Time;
-use net::Tasks;
+use net::Spawner;
 use serde_json::json;
 use tarpc::client::{Config, NewClient};
 use wire::{
@@ -68,7 +68,7 @@
 /// State of the watch, shared by its tasks.
 pub(crate) struct KeeperWatch {
     own_node: NodeInfo,
-    tasks: Tasks,
+    tasks: Spawner,
     log: EventLog,
     node_port: u16,
     callbacks: WatchCallbacks,
@@ -95,7 +95,7 @@
     /// Starts following the configured keepers.
     pub fn start(
         own_node: NodeInfo,
-        tasks: Tasks,
+        tasks: Spawner,
         log: EventLog,
         node_port: u16,
         seeds: &[SocketAddr],
@@ -189,7 +189,7 @@
         while failures < MAX_FAILURES || self.is_referenced(keeper) {
             if let Ok(stream) = net::connect(keeper).await {
                 let NewClient { client, dispatch } =
-                    KeeperServiceClient::new(Config::default(), net::frames(stream));
+                    KeeperServiceClient::new(Config::default(), net::framed_transport(stream));
                 let dispatch = async move {
                     // The pending calls return the error.
                     let _ = dispatch.await;
--- a/daemon/src/capacity/metrics.rs
+++ b/daemon/src/capacity/metrics.rs
@@ -9,15 +9,15 @@
 use async_io::Async;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use net::{Body, Limits, Tasks};
+use net::{Body, Limits, Spawner};
 use telemetry::Latency;
 
 /// Limits for the connections of the monitoring system.
 const LIMITS: Limits = Limits {
-    header_bytes: net::HEADER_BYTES,
-    body_bytes: 4_096,
-    read_time: Duration::from_secs(10),
-    connections: 16,
+    max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
+    max_body_bytes: 4_096,
+    read_timeout: Duration::from_secs(10),
+    max_connections: 16,
 };
 /// Quantiles reported for each latency.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
@@ -52,7 +52,7 @@
 /// Serves a page that is generated for each request.
 pub(crate) fn serve(
     address: SocketAddr,
-    tasks: &Tasks,
+    tasks: &Spawner,
     write_page: impl Fn(&mut MetricsPage) + 'static,
 ) -> std::io::Result<()> {
     let listener = Async::<TcpListener>::bind(address)?;
--- a/daemon/src/capacity/session.rs
+++ b/daemon/src/capacity/session.rs
@@ -52,8 +52,8 @@
     Out: Serialize,
     In: for<'de> Deserialize<'de>,
 {
-    net::tune(&stream);
-    let frames = net::frames::<Vec<In>, Vec<Out>>(stream);
+    net::set_socket_options(&stream);
+    let frames = net::framed_transport::<Vec<In>, Vec<Out>>(stream);
     let (mut sink, mut source) = frames.split();
     let OutboundQueue { messages, open } = queue;
     let send = async move {
--- a/daemon/src/capacity/target_http.rs
+++ b/daemon/src/capacity/target_http.rs
@@ -7,7 +7,7 @@
 use async_io::Async;
 use hyper::body::Bytes;
 use hyper::{Request, Response, StatusCode};
-use net::{Body, BodyError, Limits, Tasks};
+use net::{Body, BodyError, Limits, Spawner};
 use platform::TargetCall;
 use runner::Event;
 use serde_json::json;
@@ -17,14 +17,14 @@
 
 /// Limits for the connections of the target.
 const LIMITS: Limits = Limits {
-    header_bytes: net::HEADER_BYTES,
-    body_bytes: 256 * 1024,
-    read_time: Duration::from_secs(30),
-    connections: 64,
+    max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
+    max_body_bytes: 256 * 1024,
+    read_timeout: Duration::from_secs(30),
+    max_connections: 64,
 };
 
 /// Serves the target until the process ends.
-pub(super) fn serve(listener: Async<TcpListener>, tasks: &Tasks, agent: Rc<Agent>) {
+pub(super) fn serve(listener: Async<TcpListener>, tasks: &Spawner, agent: Rc<Agent>) {
     let handler = move |request| {
         let agent = agent.clone();
         async move { handle_request(&agent, request) }
--- a/daemon/src/entry_role/links.rs
+++ b/daemon/src/entry_role/links.rs
@@ -14,7 +14,7 @@
 use futures_lite::FutureExt;
 use membership::{Host, HostList, Role};
 use model::{NodeName, NodeRef};
-use net::Tasks;
+use net::Spawner;
 use tarpc::client::{Config, NewClient};
 use wire::{AgentInfo, AgentServiceClient, HelloRequest};
 
@@ -51,7 +51,7 @@
 /// The talking thread's state, shared by its tasks.
 struct Links {
     life: NodeRef,
-    tasks: Tasks,
+    tasks: Spawner,
     events: Sender<Input>,
     hosts: RefCell<HashMap<NodeName, Host>>,
     open: RefCell<HashMap<NodeName, Open>>,
@@ -63,7 +63,7 @@
 /// Runs until the ring is closed.
 pub(crate) async fn run(
     life: NodeRef,
-    tasks: Tasks,
+    tasks: Spawner,
     inputs: Receiver<LinkInput>,
     events: Sender<Input>,
 ) {
@@ -137,7 +137,8 @@
         let mut config = Config::default();
         config.max_in_flight_requests = RING;
         config.pending_request_buffer = RING;
-        let NewClient { client, dispatch } = AgentServiceClient::new(config, net::frames(stream));
+        let NewClient { client, dispatch } =
+            AgentServiceClient::new(config, net::framed_transport(stream));
         let (done, ended) = async_channel::bounded::<()>(1);
         let (keep, kept) = async_channel::bounded::<()>(1);
         self.tasks.spawn_rpc(async move {
@@ -184,7 +185,7 @@
         let links = self.clone();
         self.spawn(async move {
             // What the connection had under way fails first.
-            net::pause(GIVE_UP_TIME).await;
+            net::sleep(GIVE_UP_TIME).await;
             links.tell(Event::AgentDead { agent }).await;
         });
     }
--- a/daemon/src/entry_role/listen.rs
+++ b/daemon/src/entry_role/listen.rs
@@ -16,7 +16,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
 use model::{Code, Failure, SubmissionId, Verdict};
-use net::{Body, BodyError, Connections, Limits, Tasks};
+use net::{Body, BodyError, Connections, Limits, Spawner};
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel};
 use wire::{EntryService, RelayReply, RelayRequest};
@@ -26,15 +26,15 @@
 
 /// Limits of callers' connections.
 const LIMITS: Limits = Limits {
-    header_bytes: net::HEADER_BYTES,
-    body_bytes: BODY_BYTES_MAX,
-    read_time: Duration::from_secs(10),
-    connections: 20_000,
+    max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
+    max_body_bytes: BODY_BYTES_MAX,
+    read_timeout: Duration::from_secs(10),
+    max_connections: 20_000,
 };
 
 /// Listens until told to stop; connections that are open then go on.
 pub(crate) async fn run(
-    tasks: Tasks,
+    tasks: Spawner,
     listener: Async<TcpListener>,
     peer_listener: Async<TcpListener>,
     ring: Sender<Input>,
@@ -60,7 +60,7 @@
     // Requests that have come are answered until the deciding thread ends.
     let count = async {
         loop {
-            shared.unfinished.store(callers.unfinished() as u64, Ordering::Release);
+            shared.unfinished.store(callers.active_count() as u64, Ordering::Release);
             shared.closed.store(true, Ordering::Release);
             Timer::after(DRAIN_LOOK).await;
         }
@@ -68,11 +68,11 @@
     count.or(ring.closed()).await;
 }
 
-async fn serve_peers(listener: Async<TcpListener>, tasks: Tasks, ring: Sender<Input>) {
+async fn serve_peers(listener: Async<TcpListener>, tasks: Spawner, ring: Sender<Input>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        net::tune(&stream);
-        let channel = BaseChannel::with_defaults(net::frames(stream));
+        net::set_socket_options(&stream);
+        let channel = BaseChannel::with_defaults(net::framed_transport(stream));
         let peer = Peer { ring: ring.clone() };
         let runner = tasks.clone();
         tasks.spawn_rpc(async move {
@@ -182,7 +182,7 @@
 fn bad_body(error: BodyError) -> Failure {
     let code = match error {
         BodyError::TooLong => Code::TooLarge,
-        BodyError::TooSlow | BodyError::Broken => Code::BadBody,
+        BodyError::Timeout | BodyError::Disconnected => Code::BadBody,
     };
     Failure::new(code, Verdict::NotRun, error.to_string())
 }
--- a/daemon/src/entry_role/peers.rs
+++ b/daemon/src/entry_role/peers.rs
@@ -6,19 +6,19 @@
 
 use membership::{HostList, Role};
 use model::{NodeName, SubmissionId};
-use net::Tasks;
+use net::Spawner;
 use tarpc::client::{Config, NewClient};
 use wire::{EntryServiceClient, RelayReply, RelayRequest};
 
 /// The other entries.
 pub(super) struct Peers {
-    tasks: Tasks,
+    tasks: Spawner,
     addresses: RefCell<HashMap<NodeName, SocketAddr>>,
     clients: RefCell<HashMap<NodeName, EntryServiceClient>>,
 }
 
 impl Peers {
-    pub fn new(tasks: Tasks) -> Self {
+    pub fn new(tasks: Spawner) -> Self {
         Self { tasks, addresses: RefCell::default(), clients: RefCell::default() }
     }
 
@@ -58,7 +58,7 @@
         let address = self.addresses.borrow().get(owner).copied()?;
         let stream = net::connect(address).await.ok()?;
         let NewClient { client, dispatch } =
-            EntryServiceClient::new(Config::default(), net::frames(stream));
+            EntryServiceClient::new(Config::default(), net::framed_transport(stream));
         self.tasks.spawn_rpc(async move {
             // The calls see why it ended.
             let _ = dispatch.await;
--- a/daemon/src/hosts.rs
+++ b/daemon/src/hosts.rs
@@ -11,7 +11,7 @@
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method};
 use membership::HostList;
-use net::Tasks;
+use net::Spawner;
 use spdlog::warn;
 
 use crate::threads::{Duty, spawn_until};
@@ -46,7 +46,7 @@
         Some(Self::Http(address.parse().ok()?, format!("/{path}")))
     }
 
-    async fn read(&self, tasks: &Tasks) -> Result<HostList, String> {
+    async fn read(&self, tasks: &Spawner) -> Result<HostList, String> {
         let text = match self {
             Self::None => return Ok(HostList::default()),
             Self::Shared(list) => {
@@ -59,7 +59,7 @@
     }
 }
 
-async fn get(address: SocketAddr, path: &str, tasks: &Tasks) -> Result<String, String> {
+async fn get(address: SocketAddr, path: &str, tasks: &Spawner) -> Result<String, String> {
     let client = net::Client::new(address, tasks.clone());
     let reply = client
         .send(Method::GET, path, HeaderMap::new(), Bytes::new(), ANSWER_TIME)
--- a/daemon/src/keeper_role/listen.rs
+++ b/daemon/src/keeper_role/listen.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use keeper::Reply;
 use model::NodeName;
-use net::{Body, BodyError, Connections, Limits, Tasks};
+use net::{Body, BodyError, Connections, Limits, Spawner};
 use platform::OperatorCall;
 use serde::Serialize;
 use tarpc::context::Context;
@@ -28,10 +28,10 @@
 
 /// Limits of operators' connections.
 const LIMITS: Limits = Limits {
-    header_bytes: net::HEADER_BYTES,
-    body_bytes: 4 * 1024 * 1024,
-    read_time: Duration::from_secs(10),
-    connections: 1_000,
+    max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
+    max_body_bytes: 4 * 1024 * 1024,
+    read_timeout: Duration::from_secs(10),
+    max_connections: 1_000,
 };
 
 /// A connection of a node or another keeper over which nothing was asked for so long is closed: it may
@@ -69,7 +69,7 @@
 
 /// Listens until the deciding thread ends.
 pub(crate) async fn run(
-    tasks: Tasks,
+    tasks: Spawner,
     listener: Async<TcpListener>,
     node_listener: Async<TcpListener>,
     operators: Operators,
@@ -94,7 +94,7 @@
 /// not answered is told to go to another keeper; a connection that ends instead tells an operator nothing.
 async fn until_answered(calls: &Connections) {
     let answered = async {
-        while calls.unfinished() > 0 {
+        while calls.active_count() > 0 {
             Timer::after(LOOK).await;
         }
     };
@@ -104,11 +104,11 @@
     future::or(answered, late).await;
 }
 
-async fn serve_nodes(listener: Async<TcpListener>, tasks: Tasks, ring: Sender<Input>) {
+async fn serve_nodes(listener: Async<TcpListener>, tasks: Spawner, ring: Sender<Input>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        net::tune(&stream);
-        let channel = BaseChannel::with_defaults(net::frames(stream));
+        net::set_socket_options(&stream);
+        let channel = BaseChannel::with_defaults(net::framed_transport(stream));
         let node = Node { ring: ring.clone() };
         let runner = tasks.clone();
         tasks.spawn_rpc(async move {
--- a/daemon/src/keeper_role/peers.rs
+++ b/daemon/src/keeper_role/peers.rs
@@ -16,7 +16,7 @@
 use futures_lite::FutureExt;
 use membership::{HostList, Role};
 use model::NodeName;
-use net::Tasks;
+use net::Spawner;
 use tarpc::client::{Config, NewClient};
 use wire::{KeeperServiceClient, PeerMessage};
 
@@ -61,7 +61,7 @@
 /// Sends until the ring is closed. A keeper that is slow or gone holds up no other.
 pub(crate) async fn run(
     own: NodeName,
-    tasks: Tasks,
+    tasks: Spawner,
     addresses: HashMap<NodeName, SocketAddr>,
     inputs: Receiver<ToPeers>,
     notice: impl Notice,
@@ -117,11 +117,11 @@
         let Ok(stream) = net::connect(address).await else {
             // What waited for a keeper that is gone is of no more use.
             while waiting.try_recv().is_ok() {}
-            net::pause(RETRY_PAUSE).await;
+            net::sleep(RETRY_PAUSE).await;
             continue;
         };
         let NewClient { client, dispatch } =
-            KeeperServiceClient::new(Config::default(), net::frames(stream));
+            KeeperServiceClient::new(Config::default(), net::framed_transport(stream));
         let ended = async move {
             // The calls see why it ended.
             let _ = dispatch.await;
@@ -145,7 +145,7 @@
         let time = answer_time(&message);
         let taken = async { Some(client.peer(net::call_context(), message).await) };
         let late = async {
-            net::pause(time).await;
+            net::sleep(time).await;
             None
         };
         match taken.or(late).await {
--- a/daemon/src/settings_link.rs
+++ b/daemon/src/settings_link.rs
@@ -55,7 +55,7 @@
             turn += 1;
             if let Ok(stream) = net::connect(keeper).await {
                 let NewClient { client, dispatch } =
-                    KeeperServiceClient::new(Config::default(), net::frames(stream));
+                    KeeperServiceClient::new(Config::default(), net::framed_transport(stream));
                 tasks.spawn_rpc(async move {
                     // The calls see why it ended.
                     let _ = dispatch.await;
--- a/daemon/src/threads.rs
+++ b/daemon/src/threads.rs
@@ -6,7 +6,7 @@
 
 use async_channel::Receiver;
 use futures_lite::FutureExt;
-use net::Tasks;
+use net::Spawner;
 
 /// A thread that runs one duty to its end.
 pub(crate) type Duty = JoinHandle<()>;
@@ -14,7 +14,7 @@
 /// Starts a thread; `duty` is made on it and may spawn on its tasks.
 pub(crate) fn spawn<F, D>(name: &str, duty: D) -> io::Result<Duty>
 where
-    D: FnOnce(Tasks) -> F + Send + 'static,
+    D: FnOnce(Spawner) -> F + Send + 'static,
     F: Future<Output = ()>,
 {
     let run = move || net::block_on(duty);
@@ -24,7 +24,7 @@
 /// Starts a thread whose duty is given up once the other side of `stopped` is dropped.
 pub(crate) fn spawn_until<F, D>(name: &str, stopped: Receiver<()>, duty: D) -> io::Result<Duty>
 where
-    D: FnOnce(Tasks) -> F + Send + 'static,
+    D: FnOnce(Spawner) -> F + Send + 'static,
     F: Future<Output = ()>,
 {
     spawn(name, move |tasks| {
--- a/daemon/tests/large_documents.rs
+++ b/daemon/tests/large_documents.rs
@@ -10,7 +10,7 @@
 
 use async_io::Async;
 use futures::StreamExt;
-use net::Tasks;
+use net::Spawner;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use room_support::proxy::{Direction, Fault, Proxy};
@@ -56,7 +56,7 @@
 
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
         if request.document == self.has().version {
-            net::pause(WATCH_TIME).await;
+            net::sleep(WATCH_TIME).await;
         }
         WatchReply {
             version: self.has().version,
@@ -80,11 +80,11 @@
     address
 }
 
-async fn serve_nodes(listener: TcpListener, keeper: Telling, tasks: Tasks) {
+async fn serve_nodes(listener: TcpListener, keeper: Telling, tasks: Spawner) {
     let listener = Async::new(listener).expect("it can be waited for");
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
-        let channel = BaseChannel::with_defaults(net::frames(stream));
+        let channel = BaseChannel::with_defaults(net::framed_transport(stream));
         let (keeper, runner) = (keeper.clone(), tasks.clone());
         tasks.spawn_rpc(async move {
             let mut calls = std::pin::pin!(channel.execute(keeper.serve()));
--- a/daemon/tests/room_support/proxy.rs
+++ b/daemon/tests/room_support/proxy.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use net::Tasks;
+use net::Spawner;
 use socket2::SockRef;
 
 /// How often what waits looks whether the link is well again.
@@ -143,7 +143,7 @@
     listener: Async<TcpListener>,
     to: SocketAddr,
     state: Arc<Mutex<State>>,
-    tasks: Tasks,
+    tasks: Spawner,
 ) {
     loop {
         let Ok((near, _)) = listener.accept().await else {
--- a/daemon/tests/room_support/target.rs
+++ b/daemon/tests/room_support/target.rs
@@ -183,10 +183,10 @@
 
 fn serve(address: SocketAddr, life: Life, stopped: async_channel::Receiver<()>) {
     let limits = Limits {
-        header_bytes: net::HEADER_BYTES,
-        body_bytes: 1 << 20,
-        read_time: Duration::from_secs(10),
-        connections: 100,
+        max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
+        max_body_bytes: 1 << 20,
+        read_timeout: Duration::from_secs(10),
+        max_connections: 100,
     };
     let state = Rc::new(RefCell::new(State {
         life,
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -18,7 +18,7 @@
 use futures::StreamExt;
 use futures_lite::{AsyncReadExt, FutureExt};
 use model::{Incarnation, NodeName};
-use net::Tasks;
+use net::Spawner;
 use peers::ToPeers;
 use room_support::{Fleet, eventually};
 use session::SessionSender;
@@ -138,7 +138,7 @@
 
 /// Takes one message over each connection, answers it, and ends the connection; tells of it once the
 /// other side has ended it too.
-async fn take_one_each(listener: TcpListener, tasks: Tasks, taken: mpsc::Sender<()>) {
+async fn take_one_each(listener: TcpListener, tasks: Spawner, taken: mpsc::Sender<()>) {
     let listener = Async::new(listener).expect("it can be waited for");
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
@@ -146,12 +146,12 @@
         tasks.clone().spawn_rpc(async move {
             let raw = stream.get_ref().try_clone().expect("a second handle");
             let mut raw = Async::new(raw).expect("it can be waited for");
-            let channel = BaseChannel::with_defaults(net::frames(stream));
+            let channel = BaseChannel::with_defaults(net::framed_transport(stream));
             let mut calls = std::pin::pin!(channel.execute(Taking.serve()));
             let call = calls.next().await.expect("a message");
             tasks.spawn_rpc(call);
             let answered = async {
-                net::pause(ANSWER_LEAVES).await;
+                net::sleep(ANSWER_LEAVES).await;
                 None
             };
             calls.next().or(answered).await;
@@ -242,7 +242,7 @@
             drop(over);
         });
         // It writes what it can.
-        net::pause(Duration::from_millis(100)).await;
+        net::sleep(Duration::from_millis(100)).await;
         drop(outgoing);
         let ended = async {
             // Nothing is sent; it fails once the other half is dropped.
@@ -250,7 +250,7 @@
             true
         };
         let late = async {
-            net::pause(ENDED_WITHIN).await;
+            net::sleep(ENDED_WITHIN).await;
             false
         };
         ended.or(late).await
@@ -302,8 +302,10 @@
     let request = WatchRequest { node, document: 0, revision: Some(0), halls: 0, keepers: 0 };
     net::block_on(|tasks| async move {
         let stream = net::connect(keeper).await.expect("the keeper listens");
-        let NewClient { client, dispatch } =
-            KeeperServiceClient::new(tarpc::client::Config::default(), net::frames(stream));
+        let NewClient { client, dispatch } = KeeperServiceClient::new(
+            tarpc::client::Config::default(),
+            net::framed_transport(stream),
+        );
         tasks.spawn_rpc(async move {
             // The call sees why it ended.
             let _ = dispatch.await;
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -6,7 +6,7 @@
 
 use clap::ArgMatches;
 use client::Caller;
-use net::Tasks;
+use net::Spawner;
 use tarpc::client::{Config, NewClient};
 use wire::{AgentServiceClient, AgentStatus};
 
@@ -57,11 +57,11 @@
     );
 }
 
-async fn ask_agent(address: SocketAddr, tasks: &Tasks) -> Result<AgentStatus, CommandError> {
+async fn ask_agent(address: SocketAddr, tasks: &Spawner) -> Result<AgentStatus, CommandError> {
     let failed = |error: String| CommandError::Agent(address, error);
     let stream = net::connect(address).await.map_err(|error| failed(error.to_string()))?;
     let NewClient { client, dispatch } =
-        AgentServiceClient::new(Config::default(), net::frames(stream));
+        AgentServiceClient::new(Config::default(), net::framed_transport(stream));
     tasks.spawn_rpc(async move {
         // The call sees why it ended.
         let _ = dispatch.await;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -6,7 +6,7 @@
 
 use api::JobBody;
 use client::{Caller, Outcome};
-use net::Tasks;
+use net::Spawner;
 use testbed::{Cluster, ClusterOptions};
 
 /// A tree with one service and short clocks.
@@ -28,7 +28,7 @@
 pub use net::block_on as run;
 
 /// A caller of an entry.
-pub fn caller(entry: SocketAddr, tasks: &Tasks) -> Caller {
+pub fn caller(entry: SocketAddr, tasks: &Spawner) -> Caller {
     Caller::new(entry, tasks.clone(), Duration::from_secs(30))
 }
 
