--- a/components/net/src/client.rs
+++ b/components/net/src/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 client for one address, with connections kept open between requests.
+//! An HTTP/1.1 client for one address, with a pool of keep-alive connections.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -19,33 +19,34 @@
 
 use crate::{Spawner, connect};
 
-/// Longest answer taken, in bytes.
-const ANSWER_BYTES_MAX: usize = 32 * 1024 * 1024;
+/// Maximum size of a response body, in bytes.
+const RESPONSE_BYTES_MAX: usize = 32 * 1024 * 1024;
 
-/// Why there is no answer.
+/// Error of a request that got no complete response.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No connection: the request was not sent.
-    #[error("can't connect: {0}")]
+    /// Connecting or the HTTP handshake failed; the request was not sent.
+    #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
-    /// The request could not be made: it was not sent.
-    #[error("not a request: {0}")]
+    /// The path or the host header is invalid; the request was not sent.
+    #[error("invalid request: {0}")]
     InvalidRequest(String),
-    /// The connection broke after the request was sent, in part or whole.
-    #[error("broke off: {0}")]
+    /// The connection failed after at least a part of the request was sent, or the response was
+    /// invalid or too long.
+    #[error("connection failed during the request: {0}")]
     Disconnected(String),
-    /// No whole answer came in time.
-    #[error("no answer in time")]
+    /// No complete response arrived within the timeout.
+    #[error("no complete response within the timeout")]
     Timeout,
 }
 
 impl ClientError {
-    /// Whether nothing listens at the address.
+    /// Whether the connection was refused: nothing listens at the address.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect(error) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Whether the other side may have acted on the request.
+    /// Whether the server may have processed the request.
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::Connect(_) | Self::InvalidRequest(_) => Verdict::NotRun,
@@ -54,138 +55,144 @@
     }
 }
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The response body.
     pub body: Bytes,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A connection that waits for the next request.
-struct Kept {
+/// An idle keep-alive connection.
+struct IdleConnection {
     sender: Sender,
-    /// When the last answer came over it: it was well then.
-    answered: BootInstant,
+    /// When its last response was complete.
+    last_response_at: BootInstant,
 }
 
-/// A client of one address. It has as many connections as requests at once.
+/// A client of one address, with one connection for each concurrent request.
 ///
-/// Open connections may go silent for good while new ones work. So a request without an answer in
-/// time takes down, besides its own connection, those that have not answered since it was sent; the
-/// next request opens a new one. Which requests are sent again is up to the caller.
+/// Open connections may stop responding for good while new ones work. When a request over a pooled
+/// connection times out, the client therefore also closes every idle connection that has completed
+/// no response since that request was sent. It never retries a request that was sent.
 pub struct Client {
     address: SocketAddr,
-    tasks: Spawner,
-    idle: RefCell<Vec<Kept>>,
+    spawner: Spawner,
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
 impl Client {
-    /// A client without connections yet.
-    pub fn new(address: SocketAddr, tasks: Spawner) -> Self {
-        Self { address, tasks, idle: RefCell::new(Vec::new()) }
+    /// Creates a client; connections are opened on demand.
+    pub fn new(address: SocketAddr, spawner: Spawner) -> Self {
+        Self { address, spawner, idle: RefCell::new(Vec::new()) }
     }
 
-    /// Sends a request and waits for its whole answer.
+    /// Sends a request and waits up to `timeout` for its complete response.
     ///
-    /// A request is never sent twice: one that a kept connection could not take, which hyper
-    /// hands back unsent, goes to another connection.
+    /// A request is never sent twice. If a pooled connection has closed and hyper returns the request
+    /// unsent, it goes to another connection.
     pub async fn send(
         &self,
         method: Method,
         path: &str,
         headers: HeaderMap,
         body: Bytes,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Reply, ClientError> {
-        let request = self.request(method, path, headers, body)?;
-        let given_to_kept = Cell::new(None);
-        let late = async {
-            Timer::after(time).await;
+        let request = self.build_request(method, path, headers, body)?;
+        let pooled_send_time = Cell::new(None);
+        let timed_out = async {
+            Timer::after(timeout).await;
             Err(ClientError::Timeout)
         };
-        let answer = self.exchange(request, &given_to_kept).or(late).await;
-        if let (Err(ClientError::Timeout), Some(sent)) = (&answer, given_to_kept.get()) {
-            self.idle.borrow_mut().retain(|kept| kept.answered >= sent);
+        let result = self.exchange(request, &pooled_send_time).or(timed_out).await;
+        if let (Err(ClientError::Timeout), Some(sent_at)) = (&result, pooled_send_time.get()) {
+            self.idle.borrow_mut().retain(|idle| idle.last_response_at >= sent_at);
         }
-        answer
+        result
     }
 
-    fn request(
+    fn build_request(
         &self,
         method: Method,
         path: &str,
         headers: HeaderMap,
         body: Bytes,
     ) -> Result<Request<Full<Bytes>>, ClientError> {
-        let bad = |error: String| ClientError::InvalidRequest(error);
-        let uri: Uri = path.parse().map_err(|error| bad(format!("{error}")))?;
+        let invalid = |error: String| ClientError::InvalidRequest(error);
+        let uri: Uri = path.parse().map_err(|error| invalid(format!("{error}")))?;
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method;
         *request.uri_mut() = uri;
         *request.headers_mut() = headers;
         let host = HeaderValue::from_str(&self.address.to_string())
-            .map_err(|error| bad(format!("{error}")))?;
+            .map_err(|error| invalid(format!("{error}")))?;
         request.headers_mut().insert(HOST, host);
         Ok(request)
     }
 
-    /// Sends a request and reads its answer. When it went to a kept connection is noted: one without
-    /// an answer on a new connection tells nothing of the others.
+    /// Sends a request and reads its response. `pooled_send_time` is set to the time of sending if the
+    /// connection came from the pool: a timeout on a new connection says nothing about pooled ones.
     async fn exchange(
         &self,
         mut request: Request<Full<Bytes>>,
-        given_to_kept: &Cell<Option<BootInstant>>,
+        pooled_send_time: &Cell<Option<BootInstant>>,
     ) -> Result<Reply, ClientError> {
         loop {
-            let kept = self.idle.borrow_mut().pop();
-            let was_kept = kept.is_some();
-            given_to_kept.set(was_kept.then(BootInstant::now));
-            let mut sender = match kept {
-                Some(kept) => kept.sender,
-                None => self.open().await?,
+            let idle_connection = self.idle.borrow_mut().pop();
+            let is_pooled = idle_connection.is_some();
+            pooled_send_time.set(is_pooled.then(BootInstant::now));
+            let mut sender = match idle_connection {
+                Some(idle_connection) => idle_connection.sender,
+                None => self.open_connection().await?,
             };
             match sender.try_send_request(request).await {
-                Ok(response) => return self.read(sender, response).await,
-                Err(mut error) => match error.take_message().filter(|_| was_kept) {
-                    Some(unsent) => request = unsent,
+                Ok(response) => return self.read_response(sender, response).await,
+                Err(mut error) => match error.take_message().filter(|_| is_pooled) {
+                    Some(unsent_request) => request = unsent_request,
                     None => return Err(ClientError::Disconnected(error.into_error().to_string())),
                 },
             }
         }
     }
 
-    async fn open(&self) -> Result<Sender, ClientError> {
+    async fn open_connection(&self) -> Result<Sender, ClientError> {
         let stream = connect(self.address).await.map_err(ClientError::Connect)?;
         let (sender, connection) = http1::handshake(FuturesIo::new(stream))
             .await
             .map_err(|error| ClientError::Connect(io::Error::other(error)))?;
-        let drive = async move {
-            // Its requests see why it ended.
+        let connection_task = async move {
+            // Errors reach the requests on the connection.
             let _ = connection.await;
         };
-        self.tasks.spawn(drive);
+        self.spawner.spawn(connection_task);
         Ok(sender)
     }
 
-    async fn read(
+    async fn read_response(
         &self,
         sender: Sender,
         response: hyper::Response<hyper::body::Incoming>,
     ) -> Result<Reply, ClientError> {
         let (head, body) = response.into_parts();
-        let whole = Limited::new(body, ANSWER_BYTES_MAX)
+        let collected = Limited::new(body, RESPONSE_BYTES_MAX)
             .collect()
             .await
             .map_err(|error| ClientError::Disconnected(error.to_string()))?;
         if sender.is_ready() || !sender.is_closed() {
-            self.idle.borrow_mut().push(Kept { sender, answered: BootInstant::now() });
+            self.idle
+                .borrow_mut()
+                .push(IdleConnection { sender, last_response_at: BootInstant::now() });
         }
-        Ok(Reply { status: head.status.as_u16(), headers: head.headers, body: whole.to_bytes() })
+        Ok(Reply {
+            status: head.status.as_u16(),
+            headers: head.headers,
+            body: collected.to_bytes(),
+        })
     }
 }
--- a/components/net/src/connect.rs
+++ b/components/net/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connections to other hosts, which may be down, just starting, or far.
+//! Opens TCP connections to hosts that may be down, starting or far away.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -10,46 +10,49 @@
 use futures_lite::FutureExt;
 use socket2::SockRef;
 
-/// How long to wait for a connection.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// A further attempt begins beside those under way after each such pause. The kernel repeats the
-/// opening packet only after a second, which is long for a host that has just come back.
-const ATTEMPT_PAUSE: Duration = Duration::from_millis(200);
-/// After this a connection breaks whose sent bytes are not acknowledged by the other host. A
-/// process that stands still does not cause it: its host acknowledges.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// Timeout for opening a connection, over all attempts.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval between parallel connection attempts. The kernel retransmits a SYN too slowly for a host
+/// that has just restarted.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(200);
+/// `TCP_USER_TIMEOUT`: a connection fails when sent bytes stay unacknowledged for this time. A paused
+/// process doesn't trigger it, since its kernel still acknowledges.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Connects, without Nagle's delay: by whichever of several attempts is answered first.
+/// Opens a connection with the options of [`set_socket_options`].
+///
+/// Starts an attempt at regular intervals and returns the result of the first one that completes.
+/// Fails with `TimedOut` if none does.
 pub async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
-    let late = async {
-        Timer::after(CONNECT_TIME).await;
+    let timeout = async {
+        Timer::after(CONNECT_TIMEOUT).await;
         Err(io::Error::from(io::ErrorKind::TimedOut))
     };
-    let stream = first_answered(address).or(late).await?;
+    let stream = first_completed(address).or(timeout).await?;
     set_socket_options(&stream);
     Ok(stream)
 }
 
-/// Begins attempts one after the other until one of them is answered, even by a refusal.
-async fn first_answered(address: SocketAddr) -> io::Result<Async<TcpStream>> {
+/// Starts further attempts until one completes, with a connection or an error.
+async fn first_completed(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let mut attempts = FuturesUnordered::new();
     loop {
         attempts.push(Async::<TcpStream>::connect(address));
-        let pause = async {
-            Timer::after(ATTEMPT_PAUSE).await;
+        let interval = async {
+            Timer::after(ATTEMPT_INTERVAL).await;
             None
         };
-        if let Some(answered) = attempts.next().or(pause).await {
-            return answered;
+        if let Some(result) = attempts.next().or(interval).await {
+            return result;
         }
     }
 }
 
-/// Sends small frames at once, and breaks a connection whose other host is silent.
+/// Disables Nagle's algorithm and sets `TCP_USER_TIMEOUT`.
 ///
-/// Without the options frames still come, only later: a failure to set them is no failure.
+/// Errors are ignored: the connection works without these options, only with more delay.
 pub fn set_socket_options(stream: &Async<TcpStream>) {
     let socket = SockRef::from(stream.get_ref());
     let _ = socket.set_tcp_nodelay(true);
-    let _ = socket.set_tcp_user_timeout(Some(SILENCE));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
--- a/components/net/src/connections.rs
+++ b/components/net/src/connections.rs
@@ -1,4 +1,4 @@
-//! The open connections of a server, and how far each is with its present request.
+//! Tracks a server's open connections and the progress of their requests, for graceful shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,27 +10,27 @@
 use async_io::Timer;
 use clock::BootInstant;
 
-/// How far a connection is with its present request.
+/// The progress of a connection's current request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing has come yet.
+    /// No bytes were received yet.
     Fresh,
-    /// Its last request is answered; the next may come.
+    /// The last response is written and no byte of a next request was received.
     Idle,
-    /// A part of a request has come.
+    /// A part of a request was received.
     Reading,
-    /// The whole request has come and its answer is being worked out.
+    /// The request's body was read or failed, and the handler runs.
     Handling,
-    /// The answer is being written.
+    /// The response is being written.
     Answering,
 }
 
 impl Phase {
-    /// All of them, in the order in which a connection goes through them.
+    /// All phases, in the order in which a connection passes through them.
     pub const ALL: [Self; 5] =
         [Self::Fresh, Self::Idle, Self::Reading, Self::Handling, Self::Answering];
 
-    /// The phase as a word, for logs.
+    /// The name of the phase in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Fresh => "fresh",
@@ -41,42 +41,42 @@
         }
     }
 
-    /// Whether a request is under way, whose client would be left without an answer.
+    /// Whether closing the connection now would leave a request without a response.
     pub fn is_busy(self) -> bool {
         matches!(self, Self::Reading | Self::Handling | Self::Answering)
     }
 }
 
-/// A client that sends nothing more of a request for so long has stopped: a lost packet is sent again after
-/// some hundred milliseconds, a second at most.
-const STALL: Duration = Duration::from_millis(1_500);
-/// How often a connection of a closing server is looked at for what comes.
-const LOOK: Duration = Duration::from_millis(10);
+/// A client that sends nothing for this time within a request counts as stalled. Longer than the
+/// retransmission of a lost packet.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval at which a connection's progress is checked during a shutdown.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One connection, shared by the parts that serve it.
+/// The state of one connection, shared by its stream, its service and the registry.
 #[derive(Debug)]
-pub(crate) struct Tracker {
+pub(crate) struct ConnectionTracker {
     peer: Option<SocketAddr>,
     phase: Cell<Phase>,
-    since: Cell<BootInstant>,
+    phase_since: Cell<BootInstant>,
     answered: Cell<u64>,
-    /// When bytes came last on this connection.
-    last_bytes: Cell<BootInstant>,
-    /// Bytes of the next request have come while this one is worked on.
-    more_came: Cell<bool>,
-    /// When anything came last at the server.
+    /// When this connection last received bytes.
+    last_received: Cell<BootInstant>,
+    /// Whether bytes of a further request were received during the current one (pipelining).
+    next_request_started: Cell<bool>,
+    /// When the server last accepted a connection or received the start of a request.
     last_arrival: Rc<Cell<BootInstant>>,
 }
 
-impl Tracker {
+impl ConnectionTracker {
     fn new(peer: Option<SocketAddr>, last_arrival: Rc<Cell<BootInstant>>) -> Self {
         Self {
             peer,
             phase: Cell::new(Phase::Fresh),
-            since: Cell::new(BootInstant::now()),
+            phase_since: Cell::new(BootInstant::now()),
             answered: Cell::new(0),
-            last_bytes: Cell::new(BootInstant::now()),
-            more_came: Cell::new(false),
+            last_received: Cell::new(BootInstant::now()),
+            next_request_started: Cell::new(false),
             last_arrival,
         }
     }
@@ -85,226 +85,228 @@
         self.phase.get()
     }
 
-    pub fn enter(&self, phase: Phase) {
+    pub fn set_phase(&self, phase: Phase) {
         if self.phase.replace(phase) != phase {
-            self.since.set(BootInstant::now());
+            self.phase_since.set(BootInstant::now());
         }
     }
 
-    /// Bytes have come: of the next request, unless one is being read.
-    pub fn bytes_came(&self) {
+    /// Records received bytes, which start a new request unless one is being read.
+    pub fn record_received_bytes(&self) {
         let now = BootInstant::now();
-        self.last_bytes.set(now);
+        self.last_received.set(now);
         match self.phase() {
             Phase::Fresh | Phase::Idle => {
-                self.enter(Phase::Reading);
+                self.set_phase(Phase::Reading);
                 self.last_arrival.set(now);
             }
             Phase::Reading => {}
-            Phase::Handling | Phase::Answering => self.more_came.set(true),
+            Phase::Handling | Phase::Answering => self.next_request_started.set(true),
         }
     }
 
-    /// All that was to be written has been handed to the kernel.
-    pub fn flushed(&self) {
+    /// Records that all written bytes were passed to the kernel, which completes a response.
+    pub fn record_flush(&self) {
         if self.phase() == Phase::Answering {
             self.answered.set(self.answered.get() + 1);
-            let next = if self.more_came.take() { Phase::Reading } else { Phase::Idle };
-            self.enter(next);
+            let next = if self.next_request_started.take() { Phase::Reading } else { Phase::Idle };
+            self.set_phase(next);
         }
     }
 
-    /// Whether its first request is about to come.
-    fn awaits_first(&self) -> bool {
-        self.phase() == Phase::Fresh && self.since.get().elapsed() < FIRST_REQUEST
+    /// Whether the connection is new and its first request is still expected.
+    fn is_first_request_expected(&self) -> bool {
+        self.phase() == Phase::Fresh && self.phase_since.get().elapsed() < FIRST_REQUEST_TIMEOUT
     }
 
-    /// Whether a part of a request has come and nothing for long: its client does not go on.
+    /// Whether the client stopped sending within a request.
     fn is_stalled(&self) -> bool {
-        self.phase() == Phase::Reading && self.last_bytes.get().elapsed() >= STALL
+        self.phase() == Phase::Reading && self.last_received.get().elapsed() >= STALL_TIMEOUT
     }
 
-    /// Waits until no request is on its way to the server. One whose client has stopped sending is
-    /// waited for as long as the server accepts connections: it costs nothing.
-    pub async fn nothing_comes(&self, connections: &Connections) {
-        let is_given_up = || connections.accepting.is_closed() && self.is_stalled();
-        while self.awaits_first() || (self.phase() == Phase::Reading && !is_given_up()) {
-            Timer::after(LOOK).await;
+    /// Waits until no request is expected or partly received. A request whose client stalls is given up
+    /// only after the server has stopped accepting connections.
+    pub async fn no_request_incoming(&self, connections: &Connections) {
+        let gives_up = || connections.accepting_stop.is_set() && self.is_stalled();
+        while self.is_first_request_expected() || (self.phase() == Phase::Reading && !gives_up()) {
+            Timer::after(CHECK_INTERVAL).await;
         }
     }
 
-    /// Waits until the client has stopped in the midst of a request.
-    pub async fn stalled(&self) {
+    /// Waits until the client has stopped sending within a request.
+    pub async fn client_stalled(&self) {
         while !self.is_stalled() {
-            Timer::after(LOOK).await;
+            Timer::after(CHECK_INTERVAL).await;
         }
     }
 }
 
-/// What is known of an open connection.
+/// A snapshot of an open connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionInfo {
-    /// The other side, where it is known.
+    /// The client's address, if known.
     pub peer: Option<SocketAddr>,
-    /// How far it is with its present request.
+    /// The progress of its current request.
     pub phase: Phase,
-    /// For how long it has been so.
+    /// Time since the connection entered this phase.
     pub age: Duration,
-    /// Requests that it has carried and that are answered.
+    /// Number of responses written on this connection.
     pub answered: u64,
 }
 
-/// A client that has connected sends its first request within this time: far above a round trip
-/// within a region, and short beside a planned stop.
-const FIRST_REQUEST: Duration = Duration::from_millis(250);
+/// Time allowed for the first request on a new connection during a shutdown. Well above a round trip
+/// within a region and short compared with a planned stop.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The open connections of a server, and the way to close it.
+/// A server's registry of open connections, and the control of its graceful shutdown.
 #[derive(Debug)]
 pub struct Connections {
-    next: Cell<u64>,
-    open: RefCell<BTreeMap<u64, Rc<Tracker>>>,
-    /// When a connection or a request came last.
+    next_number: Cell<u64>,
+    open: RefCell<BTreeMap<u64, Rc<ConnectionTracker>>>,
+    /// When a connection was last accepted or the start of a request received.
     last_arrival: Rc<Cell<BootInstant>>,
-    /// Closed once connections close after their answer, and idle ones at once.
-    keeping: Gate,
-    /// Closed once no more connections are accepted.
-    accepting: Gate,
+    /// Set once connections close after their response and idle ones immediately.
+    keep_alive_stop: OnceFlag,
+    /// Set once no more connections are accepted.
+    accepting_stop: OnceFlag,
 }
 
-/// Something that is open until it is closed for good.
+/// A flag that is set once and can be waited for.
 #[derive(Debug)]
-struct Gate {
-    /// Dropped to close it.
-    open: RefCell<Option<Sender<()>>>,
-    closed: Receiver<()>,
+struct OnceFlag {
+    /// Dropped to set the flag.
+    sender: RefCell<Option<Sender<()>>>,
+    receiver: Receiver<()>,
 }
 
-impl Default for Gate {
+impl Default for OnceFlag {
     fn default() -> Self {
-        let (open, closed) = async_channel::bounded(1);
-        Self { open: RefCell::new(Some(open)), closed }
+        let (sender, receiver) = async_channel::bounded(1);
+        Self { sender: RefCell::new(Some(sender)), receiver }
     }
 }
 
-impl Gate {
-    fn close(&self) {
-        self.open.borrow_mut().take();
+impl OnceFlag {
+    fn set(&self) {
+        self.sender.borrow_mut().take();
     }
 
-    fn is_closed(&self) -> bool {
-        self.closed.is_closed()
+    fn is_set(&self) -> bool {
+        self.receiver.is_closed()
     }
 
-    async fn closed(&self) {
-        // Nothing is ever sent; it ends with an error.
-        let _ = self.closed.recv().await;
+    async fn wait(&self) {
+        // Nothing is ever sent; `recv` fails once the sender is dropped.
+        let _ = self.receiver.recv().await;
     }
 }
 
 impl Default for Connections {
     fn default() -> Self {
         Self {
-            next: Cell::default(),
+            next_number: Cell::default(),
             open: RefCell::default(),
             last_arrival: Rc::new(Cell::new(BootInstant::now())),
-            keeping: Gate::default(),
-            accepting: Gate::default(),
+            keep_alive_stop: OnceFlag::default(),
+            accepting_stop: OnceFlag::default(),
         }
     }
 }
 
 impl Connections {
-    /// How many are open.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Whether none is open.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.open.borrow().is_empty()
     }
 
-    /// How many have been accepted.
+    /// The number of connections accepted since the start.
     pub fn accepted(&self) -> u64 {
-        self.next.get()
+        self.next_number.get()
     }
 
-    /// How many are in a phase.
+    /// The number of open connections in a phase.
     pub fn count(&self, phase: Phase) -> usize {
         self.open.borrow().values().filter(|tracker| tracker.phase() == phase).count()
     }
 
-    /// Every open connection, the oldest first.
+    /// Snapshots of all open connections, oldest first.
     pub fn list(&self) -> Vec<ConnectionInfo> {
-        let info = |tracker: &Rc<Tracker>| ConnectionInfo {
+        let info = |tracker: &Rc<ConnectionTracker>| ConnectionInfo {
             peer: tracker.peer,
             phase: tracker.phase(),
-            age: tracker.since.get().elapsed(),
+            age: tracker.phase_since.get().elapsed(),
             answered: tracker.answered.get(),
         };
         self.open.borrow().values().map(info).collect()
     }
 
-    /// How many are open. While connections are accepted, those whose client has stopped in the midst of a
-    /// request are left out, since nothing ends them. Afterwards the server gives them up by itself, and they
-    /// count until their last answer is written: an end that did not wait for it left 4 of 24 such clients without
-    /// an answer (an entry that drains, four of them at a time on one host).
+    /// The number of connections that a graceful shutdown waits for.
+    ///
+    /// While connections are accepted, connections with a stalled client are excluded, since nothing
+    /// closes them. After [`Self::close`] the server gives up stalled requests itself and they count
+    /// until their response is written; otherwise the process could exit before that.
     pub fn active_count(&self) -> usize {
-        let gives_up = self.accepting.is_closed();
+        let gives_up = self.accepting_stop.is_set();
         self.open.borrow().values().filter(|tracker| gives_up || !tracker.is_stalled()).count()
     }
 
-    /// Since a connection was accepted or a request began to come.
+    /// Time since a connection was accepted or the start of a request was received.
     pub fn time_since_arrival(&self) -> Duration {
         self.last_arrival.get().elapsed()
     }
 
-    /// From now on each connection closes after its answer, and idle ones at once. A request of which
-    /// a part has come is answered, unless its client stops sending. New connections are still accepted.
+    /// Stops keep-alive: connections close after their current response, and idle ones immediately.
+    /// Partly received requests are still answered. New connections are still accepted.
     pub fn close_idle(&self) {
-        self.keeping.close();
+        self.keep_alive_stop.set();
     }
 
-    /// Closes the server: what waits to be accepted is accepted, and no more; connections as above.
+    /// Stops keep-alive and accepting. Connections already in the listen queue are still accepted.
+    /// Requests whose client stalls are given up.
     pub fn close(&self) {
-        self.keeping.close();
-        self.accepting.close();
+        self.keep_alive_stop.set();
+        self.accepting_stop.set();
     }
 
-    /// Whether connections close after their answer.
-    pub(crate) fn keeps_none(&self) -> bool {
-        self.keeping.is_closed()
+    /// Whether connections close after their current response.
+    pub(crate) fn is_keep_alive_stopped(&self) -> bool {
+        self.keep_alive_stop.is_set()
     }
 
-    /// Waits until no connection is kept open.
-    pub(crate) async fn no_more_kept(&self) {
-        self.keeping.closed().await;
+    /// Waits until [`Self::close_idle`] or [`Self::close`] is called.
+    pub(crate) async fn keep_alive_stopped(&self) {
+        self.keep_alive_stop.wait().await;
     }
 
-    /// Waits until no more connections are accepted.
-    pub(crate) async fn no_more_accepted(&self) {
-        self.accepting.closed().await;
+    /// Waits until [`Self::close`] is called.
+    pub(crate) async fn accepting_stopped(&self) {
+        self.accepting_stop.wait().await;
     }
 
-    /// Lists a connection for as long as the returned guard lives.
-    pub(crate) fn open(self: &Rc<Self>, peer: Option<SocketAddr>) -> Listed {
-        let number = self.next.get();
-        self.next.set(number + 1);
+    /// Registers a connection until the returned guard is dropped.
+    pub(crate) fn register(self: &Rc<Self>, peer: Option<SocketAddr>) -> ConnectionGuard {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         self.last_arrival.set(BootInstant::now());
-        let tracker = Rc::new(Tracker::new(peer, self.last_arrival.clone()));
+        let tracker = Rc::new(ConnectionTracker::new(peer, self.last_arrival.clone()));
         self.open.borrow_mut().insert(number, tracker.clone());
-        Listed { connections: self.clone(), number, tracker }
+        ConnectionGuard { connections: self.clone(), number, tracker }
     }
 }
 
-/// A connection in the list of those that are open; dropped when it ends.
-pub(crate) struct Listed {
+/// Removes its connection from the registry when dropped.
+pub(crate) struct ConnectionGuard {
     connections: Rc<Connections>,
     number: u64,
-    pub tracker: Rc<Tracker>,
+    pub tracker: Rc<ConnectionTracker>,
 }
 
-impl Drop for Listed {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.connections.open.borrow_mut().remove(&self.number);
     }
--- a/components/net/src/lib.rs
+++ b/components/net/src/lib.rs
@@ -1,19 +1,19 @@
-//! HTTP and tarpc over `async-io`, without a tokio runtime of our own.
+//! HTTP/1.1 and tarpc over `async-io`, without a tokio runtime.
 //!
-//! tarpc needs a tokio context for its timers; `async_compat::Compat` around each of its futures
-//! gives it.
+//! tarpc needs a tokio context for its timers; wrapping its futures in `async_compat::Compat`
+//! provides one.
 
 mod client;
 mod connect;
 mod connections;
 mod rpc;
 mod server;
-mod tasks;
-mod tracked;
+mod spawner;
+mod tracked_stream;
 
 pub use client::{Client, ClientError, Reply};
 pub use connect::{connect, set_socket_options};
 pub use connections::{ConnectionInfo, Connections, Phase};
 pub use rpc::{FramedTransport, call_context, framed_transport, sleep};
 pub use server::{Body, BodyError, DEFAULT_MAX_HEADER_BYTES, Limits, serve, serve_until_closed};
-pub use tasks::{Spawner, block_on};
+pub use spawner::{Spawner, block_on};
--- a/components/net/src/rpc.rs
+++ b/components/net/src/rpc.rs
@@ -1,4 +1,4 @@
-//! tarpc connections.
+//! Transport and call contexts for tarpc over TCP.
 
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -11,17 +11,17 @@
 use tokio_serde::formats::Bincode;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Longest frame taken, in bytes: a relayed job with the largest body.
+/// Maximum frame size, in bytes. Fits a relayed job with the largest allowed body.
 const FRAME_BYTES_MAX: usize = 32 * 1024 * 1024;
-/// Deadline of calls. Deadlines of work are part of the messages; a call itself ends with its
-/// answer or its connection, so that no answer is dropped that carries a token.
-const CALL_TIME: Duration = Duration::from_secs(24 * 3600);
+/// Deadline of an RPC, long enough never to apply: tarpc drops late responses, and a response may
+/// carry a slot token. Deadlines of tasks are part of the messages.
+const CALL_DEADLINE: Duration = Duration::from_secs(24 * 3600);
 
-/// A connection of framed bincode messages.
+/// A transport of length-delimited bincode messages over TCP.
 pub type FramedTransport<Item, SinkItem> =
     Transport<Compat<Async<TcpStream>>, Item, SinkItem, Bincode<Item, SinkItem>>;
 
-/// Frames a connection.
+/// Wraps a TCP stream in a transport of length-delimited bincode messages.
 pub fn framed_transport<Item, SinkItem>(stream: Async<TcpStream>) -> FramedTransport<Item, SinkItem>
 where
     Item: for<'de> Deserialize<'de>,
@@ -31,16 +31,18 @@
     serde_transport::new(Framed::new(Compat::new(stream), codec), Bincode::default())
 }
 
-/// The context of a call. The library of calls takes its deadlines from the clock that stands still while the host is
-/// suspended: a call lasts that much longer, and who waits for it looks at its own clock.
+/// The context of an RPC.
+///
+/// tarpc's deadlines use `Instant`, which doesn't advance while the host is suspended. Callers that
+/// need a timeout measure it with their own clock.
 #[allow(clippy::disallowed_methods)]
 pub fn call_context() -> Context {
     let mut context = Context::current();
-    context.deadline = Instant::now() + CALL_TIME;
+    context.deadline = Instant::now() + CALL_DEADLINE;
     context
 }
 
-/// Waits.
-pub async fn sleep(time: Duration) {
-    Timer::after(time).await;
+/// Completes after `duration`.
+pub async fn sleep(duration: Duration) {
+    Timer::after(duration).await;
 }
--- a/components/net/src/server.rs
+++ b/components/net/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server that reads whole bodies within limits.
+//! An HTTP/1.1 server that reads complete request bodies within limits and can shut down gracefully.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,63 +17,65 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use thiserror::Error;
 
-use crate::connections::Tracker;
-use crate::tracked::Tracked;
+use crate::connections::ConnectionTracker;
+use crate::tracked_stream::TrackedStream;
 use crate::{Connections, Phase, Spawner, set_socket_options};
 
-/// Pause after an accept failed, so that a lack of file descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before accepting again after an error or at the connection limit, to avoid a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The shortest limit of a head that can be set.
+/// hyper's lower bound for the size of its read buffer, in bytes.
 const MIN_HEADER_BYTES: usize = 8_192;
-/// Longest head where no limit is set.
+/// Default maximum size of a request's head, in bytes.
 pub const DEFAULT_MAX_HEADER_BYTES: usize = 64 * 1024;
 
-/// A whole body.
+/// A complete response body.
 pub type Body = Full<Bytes>;
 
-/// Why a request's body could not be had.
+/// Error while reading a request's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// It is longer than the limit.
-    #[error("the body is too long")]
+    /// The body exceeds [`Limits::max_body_bytes`].
+    #[error("the request body exceeds the size limit")]
     TooLong,
-    /// It did not come in time.
-    #[error("the body did not come in time")]
+    /// The body was not complete within [`Limits::read_timeout`], or the client stopped sending while
+    /// the server was shutting down.
+    #[error("the request body was not complete in time")]
     Timeout,
-    /// The connection broke.
-    #[error("the body broke off")]
+    /// The connection failed or the body was malformed.
+    #[error("the connection failed within the request body")]
     Disconnected,
 }
 
-/// What a client may take of the server.
+/// Resource limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a request's head, and again for its body.
+    /// Timeout for reading a request's head, and separately for its body.
     pub read_timeout: Duration,
-    /// Most open connections; more wait to be accepted.
+    /// Maximum number of open connections; further ones wait in the listen queue.
     pub max_connections: usize,
 }
 
-/// Accepts connections for ever and answers each request by `handler`. The limits are asked for at
-/// each connection.
-pub async fn serve<L, H, F>(listener: Async<TcpListener>, tasks: Spawner, limits: L, handler: H)
+/// Accepts connections forever and passes each request to `handler`. `limits` is called for each new
+/// connection.
+pub async fn serve<L, H, F>(listener: Async<TcpListener>, spawner: Spawner, limits: L, handler: H)
 where
     L: Fn() -> Limits,
     H: Fn(Request<Result<Bytes, BodyError>>) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    serve_until_closed(listener, tasks, Rc::default(), limits, handler).await;
+    serve_until_closed(listener, spawner, Rc::default(), limits, handler).await;
 }
 
-/// The same, with a list of the open connections, until it is closed by them.
+/// Like [`serve`], but registers open connections in `connections` and returns after
+/// [`Connections::close`].
 pub async fn serve_until_closed<L, H, F>(
     listener: Async<TcpListener>,
-    tasks: Spawner,
+    spawner: Spawner,
     connections: Rc<Connections>,
     limits: L,
     handler: H,
@@ -82,39 +84,39 @@
     H: Fn(Request<Result<Bytes, BodyError>>) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    let take = |(stream, peer), limits| {
-        let listed = connections.open(Some(peer));
+    let start_connection = |(stream, peer), limits| {
+        let guard = connections.register(Some(peer));
         let (connections, handler) = (connections.clone(), handler.clone());
-        tasks.spawn(async move {
-            serve_connection(stream, &listed.tracker, &connections, limits, handler).await;
+        spawner.spawn(async move {
+            serve_connection(stream, &guard.tracker, &connections, limits, handler).await;
         });
     };
-    let accept = async {
+    let accept_loop = async {
         loop {
             let limits = limits();
             if connections.len() >= limits.max_connections {
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
             match listener.accept().await {
-                Ok(accepted) => take(accepted, limits),
+                Ok(connection) => start_connection(connection, limits),
                 Err(_) => {
-                    Timer::after(ACCEPT_PAUSE).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     };
-    accept.or(connections.no_more_accepted()).await;
-    // What waits to be accepted is reset when the listener closes, with a request in it perhaps. The queue
-    // is short, so the limit may be exceeded by it.
-    while let Some(Ok(accepted)) = future::poll_once(listener.accept()).await {
-        take(accepted, limits());
+    accept_loop.or(connections.accepting_stopped()).await;
+    // Closing the listener resets queued connections, which may already carry a request. Accepts them
+    // first, even beyond the limit, since the queue is short.
+    while let Some(Ok(connection)) = future::poll_once(listener.accept()).await {
+        start_connection(connection, limits());
     }
 }
 
 async fn serve_connection<H, F>(
     stream: Async<TcpStream>,
-    tracker: &Rc<Tracker>,
+    tracker: &Rc<ConnectionTracker>,
     connections: &Rc<Connections>,
     limits: Limits,
     handler: H,
@@ -123,24 +125,24 @@
     F: Future<Output = Response<Body>>,
 {
     set_socket_options(&stream);
-    let stream = Tracked::new(stream, tracker.clone());
+    let stream = TrackedStream::new(stream, tracker.clone());
     let service = service_fn(move |request: Request<Incoming>| {
         let handler = handler.clone();
         let tracker = tracker.clone();
         async move {
             let (head, body) = request.into_parts();
-            let stopped = async {
-                connections.no_more_accepted().await;
-                tracker.stalled().await;
+            let client_stalled = async {
+                connections.accepting_stopped().await;
+                tracker.client_stalled().await;
                 Err(BodyError::Timeout)
             };
-            let body = read_body(body, limits).or(stopped).await;
-            tracker.enter(Phase::Handling);
-            let broken = body.is_err();
+            let body = read_body(body, limits).or(client_stalled).await;
+            tracker.set_phase(Phase::Handling);
+            let body_failed = body.is_err();
             let mut response = handler(Request::from_parts(head, body)).await;
-            tracker.enter(Phase::Answering);
-            // With the rest of a body unread the connection can't be used again.
-            if broken || connections.keeps_none() {
+            tracker.set_phase(Phase::Answering);
+            // A connection with an unread rest of a body can't be reused.
+            if body_failed || connections.is_keep_alive_stopped() {
                 let close = hyper::header::HeaderValue::from_static("close");
                 response.headers_mut().insert(hyper::header::CONNECTION, close);
             }
@@ -153,22 +155,22 @@
         .header_read_timeout(limits.read_timeout)
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
-    let over = async {
-        // A client that goes away is no concern of the others.
+    let completed = async {
+        // An error here affects this client only.
         let _ = connection.as_mut().await;
         true
     };
-    let closes = async {
-        connections.no_more_kept().await;
-        // hyper takes a connection with a part of a head for an idle one.
-        tracker.nothing_comes(connections).await;
+    let shutdown_requested = async {
+        connections.keep_alive_stopped().await;
+        // hyper treats a connection with an incomplete head as idle, so it may only shut down afterwards.
+        tracker.no_request_incoming(connections).await;
         false
     };
-    // `or` asks the connection first: a request that has reached the host is read before an idle
-    // connection is closed, which would leave its client without an answer.
-    if !over.or(closes).await {
+    // `or` polls the connection first, so a request already in the socket buffer is read before an idle
+    // connection closes; otherwise its client would get no response.
+    if !completed.or(shutdown_requested).await {
         connection.as_mut().graceful_shutdown();
-        // As above.
+        // An error here affects this client only.
         let _ = connection.await;
     }
 }
@@ -176,14 +178,14 @@
 async fn read_body(body: Incoming, limits: Limits) -> Result<Bytes, BodyError> {
     let read = async {
         match Limited::new(body, limits.max_body_bytes).collect().await {
-            Ok(whole) => Ok(whole.to_bytes()),
+            Ok(collected) => Ok(collected.to_bytes()),
             Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLong),
             Err(_) => Err(BodyError::Disconnected),
         }
     };
-    let late = async {
+    let timed_out = async {
         Timer::after(limits.read_timeout).await;
         Err(BodyError::Timeout)
     };
-    read.or(late).await
+    read.or(timed_out).await
 }
--- a/components/net/src/tracked.rs
+++ b/components/net/src/tracked_stream.rs
@@ -1,4 +1,4 @@
-//! A stream that notes when bytes come and when what was written has left.
+//! A stream wrapper that reports received bytes and completed flushes to a connection's tracker.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -7,35 +7,35 @@
 
 use futures_lite::{AsyncRead, AsyncWrite};
 
-use crate::connections::Tracker;
+use crate::connections::ConnectionTracker;
 
-/// A stream whose reads and writes are noted in its tracker.
-pub(crate) struct Tracked<S> {
+/// A stream that reports non-empty reads and completed flushes to its tracker.
+pub(crate) struct TrackedStream<S> {
     stream: S,
-    tracker: Rc<Tracker>,
+    tracker: Rc<ConnectionTracker>,
 }
 
-impl<S> Tracked<S> {
-    pub fn new(stream: S, tracker: Rc<Tracker>) -> Self {
+impl<S> TrackedStream<S> {
+    pub fn new(stream: S, tracker: Rc<ConnectionTracker>) -> Self {
         Self { stream, tracker }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Tracked<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for TrackedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
-        if matches!(read, Poll::Ready(Ok(bytes)) if bytes > 0) {
-            self.tracker.bytes_came();
+        let result = Pin::new(&mut self.stream).poll_read(cx, buffer);
+        if matches!(result, Poll::Ready(Ok(bytes)) if bytes > 0) {
+            self.tracker.record_received_bytes();
         }
-        read
+        result
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Tracked<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for TrackedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -53,11 +53,11 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let flushed = Pin::new(&mut self.stream).poll_flush(cx);
-        if matches!(flushed, Poll::Ready(Ok(()))) {
-            self.tracker.flushed();
+        let result = Pin::new(&mut self.stream).poll_flush(cx);
+        if matches!(result, Poll::Ready(Ok(()))) {
+            self.tracker.record_flush();
         }
-        flushed
+        result
     }
 
     fn poll_close(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
