--- a/components/agent/src/agent.rs
+++ b/components/agent/src/agent.rs
@@ -6,7 +6,7 @@
 use claims::{ClaimReply, ClaimRequest, Register, Window};
 use execution::{Ledger, Limits, Session, StartTable};
 use model::{Map, NodeRef, SubmissionId, TaskKey, Time};
-use settings::Fleet;
+use settings::FleetSettings;
 use telemetry::{AgentCounters, Breach, MessageKind};
 use wire::{AgentInfo, AgentStatus, SyncReply};
 
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct Agent {
     pub(crate) setup: Setup,
-    pub(crate) fleet: Arc<Fleet>,
+    pub(crate) fleet: Arc<FleetSettings>,
     pub(crate) settings_version: u64,
     pub(crate) register: Register,
     pub(crate) table: StartTable,
@@ -60,7 +60,7 @@
 
 impl Agent {
     /// Creates an agent with the settings in force at its start.
-    pub fn new(setup: Setup, settings_version: u64, fleet: Arc<Fleet>) -> Self {
+    pub fn new(setup: Setup, settings_version: u64, fleet: Arc<FleetSettings>) -> Self {
         Self {
             register: Register::new(setup.started),
             table: StartTable::new(Limits { outcome_bytes: OUTCOME_BYTES_MAX }),
@@ -219,7 +219,7 @@
         }
     }
 
-    fn apply_settings(&mut self, version: u64, fleet: Arc<Fleet>, out: &mut Vec<Action>) {
+    fn apply_settings(&mut self, version: u64, fleet: Arc<FleetSettings>, out: &mut Vec<Action>) {
         if version < self.settings_version {
             let breach = Breach::SettingsWentBack { have: self.settings_version, got: version };
             return self.report_breach(breach, out);
--- a/components/agent/src/event.rs
+++ b/components/agent/src/event.rs
@@ -6,7 +6,7 @@
 use execution::{Session, TaskOutcome};
 use model::{SubmissionId, TaskKey, Time};
 use serde::{Deserialize, Serialize};
-use settings::Fleet;
+use settings::FleetSettings;
 use telemetry::Breach;
 use wire::{
     AgentInfo, AgentStatus, HelloRequest, SettleReply, SettleRequest, StartReply, StartRequest,
@@ -84,7 +84,7 @@
         /// The version of the settings.
         version: u64,
         /// The settings of the fleet.
-        fleet: Arc<Fleet>,
+        fleet: Arc<FleetSettings>,
     },
     /// The target must take no new work, because of a planned stop or because its host leaves.
     Leave,
--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -5,7 +5,7 @@
 
 use claims::{HOLDERS, Member, View, Views, Window};
 use model::{Code, Map, NodeRef, SubmissionId, TaskKey, Time};
-use settings::{Catalog, Fleet};
+use settings::{Catalog, FleetSettings};
 use telemetry::{Breach, Decision, EntryCounters, MessageKind, Step};
 use wire::RelayReply;
 
@@ -162,7 +162,7 @@
     }
 
     /// Whether the claim view has enough voting members for a complete set of claim holders.
-    fn enough_holders_vote(&self, fleet: &Fleet, now: Time) -> bool {
+    fn enough_holders_vote(&self, fleet: &FleetSettings, now: Time) -> bool {
         let needed = fleet.claim_view.len().min(HOLDERS);
         let votes = |member: &Member| self.targets.can_vote(&member.name, now);
         let members = fleet.claim_view.iter().filter_map(|text| text.parse().ok());
@@ -174,7 +174,7 @@
         self.table.active() == 0
     }
 
-    pub(crate) fn window(fleet: &Fleet) -> Window {
+    pub(crate) fn window(fleet: &FleetSettings) -> Window {
         Window { retention: fleet.retention, clock_skew: fleet.clock_skew }
     }
 
@@ -327,7 +327,7 @@
 }
 
 /// Builds the claim views that the settings define, without members that can't be parsed.
-fn claim_views(fleet: &Fleet) -> Views {
+fn claim_views(fleet: &FleetSettings) -> Views {
     let view = |members: &[String]| {
         let members: Vec<Member> = members.iter().filter_map(|text| text.parse().ok()).collect();
         View::new(&members)
--- a/components/entry/src/kinds.rs
+++ b/components/entry/src/kinds.rs
@@ -53,7 +53,8 @@
 
     pub fn get_mut(&mut self, kind: &KindSettings) -> &mut KindState {
         let service = self.states.entry(kind.service.clone()).or_default();
-        let new_state = || KindState { times: ServiceTimes::new(kind.expected), retry_credit: 0.0 };
+        let new_state =
+            || KindState { times: ServiceTimes::new(kind.expected_duration), retry_credit: 0.0 };
         service.entry(kind.kind.clone()).or_insert_with(new_state)
     }
 }
--- a/components/entry/src/placing.rs
+++ b/components/entry/src/placing.rs
@@ -364,5 +364,5 @@
 /// time, which is about the time that it would lose there.
 fn straggler_wait(kinds: &Kinds, kind: Option<&KindSettings>) -> Duration {
     let Some(kind) = kind else { return Duration::ZERO };
-    kinds.times(kind).map_or(kind.expected, |times| times.mean())
+    kinds.times(kind).map_or(kind.expected_duration, |times| times.mean())
 }
--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -149,7 +149,7 @@
             Ok(edits) => edits,
             Err(reason) => return invalid(reason),
         };
-        match self.tree.with(&edits) {
+        match self.tree.with_edits(&edits) {
             Ok(tree) => self.accept_version(tree, edits, change.accepted_at),
             Err(error) => invalid(error.to_string()),
         }
--- a/components/keeper/tests/state.rs
+++ b/components/keeper/tests/state.rs
@@ -41,7 +41,7 @@
     assert_eq!(state.apply_change(&change), ChangeResult::Accepted { version: 2 });
     assert_eq!(state.version(), 3);
     let booking: SectionPath = "booking".parse().unwrap();
-    assert_eq!(state.tree().written(&booking, "team"), Some("other"));
+    assert_eq!(state.tree().explicit_text(&booking, "team"), Some("other"));
 }
 
 #[test]
@@ -67,9 +67,9 @@
     };
     assert_eq!(&tree, state.tree());
     let PullReply::Delta { version: 501, edits } = state.update_since(Some(498)) else { panic!() };
-    let mut lagging = tree.with(&[set("booking", "deadline_ms", "498")]).unwrap();
+    let mut lagging = tree.with_edits(&[set("booking", "deadline_ms", "498")]).unwrap();
     for edits in edits {
-        lagging = lagging.with(&edits).unwrap();
+        lagging = lagging.with_edits(&edits).unwrap();
     }
     assert_eq!(&lagging, state.tree());
 }
--- a/components/membership/src/list.rs
+++ b/components/membership/src/list.rs
@@ -120,7 +120,7 @@
 fn read(section: &str, name: &str, text: Option<&str>) -> Result<Value, SettingsError> {
     let key = Key::find(KEYS, name).expect("a key of the list");
     let text = text.unwrap_or(key.default);
-    key.read(text).map_err(|reason| SettingsError::key(section, name, reason))
+    key.parse(text).map_err(|reason| SettingsError::key(section, name, reason))
 }
 
 fn role(word: &str) -> Role {
--- a/components/settings/src/catalog.rs
+++ b/components/settings/src/catalog.rs
@@ -32,7 +32,7 @@
     /// Time from arrival to answer where the request names none.
     pub deadline: Duration,
     /// How long a task is taken to last until measured.
-    pub expected: Duration,
+    pub expected_duration: Duration,
     /// Most tasks in one job.
     pub tasks_max: usize,
     /// Longest text of one task, in bytes.
@@ -50,7 +50,7 @@
 
 /// The settings in force for the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// Agents that hold claims, as `NAME@RACK`.
     pub claim_view: Vec<String>,
     /// The view before.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug)]
 pub struct Catalog {
     version: u64,
-    fleet: Fleet,
+    fleet: FleetSettings,
     kinds: HashMap<String, HashMap<String, Arc<KindSettings>>>,
     teams: HashMap<String, TeamSettings>,
 }
@@ -102,7 +102,7 @@
     }
 
     /// The settings of the whole fleet.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &FleetSettings {
         &self.fleet
     }
 
@@ -146,7 +146,7 @@
         state,
         team: value(tree, path, "team").text().to_owned(),
         deadline: millis(tree, path, "deadline_ms"),
-        expected: millis(tree, path, "expected_ms"),
+        expected_duration: millis(tree, path, "expected_ms"),
         tasks_max: size(tree, path, "tasks_max"),
         task_bytes_max: size(tree, path, "task_bytes_max"),
         retry_share: value(tree, path, "retry_percent").integer() as f64 / 100.0,
@@ -158,9 +158,9 @@
     TeamSettings { weight: u32::try_from(weight).unwrap_or(u32::MAX) }
 }
 
-fn compile_fleet(tree: &Tree) -> Fleet {
+fn compile_fleet(tree: &Tree) -> FleetSettings {
     let path = SectionPath::fleet();
-    Fleet {
+    FleetSettings {
         claim_view: value(tree, &path, "claim_view").list().to_vec(),
         previous_claim_view: value(tree, &path, "previous_claim_view").list().to_vec(),
         previous_claim_view_until: Time::from_millis(
--- a/components/settings/src/keys.rs
+++ b/components/settings/src/keys.rs
@@ -109,7 +109,7 @@
 }];
 
 /// The reference page of these keys, in Markdown.
-pub fn print_reference() -> String {
+pub fn reference_page() -> String {
     let mut page = String::new();
     page.push_str("## `[/]`, `[SERVICE]`, `[SERVICE/KIND]`\n\n");
     page.push_str(&Key::table(SERVICE_KEYS));
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -7,9 +7,9 @@
 mod schema;
 mod tree;
 
-pub use catalog::{Catalog, Fleet, KindSettings, ServiceState, TeamSettings};
+pub use catalog::{Catalog, FleetSettings, KindSettings, ServiceState, TeamSettings};
 pub use error::SettingsError;
-pub use keys::{FLEET_KEYS, SERVICE_KEYS, TEAM_KEYS, print_reference};
+pub use keys::{FLEET_KEYS, SERVICE_KEYS, TEAM_KEYS, reference_page};
 pub use path::{Scope, SectionPath};
 pub use schema::{Key, Value, ValueType};
 pub use tree::{Edit, Tree, parse_ini};
--- a/components/settings/src/schema.rs
+++ b/components/settings/src/schema.rs
@@ -55,7 +55,7 @@
     /// A whole number.
     Integer(u64),
     /// A time.
-    Time(Duration),
+    Duration(Duration),
     /// `true` or `false`.
     Flag(bool),
     /// A word or a text.
@@ -70,7 +70,7 @@
 
 impl Key {
     /// Reads a value, or says in a clause why it can't be taken.
-    pub fn read(&self, text: &str) -> Result<Value, String> {
+    pub fn parse(&self, text: &str) -> Result<Value, String> {
         match self.value_type {
             ValueType::Integer { min, max, unit } => read_integer(text, min, max, unit),
             ValueType::Seconds { min_ms, max_ms } => read_seconds(text, min_ms, max_ms),
@@ -115,9 +115,9 @@
     }
 
     /// The time. Panics when the schema gave another type: a bug in the caller.
-    pub fn time(&self) -> Duration {
+    pub fn duration(&self) -> Duration {
         match self {
-            Self::Time(time) => *time,
+            Self::Duration(time) => *time,
             other => panic!("not a key of a time: {other:?}"),
         }
     }
@@ -192,7 +192,7 @@
     if !(min..=max).contains(&number) {
         return Err(format!("{text} is out of range {min} to {max} (s)"));
     }
-    Ok(Value::Time(Duration::from_secs_f64(number)))
+    Ok(Value::Duration(Duration::from_secs_f64(number)))
 }
 
 fn read_flag(text: &str) -> Result<Value, String> {
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -88,7 +88,7 @@
     }
 
     /// The tree after some edits, or why they can't be taken. The tree itself is unharmed.
-    pub fn with(&self, edits: &[Edit]) -> Result<Self, SettingsError> {
+    pub fn with_edits(&self, edits: &[Edit]) -> Result<Self, SettingsError> {
         let mut next = self.clone();
         for edit in edits {
             next.apply(edit)?;
@@ -147,7 +147,7 @@
     }
 
     /// The value as written in just this section.
-    pub fn written(&self, path: &SectionPath, key: &str) -> Option<&str> {
+    pub fn explicit_text(&self, path: &SectionPath, key: &str) -> Option<&str> {
         self.sections.get(path)?.get(key).map(String::as_str)
     }
 
@@ -159,7 +159,7 @@
                 edits.push(Edit::Add { section: path.clone() });
             }
             for (key, value) in section {
-                if self.written(path, key) != Some(value) {
+                if self.explicit_text(path, key) != Some(value) {
                     let (section, key) = (path.clone(), key.clone());
                     edits.push(Edit::Set { section, key, value: value.clone() });
                 }
@@ -196,7 +196,7 @@
     /// The value in force: written here, inherited, or the default.
     pub fn effective(&self, path: &SectionPath, key: &Key) -> Value {
         let (_, text) = self.effective_text(path, key);
-        key.read(text).expect("checked when it was written")
+        key.parse(text).expect("checked when it was written")
     }
 }
 
@@ -206,7 +206,7 @@
     let Some(key) = Key::find(path.scope().keys(), name) else {
         return Err(refuse("unknown key".to_owned()));
     };
-    key.read(value).map_err(refuse)?;
+    key.parse(value).map_err(refuse)?;
     Ok(())
 }
 
--- a/components/settings/tests/schema.rs
+++ b/components/settings/tests/schema.rs
@@ -19,19 +19,19 @@
 
 #[test]
 fn integers_keep_to_their_range() {
-    assert_eq!(LIMIT.read("690"), Ok(Value::Integer(690)));
-    assert!(LIMIT.read("0").unwrap_err().contains("out of range"));
-    assert!(LIMIT.read("691").unwrap_err().contains("out of range"));
-    assert!(LIMIT.read("5s").unwrap_err().contains("not a whole number"));
+    assert_eq!(LIMIT.parse("690"), Ok(Value::Integer(690)));
+    assert!(LIMIT.parse("0").unwrap_err().contains("out of range"));
+    assert!(LIMIT.parse("691").unwrap_err().contains("out of range"));
+    assert!(LIMIT.parse("5s").unwrap_err().contains("not a whole number"));
 }
 
 #[test]
 fn seconds_may_have_decimals_and_keep_to_their_range() {
-    assert_eq!(GRACE.read("6"), Ok(Value::Time(Duration::from_secs(6))));
-    assert_eq!(GRACE.read("6.5"), Ok(Value::Time(Duration::from_millis(6_500))));
-    assert!(GRACE.read("0.9").unwrap_err().contains("out of range"));
-    assert!(GRACE.read("601").unwrap_err().contains("out of range"));
-    assert!(GRACE.read("nan").unwrap_err().contains("out of range"));
-    assert!(GRACE.read("").unwrap_err().contains("not a number"));
+    assert_eq!(GRACE.parse("6"), Ok(Value::Duration(Duration::from_secs(6))));
+    assert_eq!(GRACE.parse("6.5"), Ok(Value::Duration(Duration::from_millis(6_500))));
+    assert!(GRACE.parse("0.9").unwrap_err().contains("out of range"));
+    assert!(GRACE.parse("601").unwrap_err().contains("out of range"));
+    assert!(GRACE.parse("nan").unwrap_err().contains("out of range"));
+    assert!(GRACE.parse("").unwrap_err().contains("not a number"));
     assert_eq!(GRACE.describe_type(), "decimal 1 to 600, s");
 }
--- a/components/settings/tests/tree.rs
+++ b/components/settings/tests/tree.rs
@@ -43,7 +43,7 @@
 #[test]
 fn stopping_a_service_stops_its_kinds() {
     let tree = Tree::from_ini(BOOKING).unwrap();
-    let stopped = tree.with(&[set("booking", "state", "stopped")]).unwrap();
+    let stopped = tree.with_edits(&[set("booking", "state", "stopped")]).unwrap();
     let catalog = Catalog::new(4, &stopped);
     assert_eq!(catalog.kind("booking", "holds").unwrap().state, ServiceState::Stopped);
 }
@@ -75,7 +75,7 @@
 fn a_refused_edit_leaves_the_tree_unharmed() {
     let tree = Tree::from_ini(BOOKING).unwrap();
     let edits = [set("booking", "team", "other"), set("booking", "deadline_ms", "none")];
-    assert!(tree.with(&edits).is_err());
+    assert!(tree.with_edits(&edits).is_err());
     assert_eq!(tree, Tree::from_ini(BOOKING).unwrap());
 }
 
@@ -83,7 +83,7 @@
 fn removing_a_section_takes_its_children() {
     let tree = Tree::from_ini(BOOKING).unwrap();
     let section: SectionPath = "booking".parse().unwrap();
-    let next = tree.with(&[Edit::Remove { section }]).unwrap();
+    let next = tree.with_edits(&[Edit::Remove { section }]).unwrap();
     let left: Vec<_> = next.paths().map(SectionPath::as_str).collect();
     assert_eq!(left, ["/", "teams/kyushu"]);
 }
@@ -102,7 +102,7 @@
                 "retry_percent" => (number % 101).to_string(),
                 _ => number.to_string(),
             };
-            if let Ok(next) = tree.with(&[set(&service, key.name, &value)]) {
+            if let Ok(next) = tree.with_edits(&[set(&service, key.name, &value)]) {
                 tree = next;
             }
         }
@@ -122,13 +122,13 @@
                     Edit::Add { section: service.parse().unwrap() },
                     set(&child, "deadline_ms", &number.to_string()),
                 ];
-                tree = tree.with(&edits).unwrap();
+                tree = tree.with_edits(&edits).unwrap();
             }
             tree
         };
         let (from, to) = (build(&from), build(&to));
         let edits = from.edits_to(&to);
-        prop_assert_eq!(from.with(&edits).unwrap(), to);
+        prop_assert_eq!(from.with_edits(&edits).unwrap(), to);
     }
 
     #[test]
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -212,7 +212,7 @@
         },
         node_port: u16::try_from(sections.value(NODE, "node_port")?.integer()).unwrap_or(0),
         metrics: optional_address(sections, NODE, "metrics")?,
-        stop_grace: sections.value(NODE, "stop_grace_s")?.time(),
+        stop_grace: sections.value(NODE, "stop_grace_s")?.duration(),
         logs: (!logs.is_empty()).then(|| PathBuf::from(logs)),
         counters_every: millis("counters_every_ms")?,
     })
--- a/daemon/src/config/keys.rs
+++ b/daemon/src/config/keys.rs
@@ -240,7 +240,7 @@
             for (name, text) in values {
                 let key = Key::find(keys, name)
                     .ok_or_else(|| SettingsError::key(section, name, "unknown key"))?;
-                key.read(text).map_err(|reason| SettingsError::key(section, name, reason))?;
+                key.parse(text).map_err(|reason| SettingsError::key(section, name, reason))?;
             }
         }
         Ok(Self { written })
@@ -251,7 +251,7 @@
         let key = keys_of(section).and_then(|keys| Key::find(keys, name)).expect("a known key");
         let written = self.written.get(section).and_then(|values| values.get(name));
         let text = written.map_or(key.default, String::as_str);
-        key.read(text).map_err(|reason| SettingsError::key(section, name, reason))
+        key.parse(text).map_err(|reason| SettingsError::key(section, name, reason))
     }
 
     /// A value that has to be written.
@@ -301,6 +301,6 @@
         page.push_str(&format!("\n## `[{section}]`\n\n{}", Key::table(keys)));
     }
     page.push_str("\n# The settings tree\n\n");
-    page.push_str(&settings::print_reference());
+    page.push_str(&settings::reference_page());
     page
 }
--- a/daemon/src/settings_link.rs
+++ b/daemon/src/settings_link.rs
@@ -97,7 +97,8 @@
             }
             PullReply::Delta { version, edits } => {
                 let Some((_, tree)) = &self.have else { return false };
-                let tree = edits.iter().try_fold(tree.clone(), |tree, edits| tree.with(edits));
+                let tree =
+                    edits.iter().try_fold(tree.clone(), |tree, edits| tree.with_edits(edits));
                 let Ok(tree) = tree else {
                     error!("settings: a delta of {} makes no valid tree", keeper);
                     self.have = None;
--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -12,7 +12,7 @@
 impl World {
     /// Changes the settings; every node gets them within a few seconds.
     pub fn change_settings(&mut self, edits: Vec<Edit>) {
-        let Ok(tree) = self.tree.with(&edits) else { return };
+        let Ok(tree) = self.tree.with_edits(&edits) else { return };
         self.tree = tree;
         let version = self.catalogs.len() as u64 + 1;
         self.catalogs.push(Arc::new(Catalog::new(version, &self.tree)));
--- a/soak/src/keepers/nodes.rs
+++ b/soak/src/keepers/nodes.rs
@@ -76,7 +76,8 @@
             PullReply::Snapshot { version, tree } => (version, tree),
             PullReply::Delta { version, edits } => {
                 let Some((_, tree)) = &have else { return false };
-                let applied = edits.iter().try_fold(tree.clone(), |tree, edits| tree.with(edits));
+                let applied =
+                    edits.iter().try_fold(tree.clone(), |tree, edits| tree.with_edits(edits));
                 let Ok(tree) = applied else {
                     self.checks.violation(self.now, "a delta makes no valid tree");
                     return false;
