--- a/components/api/src/answer.rs
+++ b/components/api/src/answer.rs
@@ -10,7 +10,7 @@
 
 /// An HTTP answer, ready to be written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct ApiResponse {
     /// The status code.
     pub status: u16,
     /// The verdict header, on everything but a whole answer.
@@ -57,10 +57,10 @@
 }
 
 /// Writes the outcome of a request: every answer in task order, or why there is none.
-pub fn write_outcome(
+pub fn outcome_response(
     submission: Option<SubmissionId>,
     outcome: &Result<Arc<[Arc<str>]>, Failure>,
-) -> Answer {
+) -> ApiResponse {
     match (outcome, submission) {
         (Ok(answers), Some(id)) => write_answers(id, answers),
         (Ok(_), None) => unreachable!("only submissions have answers"),
@@ -68,13 +68,13 @@
     }
 }
 
-fn write_answers(submission: SubmissionId, answers: &[Arc<str>]) -> Answer {
+fn write_answers(submission: SubmissionId, answers: &[Arc<str>]) -> ApiResponse {
     let submission = SubmissionText(submission);
     let body = CompleteBody { submission, outcome: Outcome::Complete, answers };
-    Answer { status: 200, verdict: None, retry_after: None, body: to_json(&body) }
+    ApiResponse { status: 200, verdict: None, retry_after: None, body: to_json(&body) }
 }
 
-fn write_failure(submission: Option<SubmissionId>, failure: &Failure) -> Answer {
+fn write_failure(submission: Option<SubmissionId>, failure: &Failure) -> ApiResponse {
     let body = FailedBody {
         submission: submission.map(SubmissionText),
         outcome: Outcome::Failed,
@@ -83,7 +83,7 @@
         message: &failure.message,
         retry_after_ms: failure.retry_after_ms,
     };
-    Answer {
+    ApiResponse {
         status: status(failure.code, failure.verdict),
         verdict: Some(failure.verdict),
         retry_after: failure.retry_after_ms.map(|millis| millis.div_ceil(1_000)),
--- a/components/api/src/body.rs
+++ b/components/api/src/body.rs
@@ -47,7 +47,7 @@
 
 /// Work read from either body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Work {
+pub struct Submission {
     /// The service.
     pub service: String,
     /// The kind below it.
@@ -61,9 +61,9 @@
 }
 
 /// Reads a job's body.
-pub fn read_job(body: &[u8]) -> Result<Work, Failure> {
+pub fn parse_job(body: &[u8]) -> Result<Submission, Failure> {
     let job: JobBody = serde_json::from_slice(body).map_err(bad_json)?;
-    check(Work {
+    check(Submission {
         service: job.service,
         kind: job.kind,
         tasks: job.tasks,
@@ -73,9 +73,9 @@
 }
 
 /// Reads the body of one piece of work.
-pub fn read_request(body: &[u8]) -> Result<Work, Failure> {
+pub fn parse_request(body: &[u8]) -> Result<Submission, Failure> {
     let request: RequestBody = serde_json::from_slice(body).map_err(bad_json)?;
-    check(Work {
+    check(Submission {
         service: request.service,
         kind: request.kind,
         tasks: vec![request.task],
@@ -84,7 +84,7 @@
     })
 }
 
-fn check(work: Work) -> Result<Work, Failure> {
+fn check(work: Submission) -> Result<Submission, Failure> {
     let bad = |message: &str| Err(Failure::new(Code::BadBody, Verdict::NotRun, message));
     if work.tasks.is_empty() {
         return bad("a job has at least one task");
--- a/components/api/src/lib.rs
+++ b/components/api/src/lib.rs
@@ -7,6 +7,8 @@
 mod body;
 mod route;
 
-pub use answer::{Answer, VERDICT_HEADER, write_outcome};
-pub use body::{BODY_BYTES_MAX, JobBody, RequestBody, TASKS_MAX, Work, read_job, read_request};
-pub use route::{Route, read_route};
+pub use answer::{ApiResponse, VERDICT_HEADER, outcome_response};
+pub use body::{
+    BODY_BYTES_MAX, JobBody, RequestBody, Submission, TASKS_MAX, parse_job, parse_request,
+};
+pub use route::{Route, parse_route};
--- a/components/api/src/route.rs
+++ b/components/api/src/route.rs
@@ -18,7 +18,7 @@
 }
 
 /// Reads a request line.
-pub fn read_route(method: &str, path: &str) -> Result<Route, Failure> {
+pub fn parse_route(method: &str, path: &str) -> Result<Route, Failure> {
     match (method, path) {
         ("GET", "/ready") => return Ok(Route::Ready),
         ("GET", "/v1/status") => return Ok(Route::Status),
--- a/components/api/tests/caller_interface.rs
+++ b/components/api/tests/caller_interface.rs
@@ -1,6 +1,6 @@
 //! What callers may send, and what they get.
 
-use api::{JobBody, Route, read_job, read_request, read_route, write_outcome};
+use api::{JobBody, Route, outcome_response, parse_job, parse_request, parse_route};
 use model::{Code, Failure, SubmissionId, Time, Verdict};
 use proptest::prelude::*;
 
@@ -11,12 +11,12 @@
 #[test]
 fn routes_by_method_and_path() {
     let id = id();
-    let route = |method, path: String| read_route(method, &path);
+    let route = |method, path: String| parse_route(method, &path);
     assert_eq!(route("PUT", format!("/v1/jobs/{id}")), Ok(Route::SubmitJob(id)));
     assert_eq!(route("GET", format!("/v1/jobs/{id}")), Ok(Route::Fetch(id)));
     assert_eq!(route("PUT", format!("/v1/requests/{id}")), Ok(Route::SubmitRequest(id)));
     assert_eq!(route("GET", "/ready".to_owned()), Ok(Route::Ready));
-    let code = |method, path: &str| read_route(method, path).unwrap_err().code;
+    let code = |method, path: &str| parse_route(method, path).unwrap_err().code;
     assert_eq!(code("DELETE", &format!("/v1/jobs/{id}")), Code::NoSuchPath);
     assert_eq!(code("PUT", "/v1/jobs/7"), Code::BadId);
     assert_eq!(code("PUT", "/v1/jobs/6f1c3f6e-3d2a-4c1b-9a51-0d8f3c2b1a00"), Code::BadId);
@@ -39,7 +39,7 @@
         (&too_many, Code::TooLarge),
     ];
     for (body, code) in cases {
-        let failure = read_job(body.as_bytes()).unwrap_err();
+        let failure = parse_job(body.as_bytes()).unwrap_err();
         assert_eq!((failure.code, failure.verdict), (code, Verdict::NotRun), "{body}");
     }
 }
@@ -47,18 +47,18 @@
 #[test]
 fn a_request_is_not_repeatable_unless_it_says_so() {
     let body = r#"{"service":"booking","kind":"settlements","task":"ticket 9"}"#;
-    assert!(!read_request(body.as_bytes()).unwrap().repeatable);
+    assert!(!parse_request(body.as_bytes()).unwrap().repeatable);
 }
 
 #[test]
 fn outcomes_are_whole_or_carry_their_verdict() {
     let answers = [std::sync::Arc::from("seat 4A"), std::sync::Arc::from("seat \"4B\"")];
-    let whole = write_outcome(Some(id()), &Ok(answers.into()));
+    let whole = outcome_response(Some(id()), &Ok(answers.into()));
     assert_eq!((whole.status, whole.verdict), (200, None));
     let body: serde_json::Value = serde_json::from_str(&whole.body).unwrap();
     assert_eq!(body["answers"], serde_json::json!(["seat 4A", "seat \"4B\""]));
     let refusal = Failure::new(Code::Overloaded, Verdict::NotRun, "full").retry_after(1_200);
-    let refused = write_outcome(Some(id()), &Err(refusal));
+    let refused = outcome_response(Some(id()), &Err(refusal));
     assert_eq!((refused.status, refused.retry_after), (503, Some(2)));
     assert_eq!(refused.verdict, Some(Verdict::NotRun));
 }
@@ -66,13 +66,13 @@
 #[test]
 fn a_refusal_without_proof_is_no_503() {
     let refusal = Failure::new(Code::Overloaded, Verdict::MayHaveRun, "full");
-    assert_eq!(write_outcome(None, &Err(refusal)).status, 502);
+    assert_eq!(outcome_response(None, &Err(refusal)).status, 502);
 }
 
 proptest! {
     #[test]
     fn any_bytes_are_read_or_refused(body in proptest::collection::vec(any::<u8>(), 0..200)) {
-        for result in [read_job(&body), read_request(&body)] {
+        for result in [parse_job(&body), parse_request(&body)] {
             if let Err(failure) = result {
                 prop_assert_eq!(failure.verdict, Verdict::NotRun);
             }
@@ -89,17 +89,17 @@
         let tasks: Vec<std::sync::Arc<str>> = tasks.into_iter().map(Into::into).collect();
         let job = JobBody { service, kind: "holds".into(), tasks, deadline_ms: deadline };
         let text = serde_json::to_vec(&job).unwrap();
-        match read_job(&text) {
+        match parse_job(&text) {
             Ok(work) => prop_assert_eq!(work.tasks, job.tasks),
             Err(failure) => prop_assert_eq!(failure.verdict, Verdict::NotRun),
         }
         let cut = cut.min(text.len().saturating_sub(1));
-        prop_assert!(read_job(&text[..cut]).is_err());
+        prop_assert!(parse_job(&text[..cut]).is_err());
     }
 
     #[test]
     fn any_path_is_routed_or_refused(method in "[A-Z]{0,7}", path in "/?(v1/)?(jobs/)?.{0,60}") {
-        if let Err(failure) = read_route(&method, &path) {
+        if let Err(failure) = parse_route(&method, &path) {
             prop_assert_eq!(failure.verdict, Verdict::NotRun);
         }
     }
--- a/daemon/src/entry_role/listen.rs
+++ b/daemon/src/entry_role/listen.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use api::{Answer, BODY_BYTES_MAX, Route, VERDICT_HEADER, Work};
+use api::{ApiResponse, BODY_BYTES_MAX, Route, Submission, VERDICT_HEADER};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures::StreamExt;
@@ -121,14 +121,14 @@
 impl Server {
     async fn answer(&self, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
         let (head, body) = request.into_parts();
-        let route = api::read_route(head.method.as_str(), head.uri.path());
+        let route = api::parse_route(head.method.as_str(), head.uri.path());
         match route {
             Err(failure) => failed(None, failure),
             Ok(Route::Ready) => self.ready(),
             Ok(Route::Status) => self.status().await,
             Ok(Route::Fetch(id)) => self.outcome(id, Ask::Fetch(id)).await,
-            Ok(Route::SubmitJob(id)) => self.submit(id, body, api::read_job).await,
-            Ok(Route::SubmitRequest(id)) => self.submit(id, body, api::read_request).await,
+            Ok(Route::SubmitJob(id)) => self.submit(id, body, api::parse_job).await,
+            Ok(Route::SubmitRequest(id)) => self.submit(id, body, api::parse_request).await,
         }
     }
 
@@ -136,7 +136,7 @@
         &self,
         id: SubmissionId,
         body: Result<Bytes, BodyError>,
-        read: fn(&[u8]) -> Result<Work, Failure>,
+        read: fn(&[u8]) -> Result<Submission, Failure>,
     ) -> Response<Body> {
         let work = body.map_err(bad_body).and_then(|body| read(&body));
         match work {
@@ -157,7 +157,7 @@
 
     async fn outcome(&self, id: SubmissionId, what: Ask) -> Response<Body> {
         let outcome = ask(&self.ring, what, false).await;
-        write(api::write_outcome(Some(id), &outcome))
+        write(api::outcome_response(Some(id), &outcome))
     }
 
     fn ready(&self) -> Response<Body> {
@@ -188,10 +188,10 @@
 }
 
 fn failed(id: Option<SubmissionId>, failure: Failure) -> Response<Body> {
-    write(api::write_outcome(id, &Err(failure)))
+    write(api::outcome_response(id, &Err(failure)))
 }
 
-fn write(answer: Answer) -> Response<Body> {
+fn write(answer: ApiResponse) -> Response<Body> {
     let mut response = plain(answer.status, "application/json", answer.body);
     let headers = response.headers_mut();
     if let Some(verdict) = answer.verdict {
