--- a/bench/src/changes.rs
+++ b/bench/src/changes.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use clap::ArgMatches;
-use client::{ChangeOutcome, Operator};
+use client::{ChangeOutcome, OperatorClient};
 use settings::Edit;
 use telemetry::Latency;
 use testbed::{Cluster, ClusterOptions};
@@ -35,15 +35,16 @@
 fn measure(cluster: &Cluster, changes: u64) -> Result<Latency, String> {
     let keepers = cluster.keeper_addresses();
     net::block_on(|tasks| async move {
-        let operator = Operator::new(&keepers, &tasks);
-        let mut version = operator.read().await.map_err(|error| error.to_string())?.version;
+        let operator = OperatorClient::new(&keepers, &tasks);
+        let mut version =
+            operator.read_settings().await.map_err(|error| error.to_string())?.version;
         let mut latency = Latency::default();
         for number in 0..changes {
             let section = "booking".parse().map_err(|error| format!("{error}"))?;
             let value = (number + 1).to_string();
             let edit = Edit::Set { section, key: "deadline_ms".to_owned(), value };
             let started = Instant::now();
-            match operator.change(version, vec![edit]).await {
+            match operator.submit_edits(version, vec![edit]).await {
                 ChangeOutcome::Known(ChangeResult::Accepted { version: next }) => version = next,
                 other => return Err(format!("not accepted: {other:?}")),
             }
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -7,7 +7,7 @@
 
 use api::JobBody;
 use async_io::Timer;
-use client::{Caller, Outcome, new_submission};
+use client::{EntryClient, Outcome, new_submission_id};
 use telemetry::Latency;
 
 /// Longest wait for one outcome.
@@ -63,7 +63,7 @@
         deadline_ms: Some(OUTCOME_TIME.as_millis() as u64),
     };
     net::block_on(|tasks| async move {
-        let caller = Caller::new(load.entry, tasks, OUTCOME_TIME);
+        let caller = EntryClient::new(load.entry, tasks, OUTCOME_TIME);
         let all = (0..load.callers).map(|number| {
             let slot = thread * load.callers + number;
             run_caller(&caller, &job, load, slot)
@@ -78,7 +78,7 @@
     })
 }
 
-async fn run_caller(caller: &Caller, job: &JobBody, load: Load, slot: usize) -> Done {
+async fn run_caller(caller: &EntryClient, job: &JobBody, load: Load, slot: usize) -> Done {
     let mut done = Done::default();
     let begun = Instant::now();
     let mut next = begun;
@@ -92,7 +92,7 @@
             next += every;
         }
         let started = Instant::now();
-        match caller.job(new_submission(), job).await {
+        match caller.submit_job(new_submission_id(), job).await {
             Ok(Outcome::Complete(answers)) if answers.len() == load.tasks => {
                 done.whole += 1;
                 done.latency.record(started.elapsed());
--- a/components/client/src/caller.rs
+++ b/components/client/src/caller.rs
@@ -34,13 +34,13 @@
 
 /// Why nothing is known from an entry.
 #[derive(Debug, Error)]
-pub enum CallerError {
+pub enum RequestError {
     /// No answer.
     #[error(transparent)]
     Http(#[from] ClientError),
     /// An answer that makes no sense.
     #[error("the entry's answer makes no sense: {0}")]
-    BadAnswer(String),
+    InvalidResponse(String),
 }
 
 #[derive(Deserialize)]
@@ -57,40 +57,44 @@
 }
 
 /// A client of one entry.
-pub struct Caller {
+pub struct EntryClient {
     client: Client,
     time: Duration,
 }
 
-impl Caller {
+impl EntryClient {
     /// A client that waits so long for each answer.
     pub fn new(entry: SocketAddr, tasks: Spawner, time: Duration) -> Self {
         Self { client: Client::new(entry, tasks), time }
     }
 
     /// Submits a job and waits for its outcome.
-    pub async fn job(&self, id: SubmissionId, body: &JobBody) -> Result<Outcome, CallerError> {
+    pub async fn submit_job(
+        &self,
+        id: SubmissionId,
+        body: &JobBody,
+    ) -> Result<Outcome, RequestError> {
         let body = serde_json::to_vec(body).expect("plain structs become JSON");
         self.send(Method::PUT, &format!("/v1/jobs/{id}"), body).await
     }
 
     /// Submits one piece of work and waits for its outcome.
-    pub async fn request(
+    pub async fn submit_request(
         &self,
         id: SubmissionId,
         body: &RequestBody,
-    ) -> Result<Outcome, CallerError> {
+    ) -> Result<Outcome, RequestError> {
         let body = serde_json::to_vec(body).expect("plain structs become JSON");
         self.send(Method::PUT, &format!("/v1/requests/{id}"), body).await
     }
 
     /// Asks for the outcome of an earlier submission.
-    pub async fn fetch(&self, id: SubmissionId) -> Result<Outcome, CallerError> {
+    pub async fn fetch_outcome(&self, id: SubmissionId) -> Result<Outcome, RequestError> {
         self.send(Method::GET, &format!("/v1/jobs/{id}"), Vec::new()).await
     }
 
     /// Asks for the entry's counters, as JSON.
-    pub async fn status(&self) -> Result<serde_json::Value, CallerError> {
+    pub async fn status(&self) -> Result<serde_json::Value, RequestError> {
         let reply = self.exchange(Method::GET, "/v1/status", Vec::new()).await?;
         parse(&reply)
     }
@@ -109,7 +113,7 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<Outcome, CallerError> {
+    ) -> Result<Outcome, RequestError> {
         let reply = self.exchange(method, path, body).await?;
         if reply.status == 200 {
             return Ok(Outcome::Complete(parse::<CompleteBody>(&reply)?.answers));
@@ -117,7 +121,7 @@
         let failed: FailedBody = parse(&reply)?;
         let header = reply.headers.get(VERDICT_HEADER).and_then(|value| value.to_str().ok());
         if header.and_then(Verdict::parse) != Some(failed.verdict) {
-            return Err(CallerError::BadAnswer(format!("verdict header {header:?}")));
+            return Err(RequestError::InvalidResponse(format!("verdict header {header:?}")));
         }
         Ok(Outcome::Failed {
             status: reply.status,
@@ -129,6 +133,7 @@
     }
 }
 
-pub(crate) fn parse<T: for<'de> Deserialize<'de>>(reply: &Reply) -> Result<T, CallerError> {
-    serde_json::from_slice(&reply.body).map_err(|error| CallerError::BadAnswer(error.to_string()))
+pub(crate) fn parse<T: for<'de> Deserialize<'de>>(reply: &Reply) -> Result<T, RequestError> {
+    serde_json::from_slice(&reply.body)
+        .map_err(|error| RequestError::InvalidResponse(error.to_string()))
 }
--- a/components/client/src/lib.rs
+++ b/components/client/src/lib.rs
@@ -4,6 +4,6 @@
 mod id;
 mod operator;
 
-pub use caller::{Caller, CallerError, Outcome};
-pub use id::{new_submission, submission_at};
-pub use operator::{ChangeOutcome, HallOutcome, Operator, OperatorError, TreeVersion};
+pub use caller::{EntryClient, Outcome, RequestError};
+pub use id::{new_submission_id, submission_id_at};
+pub use operator::{ChangeOutcome, HallOutcome, OperatorClient, OperatorError, TreeVersion};
--- a/components/client/src/operator.rs
+++ b/components/client/src/operator.rs
@@ -12,7 +12,7 @@
 use uuid::Uuid;
 use wire::{ChangeRequest, ChangeResult, EmptiedHalls, HallOrder};
 
-use crate::CallerError;
+use crate::RequestError;
 use crate::caller::parse;
 
 /// Longest time for a keeper's answer.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HallOutcome {
     /// It lasts; the halls that are emptied after it.
-    Taken(EmptiedHalls),
+    Accepted(EmptiedHalls),
     /// It was not taken, and why.
     Refused(String),
     /// No keeper could tell, after several tries. It may be taken yet.
@@ -62,13 +62,13 @@
 pub enum OperatorError {
     /// No keeper answered.
     #[error("no keeper answers: {0}")]
-    NoKeeper(CallerError),
+    NoKeeper(RequestError),
     /// No keepers were named.
     #[error("no keeper is named")]
-    NoneNamed,
+    NoKeeperAddresses,
     /// The keeper's tree does not check out.
     #[error("the keeper's tree does not check out: {0}")]
-    BadTree(#[from] SettingsError),
+    InvalidTree(#[from] SettingsError),
 }
 
 #[derive(Deserialize)]
@@ -78,11 +78,11 @@
 }
 
 /// A client of all keepers: the first that answers is used.
-pub struct Operator {
+pub struct OperatorClient {
     keepers: Vec<Client>,
 }
 
-impl Operator {
+impl OperatorClient {
     /// A client of these keepers.
     pub fn new(keepers: &[SocketAddr], tasks: &Spawner) -> Self {
         let client = |address: &SocketAddr| Client::new(*address, tasks.clone());
@@ -90,14 +90,17 @@
     }
 
     /// Reads the tree in force.
-    pub async fn read(&self) -> Result<TreeVersion, OperatorError> {
-        let body: TreeBody = self.get("/v1/settings").await?;
+    pub async fn read_settings(&self) -> Result<TreeVersion, OperatorError> {
+        let body: TreeBody = self.get_json("/v1/settings").await?;
         Ok(TreeVersion { version: body.version, tree: Tree::from_ini(&body.tree)? })
     }
 
     /// Reads a JSON document from the first keeper that has it.
-    pub async fn get<T: for<'de> Deserialize<'de>>(&self, path: &str) -> Result<T, OperatorError> {
-        let mut last = OperatorError::NoneNamed;
+    pub async fn get_json<T: for<'de> Deserialize<'de>>(
+        &self,
+        path: &str,
+    ) -> Result<T, OperatorError> {
+        let mut last = OperatorError::NoKeeperAddresses;
         for keeper in &self.keepers {
             let reply = exchange(keeper, Method::GET, path, Vec::new()).await;
             match reply.and_then(|reply| parse(&checked(reply)?)) {
@@ -109,13 +112,13 @@
     }
 
     /// Sends a change, again and again under the same id, until its outcome is known.
-    pub async fn change(&self, base_version: u64, edits: Vec<Edit>) -> ChangeOutcome {
+    pub async fn submit_edits(&self, base_version: u64, edits: Vec<Edit>) -> ChangeOutcome {
         let request = ChangeRequest { change: Uuid::new_v4().to_string(), base_version, edits };
-        self.send(&request).await
+        self.submit_change(&request).await
     }
 
     /// Sends a change under an id that may have been used before.
-    pub async fn send(&self, request: &ChangeRequest) -> ChangeOutcome {
+    pub async fn submit_change(&self, request: &ChangeRequest) -> ChangeOutcome {
         let body = serde_json::to_vec(request).expect("plain structs become JSON");
         let outcome = self.ask_until_told("/v1/changes", &body, change_outcome).await;
         outcome.unwrap_or(ChangeOutcome::Unknown)
@@ -123,7 +126,7 @@
 
     /// Sends an order for a hall, again and again until a keeper says what became of it. One that is carried out
     /// twice is as one that is carried out once.
-    pub async fn order_hall(&self, order: &HallOrder) -> HallOutcome {
+    pub async fn send_hall_command(&self, order: &HallOrder) -> HallOutcome {
         let action = if order.takes_work { "refill" } else { "empty" };
         let path = format!("/v1/halls/{}/{action}", order.hall);
         let outcome = self.ask_until_told(&path, &[], hall_outcome).await;
@@ -164,7 +167,7 @@
 /// What a keeper's answer to an order for a hall says; `None` where another keeper has to be asked.
 fn hall_outcome(reply: &Reply) -> Option<HallOutcome> {
     match reply.status {
-        200 => parse(reply).ok().map(HallOutcome::Taken),
+        200 => parse(reply).ok().map(HallOutcome::Accepted),
         400..=499 => {
             let problem = parse::<Problem>(reply).ok();
             let message = problem.map_or_else(|| "no reason given".to_owned(), |told| told.message);
@@ -179,15 +182,15 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Result<Reply, CallerError> {
+) -> Result<Reply, RequestError> {
     let sent = keeper.send(method, path, HeaderMap::new(), Bytes::from(body), ANSWER_TIME).await;
     Ok(sent?)
 }
 
-fn checked(reply: Reply) -> Result<Reply, CallerError> {
+fn checked(reply: Reply) -> Result<Reply, RequestError> {
     if reply.status == 200 {
         return Ok(reply);
     }
     let text = String::from_utf8_lossy(&reply.body).into_owned();
-    Err(CallerError::BadAnswer(format!("status {}: {text}", reply.status)))
+    Err(RequestError::InvalidResponse(format!("status {}: {text}", reply.status)))
 }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use clap::ArgMatches;
-use client::{Caller, Outcome, new_submission};
+use client::{EntryClient, Outcome, new_submission_id};
 use fakes::ServiceTime;
 use indicatif::ProgressBar;
 use telemetry::{Latency, MessageCounts};
@@ -79,11 +79,11 @@
 ) -> Result<Vec<Done>, CommandError> {
     let entries = [cluster.entry_address(0), cluster.entry_address(1)];
     net::block_on(|tasks| async move {
-        let callers = entries.map(|entry| Caller::new(entry, tasks.clone(), OUTCOME_TIME));
+        let callers = entries.map(|entry| EntryClient::new(entry, tasks.clone(), OUTCOME_TIME));
         let mut all = Vec::new();
         for (number, job) in jobs.jobs.iter().enumerate() {
             let started = Instant::now();
-            let outcome = submit(&callers[number % 2], new_submission(), job).await?;
+            let outcome = submit(&callers[number % 2], new_submission_id(), job).await?;
             let response = started.elapsed();
             let ideal = job.tasks.iter().map(|task| TIME.of(task)).max().unwrap_or_default();
             all.push(Done { outcome, response, ideal });
--- a/src/cmd/halls.rs
+++ b/src/cmd/halls.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use clap::ArgMatches;
-use client::{HallOutcome, Operator};
+use client::{HallOutcome, OperatorClient};
 use wire::{EmptiedHalls, HallName, HallOrder};
 
 use super::{CommandError, REFUSED, UNKNOWN, addresses};
@@ -24,13 +24,12 @@
     let hall: HallName = name.parse().map_err(bad)?;
     let keepers = addresses(arguments, "keeper")?;
     let order = HallOrder { hall, takes_work };
-    let outcome =
-        net::block_on(
-            |tasks| async move { Operator::new(&keepers, &tasks).order_hall(&order).await },
-        );
+    let outcome = net::block_on(|tasks| async move {
+        OperatorClient::new(&keepers, &tasks).send_hall_command(&order).await
+    });
     let json = arguments.get_flag("json");
     Ok(match outcome {
-        HallOutcome::Taken(halls) => {
+        HallOutcome::Accepted(halls) => {
             print(&halls, json);
             ExitCode::SUCCESS
         }
@@ -55,10 +54,9 @@
 
 fn show(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
     let keepers = addresses(arguments, "keeper")?;
-    let halls: EmptiedHalls =
-        net::block_on(
-            |tasks| async move { Operator::new(&keepers, &tasks).get("/v1/halls").await },
-        )?;
+    let halls: EmptiedHalls = net::block_on(|tasks| async move {
+        OperatorClient::new(&keepers, &tasks).get_json("/v1/halls").await
+    })?;
     print(&halls, arguments.get_flag("json"));
     Ok(ExitCode::SUCCESS)
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -22,7 +22,7 @@
 use std::process::ExitCode;
 
 use clap::ArgMatches;
-use client::{CallerError, OperatorError};
+use client::{OperatorError, RequestError};
 use thiserror::Error;
 
 /// Exit code of work that failed.
@@ -42,7 +42,7 @@
     BadInput(String),
     /// An entry could not be asked.
     #[error(transparent)]
-    Caller(#[from] CallerError),
+    Caller(#[from] RequestError),
     /// The keepers could not be asked.
     #[error(transparent)]
     Operator(#[from] OperatorError),
--- a/src/cmd/settings.rs
+++ b/src/cmd/settings.rs
@@ -5,7 +5,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use clap::ArgMatches;
-use client::{ChangeOutcome, Operator, TreeVersion};
+use client::{ChangeOutcome, OperatorClient, TreeVersion};
 use settings::{Edit, SectionPath, Tree};
 use wire::ChangeResult;
 
@@ -35,7 +35,10 @@
 }
 
 fn read(keepers: &[SocketAddr]) -> Result<TreeVersion, CommandError> {
-    let read = net::block_on(|tasks| async move { Operator::new(keepers, &tasks).read().await });
+    let read =
+        net::block_on(
+            |tasks| async move { OperatorClient::new(keepers, &tasks).read_settings().await },
+        );
     Ok(read?)
 }
 
@@ -124,10 +127,9 @@
         say!("nothing to change at version {version}");
         return Ok(ExitCode::SUCCESS);
     }
-    let outcome =
-        net::block_on(
-            |tasks| async move { Operator::new(&keepers, &tasks).change(base, edits).await },
-        );
+    let outcome = net::block_on(|tasks| async move {
+        OperatorClient::new(&keepers, &tasks).submit_edits(base, edits).await
+    });
     print_outcome(&outcome, arguments.get_flag("json"));
     Ok(match outcome {
         ChangeOutcome::Known(ChangeResult::Accepted { .. }) => ExitCode::SUCCESS,
@@ -165,10 +167,9 @@
 
 fn history(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
     let keepers = addresses(arguments, "keeper")?;
-    let versions: Vec<serde_json::Value> =
-        net::block_on(
-            |tasks| async move { Operator::new(&keepers, &tasks).get("/v1/history").await },
-        )?;
+    let versions: Vec<serde_json::Value> = net::block_on(|tasks| async move {
+        OperatorClient::new(&keepers, &tasks).get_json("/v1/history").await
+    })?;
     for version in versions {
         if arguments.get_flag("json") {
             say!("{version}");
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clap::ArgMatches;
-use client::Caller;
+use client::EntryClient;
 use net::Spawner;
 use tarpc::client::{Config, NewClient};
 use wire::{AgentServiceClient, AgentStatus};
@@ -25,7 +25,7 @@
     let json = arguments.get_flag("json");
     net::block_on(|tasks| async move {
         for entry in entries {
-            let caller = Caller::new(entry, tasks.clone(), NODE_TIME);
+            let caller = EntryClient::new(entry, tasks.clone(), NODE_TIME);
             print_entry(&caller.status().await?, json);
         }
         for agent in agents {
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -6,7 +6,7 @@
 
 use api::{JobBody, RequestBody};
 use clap::ArgMatches;
-use client::{Caller, CallerError, Outcome, new_submission};
+use client::{EntryClient, Outcome, RequestError, new_submission_id};
 use model::SubmissionId;
 use testbed::{JobFile, JobSpec};
 
@@ -22,10 +22,10 @@
     let file = JobFile::load(Path::new(path)).map_err(|e| CommandError::BadInput(e.to_string()))?;
     let json = arguments.get_flag("json");
     let failed = net::block_on(|tasks| async move {
-        let caller = Caller::new(entry[0], tasks.clone(), OUTCOME_TIME);
+        let caller = EntryClient::new(entry[0], tasks.clone(), OUTCOME_TIME);
         let mut failed = 0;
         for job in &file.jobs {
-            let id = new_submission();
+            let id = new_submission_id();
             let started = Instant::now();
             let outcome = submit(&caller, id, job).await?;
             failed += usize::from(!is_whole(job, &outcome));
@@ -38,10 +38,10 @@
 
 /// Submits one job: as a repeatable request, or as a job.
 pub async fn submit(
-    caller: &Caller,
+    caller: &EntryClient,
     id: SubmissionId,
     job: &JobSpec,
-) -> Result<Outcome, CallerError> {
+) -> Result<Outcome, RequestError> {
     let (service, kind) = (job.service.clone(), job.kind.clone());
     if job.repeatable && job.tasks.len() == 1 {
         let body = RequestBody {
@@ -51,10 +51,10 @@
             deadline_ms: job.deadline_ms,
             repeatable: true,
         };
-        return caller.request(id, &body).await;
+        return caller.submit_request(id, &body).await;
     }
     let body = JobBody { service, kind, tasks: job.tasks.clone(), deadline_ms: job.deadline_ms };
-    caller.job(id, &body).await
+    caller.submit_job(id, &body).await
 }
 
 /// Whether an outcome has the answer of every task.
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use client::{Outcome, new_submission};
+use client::{Outcome, new_submission_id};
 use fakes::ServiceTime;
 use model::Verdict;
 use support::{answers, caller, finish, job, options, run, start};
@@ -21,7 +21,7 @@
     let entry = cluster.entry_address(0);
     let submitted = std::thread::spawn(move || {
         run(|tasks| async move {
-            caller(entry, &tasks).job(new_submission(), &job(&TASKS)).await.unwrap()
+            caller(entry, &tasks).submit_job(new_submission_id(), &job(&TASKS)).await.unwrap()
         })
     });
     let running = |cluster: &Cluster| -> u64 {
@@ -67,7 +67,8 @@
             run(|tasks| async move {
                 for entry in entries {
                     let caller = caller(entry, &tasks);
-                    let outcome = caller.job(new_submission(), &job(&TASKS)).await.unwrap();
+                    let outcome =
+                        caller.submit_job(new_submission_id(), &job(&TASKS)).await.unwrap();
                     assert_eq!(answers(&outcome).len(), TASKS.len());
                 }
             });
@@ -100,9 +101,9 @@
 fn the_owner_dead_a_resubmission_gets_a_verdict_and_no_second_start() {
     let mut cluster = start(ClusterOptions { time: SLOW, ..options() });
     let (first, second) = (cluster.entry_address(0), cluster.entry_address(1));
-    let id = new_submission();
+    let id = new_submission_id();
     let submitted = std::thread::spawn(move || {
-        run(|tasks| async move { caller(first, &tasks).job(id, &job(&TASKS)).await })
+        run(|tasks| async move { caller(first, &tasks).submit_job(id, &job(&TASKS)).await })
     });
     cluster.wait_for(|cluster| cluster.entry_counters()[0].placed > 0).unwrap();
     cluster.kill_entry(0);
@@ -110,7 +111,7 @@
     let lost = submitted.join().unwrap();
     assert!(!matches!(lost, Ok(Outcome::Complete(_))), "{lost:?}");
     run(|tasks| async move {
-        let outcome = caller(second, &tasks).job(id, &job(&TASKS)).await.unwrap();
+        let outcome = caller(second, &tasks).submit_job(id, &job(&TASKS)).await.unwrap();
         match outcome {
             Outcome::Failed { code, verdict, .. } => {
                 assert_eq!((code.as_str(), verdict), ("owner-lost", Verdict::MayHaveRun));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use client::{ChangeOutcome, Operator, Outcome, new_submission};
+use client::{ChangeOutcome, OperatorClient, Outcome, new_submission_id};
 use model::Verdict;
 use settings::Edit;
 use support::{answers, caller, finish, job, options, run, start};
@@ -16,7 +16,7 @@
     let section = "booking".parse().unwrap();
     let edit = Edit::Set { section, key: key.to_owned(), value: value.to_owned() };
     let request = ChangeRequest { change: id.to_owned(), base_version, edits: vec![edit] };
-    run(|tasks| async move { Operator::new(&keepers, &tasks).send(&request).await })
+    run(|tasks| async move { OperatorClient::new(&keepers, &tasks).submit_change(&request).await })
 }
 
 fn accepted(version: u64) -> ChangeOutcome {
@@ -29,7 +29,7 @@
     let entry = cluster.entry_address(0);
     let submit = || {
         run(|tasks| async move {
-            caller(entry, &tasks).job(new_submission(), &job(&["seat 1"])).await.unwrap()
+            caller(entry, &tasks).submit_job(new_submission_id(), &job(&["seat 1"])).await.unwrap()
         })
     };
     assert_eq!(change(&cluster, "c1", 1, "state=stopped"), accepted(2));
@@ -60,7 +60,8 @@
     let entry = cluster.entry_address(0);
     // Requests do not need the keeper.
     run(|tasks| async move {
-        let outcome = caller(entry, &tasks).job(new_submission(), &job(&["seat 1"])).await;
+        let outcome =
+            caller(entry, &tasks).submit_job(new_submission_id(), &job(&["seat 1"])).await;
         assert_eq!(answers(&outcome.unwrap()), ["done: seat 1"]);
     });
     finish(cluster);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use api::JobBody;
-use client::{Caller, Outcome};
+use client::{EntryClient, Outcome};
 use net::Spawner;
 use testbed::{Cluster, ClusterOptions};
 
@@ -28,8 +28,8 @@
 pub use net::block_on as run;
 
 /// A caller of an entry.
-pub fn caller(entry: SocketAddr, tasks: &Spawner) -> Caller {
-    Caller::new(entry, tasks.clone(), Duration::from_secs(30))
+pub fn caller(entry: SocketAddr, tasks: &Spawner) -> EntryClient {
+    EntryClient::new(entry, tasks.clone(), Duration::from_secs(30))
 }
 
 /// A job of holds.
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use api::RequestBody;
-use client::{Outcome, new_submission, submission_at};
+use client::{Outcome, new_submission_id, submission_id_at};
 use fakes::{Behaviour, ServiceTime};
 use model::{SubmissionId, Verdict};
 use support::{answers, caller, finish, job, options, run, start};
@@ -40,12 +40,12 @@
             let caller = caller(entry, &tasks);
             let texts: Vec<String> = (0..690).map(|n| format!("seat {n}")).collect();
             let tasks: Vec<&str> = texts.iter().map(String::as_str).collect();
-            let outcome = caller.job(new_submission(), &job(&tasks)).await.unwrap();
+            let outcome = caller.submit_job(new_submission_id(), &job(&tasks)).await.unwrap();
             let expected: Vec<String> = texts.iter().map(|text| format!("done: {text}")).collect();
             assert_eq!(answers(&outcome), expected);
             for repeatable in [false, true] {
                 let body = request("12:30", repeatable);
-                let outcome = caller.request(new_submission(), &body).await.unwrap();
+                let outcome = caller.submit_request(new_submission_id(), &body).await.unwrap();
                 assert_eq!(answers(&outcome), ["done: 12:30"]);
             }
         }
@@ -59,16 +59,16 @@
     let (first, second) = (cluster.entry_address(0), cluster.entry_address(1));
     run(|tasks| async move {
         let (first, second) = (caller(first, &tasks), caller(second, &tasks));
-        let id = new_submission();
+        let id = new_submission_id();
         let body = job(&["seat 1", "seat 2"]);
-        let outcome = first.job(id, &body).await.unwrap();
-        assert_eq!(first.job(id, &body).await.unwrap(), outcome);
-        assert_eq!(second.job(id, &body).await.unwrap(), outcome);
-        assert_eq!(first.fetch(id).await.unwrap(), outcome);
-        assert_eq!(second.fetch(id).await.unwrap(), outcome);
+        let outcome = first.submit_job(id, &body).await.unwrap();
+        assert_eq!(first.submit_job(id, &body).await.unwrap(), outcome);
+        assert_eq!(second.submit_job(id, &body).await.unwrap(), outcome);
+        assert_eq!(first.fetch_outcome(id).await.unwrap(), outcome);
+        assert_eq!(second.fetch_outcome(id).await.unwrap(), outcome);
         let other = job(&["seat 3"]);
         for caller in [&first, &second] {
-            let outcome = caller.job(id, &other).await.unwrap();
+            let outcome = caller.submit_job(id, &other).await.unwrap();
             assert_eq!(failure(&outcome), (409, "id-conflict", Verdict::MayHaveRun));
         }
     });
@@ -82,11 +82,12 @@
     let cluster = start(testbed::ClusterOptions { time: SLOW, ..options() });
     let (first, second) = (cluster.entry_address(0), cluster.entry_address(1));
     run(|tasks| async move {
-        let id = new_submission();
+        let id = new_submission_id();
         let body = job(&["seat 1"]);
         let callers = [first, second, first].map(|entry| caller(entry, &tasks));
         let outcomes =
-            futures::future::join_all(callers.iter().map(|caller| caller.job(id, &body))).await;
+            futures::future::join_all(callers.iter().map(|caller| caller.submit_job(id, &body)))
+                .await;
         let whole = |outcome: &Result<Outcome, _>| matches!(outcome, Ok(Outcome::Complete(answers)) if answers.len() == 1);
         // Claims that cross may leave one entry without a quorum: then it says so.
         assert!(outcomes.iter().any(whole), "{outcomes:?}");
@@ -104,25 +105,25 @@
         let caller = caller(entry, &tasks);
         let mut unknown = job(&["seat 1"]);
         unknown.kind = "refunds".to_owned();
-        let outcome = caller.job(new_submission(), &unknown).await.unwrap();
+        let outcome = caller.submit_job(new_submission_id(), &unknown).await.unwrap();
         assert_eq!(failure(&outcome), (404, "unknown-kind", Verdict::NotRun));
         unknown.service = "bookings".to_owned();
-        let outcome = caller.job(new_submission(), &unknown).await.unwrap();
+        let outcome = caller.submit_job(new_submission_id(), &unknown).await.unwrap();
         assert_eq!(failure(&outcome), (404, "unknown-service", Verdict::NotRun));
-        let outcome = caller.job(new_submission(), &job(&[])).await.unwrap();
+        let outcome = caller.submit_job(new_submission_id(), &job(&[])).await.unwrap();
         assert_eq!(failure(&outcome), (400, "bad-body", Verdict::NotRun));
         let long = "x".repeat(20_000);
-        let outcome = caller.job(new_submission(), &job(&[&long])).await.unwrap();
+        let outcome = caller.submit_job(new_submission_id(), &job(&[&long])).await.unwrap();
         assert_eq!(failure(&outcome), (413, "too-large", Verdict::NotRun));
-        let outcome = caller.fetch(new_submission()).await.unwrap();
+        let outcome = caller.fetch_outcome(new_submission_id()).await.unwrap();
         assert_eq!(failure(&outcome), (404, "unknown-id", Verdict::MayHaveRun));
-        let old: SubmissionId = submission_at(Duration::from_secs(1_000_000_000));
-        let outcome = caller.job(old, &job(&["seat 1"])).await.unwrap();
+        let old: SubmissionId = submission_id_at(Duration::from_secs(1_000_000_000));
+        let outcome = caller.submit_job(old, &job(&["seat 1"])).await.unwrap();
         assert_eq!(failure(&outcome), (410, "id-too-old", Verdict::MayHaveRun));
-        let future = submission_at(Duration::from_secs(10_000_000_000));
-        let outcome = caller.job(future, &job(&["seat 1"])).await.unwrap();
+        let future = submission_id_at(Duration::from_secs(10_000_000_000));
+        let outcome = caller.submit_job(future, &job(&["seat 1"])).await.unwrap();
         assert_eq!(failure(&outcome), (400, "id-too-new", Verdict::NotRun));
-        let outcome = caller.job(new_submission(), &job(&["seat 1"])).await.unwrap();
+        let outcome = caller.submit_job(new_submission_id(), &job(&["seat 1"])).await.unwrap();
         assert_eq!(answers(&outcome), ["done: seat 1"]);
     });
     finish(cluster);
@@ -139,7 +140,7 @@
     let half = TcpStream::connect(entry).unwrap();
     (&half).write_all(b"PUT /v1/jobs/x HTTP/1.1\r\nHo").unwrap();
 
-    let id = new_submission();
+    let id = new_submission_id();
     let body = serde_json::to_vec(&job(&["seat 1"])).unwrap();
     let head =
         format!("PUT /v1/jobs/{id} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -151,7 +152,7 @@
 
     let other = cluster.entry_address(1);
     run(|tasks| async move {
-        let outcome = caller(other, &tasks).fetch(id).await.unwrap();
+        let outcome = caller(other, &tasks).fetch_outcome(id).await.unwrap();
         assert_eq!(answers(&outcome), ["done: seat 1"]);
     });
     finish(cluster);
@@ -163,7 +164,7 @@
     let entry = cluster.entry_address(0);
     run(|tasks| async move {
         let caller = caller(entry, &tasks);
-        let outcome = caller.job(new_submission(), &job(&["seat 1"])).await.unwrap();
+        let outcome = caller.submit_job(new_submission_id(), &job(&["seat 1"])).await.unwrap();
         assert_eq!(failure(&outcome), (502, "target-failed", Verdict::Ran));
     });
     finish(cluster);
@@ -176,7 +177,7 @@
     run(|tasks| async move {
         let mut body = job(&["seat 1"]);
         body.deadline_ms = Some(100);
-        let outcome = caller(entry, &tasks).job(new_submission(), &body).await.unwrap();
+        let outcome = caller(entry, &tasks).submit_job(new_submission_id(), &body).await.unwrap();
         assert_eq!(failure(&outcome), (504, "deadline-passed", Verdict::MayHaveRun));
     });
     finish(cluster);
