--- a/components/settings/src/catalog.rs
+++ b/components/settings/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The tree compiled for use: what a request of a kind may do, in typed fields.
+//! Compiles a settings tree into typed settings with inheritance and defaults resolved.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,67 +9,67 @@
 use crate::schema::{Key, Value};
 use crate::{SectionPath, Tree};
 
-/// Whether a service takes work.
+/// Whether a service accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceState {
-    /// It takes work.
+    /// New work is accepted.
     Started,
-    /// It takes no new work.
+    /// New work is refused; running tasks continue.
     Stopped,
 }
 
-/// The settings in force for one kind.
+/// The effective settings of one kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
-    /// The service.
+    /// The service's name.
     pub service: String,
-    /// The kind below it.
+    /// The kind's name.
     pub kind: String,
-    /// Whether new work is taken.
+    /// Whether new work is accepted.
     pub state: ServiceState,
-    /// The team that the work counts for.
+    /// The team whose share of the slots the work uses.
     pub team: String,
-    /// Time from arrival to answer where the request names none.
+    /// Default time from a request's arrival to its answer, used if the request specifies none.
     pub deadline: Duration,
-    /// How long a task is taken to last until measured.
+    /// Assumed duration of a task until enough tasks were measured.
     pub expected_duration: Duration,
-    /// Most tasks in one job.
+    /// Maximum number of tasks in a job.
     pub tasks_max: usize,
-    /// Longest text of one task, in bytes.
+    /// Maximum size of a task's text, in bytes.
     pub task_bytes_max: usize,
-    /// Budget for repeating without proof, as a share of requests, 0 to 1.
+    /// Retry budget for repeatable requests that may have run, as a fraction of requests (0 to 1).
     pub retry_share: f64,
 }
 
-/// The settings in force for one team.
+/// The effective settings of one team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TeamSettings {
-    /// Its part of the slots when teams compete.
+    /// The team's relative share of the slots when teams compete.
     pub weight: u32,
 }
 
-/// The settings in force for the whole fleet.
+/// The effective fleet-wide settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetSettings {
-    /// Agents that hold claims, as `NAME@RACK`.
+    /// Agents that hold claims, each as `NAME@RACK`.
     pub claim_view: Vec<String>,
-    /// The view before.
+    /// The claim view before the last change of `claim_view`.
     pub previous_claim_view: Vec<String>,
-    /// Until when the view before must agree as well.
+    /// Until this time, claims also need the agreement of the previous view.
     pub previous_claim_view_until: Time,
-    /// How long claims, start tables and answers are kept after an id was made.
+    /// How long claims, start tables and answers are kept after a submission id was made.
     pub retention: Duration,
-    /// Bound on the difference between two hosts' clocks.
+    /// Upper bound on the difference between two hosts' clocks.
     pub clock_skew: Duration,
-    /// How long tokens are lent to a silent entry.
+    /// How long an agent lends slot tokens to an entry that sends nothing.
     pub token_lease: Duration,
-    /// How old an entry's confirmation of its settings may be when it takes new work.
+    /// Maximum age of an entry's last confirmed settings for it to accept new work.
     pub settings_age_max: Duration,
-    /// Memory for kept answers at an entry, in bytes.
+    /// Maximum memory for stored answers at an entry, in bytes.
     pub answer_bytes_max: usize,
 }
 
-/// A version of the tree, compiled.
+/// The effective settings of one version of the tree.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     version: u64,
@@ -79,7 +79,7 @@
 }
 
 impl Catalog {
-    /// Compiles a version of the tree.
+    /// Compiles one version of the tree.
     pub fn new(version: u64, tree: &Tree) -> Self {
         let mut kinds: HashMap<String, HashMap<_, _>> = HashMap::new();
         let mut teams = HashMap::new();
@@ -96,47 +96,47 @@
         Self { version, fleet: compile_fleet(tree), kinds, teams }
     }
 
-    /// The version of the tree that this was compiled from.
+    /// The version of the tree that the catalog was compiled from.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The settings of the whole fleet.
+    /// The fleet-wide settings.
     pub fn fleet(&self) -> &FleetSettings {
         &self.fleet
     }
 
-    /// Whether the tree has a service of this name.
+    /// Whether a service of this name exists.
     pub fn has_service(&self, service: &str) -> bool {
         self.kinds.contains_key(service)
     }
 
-    /// The settings of a kind of a service.
+    /// The settings of a kind, or `None` if the service or the kind does not exist.
     pub fn kind(&self, service: &str, kind: &str) -> Option<&Arc<KindSettings>> {
         self.kinds.get(service)?.get(kind)
     }
 
-    /// The settings of a team; defaults for one that has no section.
+    /// The settings of a team; defaults if it has no section.
     pub fn team(&self, team: &str) -> TeamSettings {
         self.teams.get(team).copied().unwrap_or(TeamSettings { weight: 1 })
     }
 }
 
-fn value(tree: &Tree, path: &SectionPath, name: &str) -> Value {
-    let key = Key::find(path.scope().keys(), name).expect("a key of the schema");
+fn effective_value(tree: &Tree, path: &SectionPath, name: &str) -> Value {
+    let key = Key::find(path.scope().keys(), name).expect("the key is in the schema");
     tree.effective(path, key)
 }
 
-fn millis(tree: &Tree, path: &SectionPath, name: &str) -> Duration {
-    Duration::from_millis(value(tree, path, name).integer())
+fn effective_millis(tree: &Tree, path: &SectionPath, name: &str) -> Duration {
+    Duration::from_millis(effective_value(tree, path, name).integer())
 }
 
-fn size(tree: &Tree, path: &SectionPath, name: &str) -> usize {
-    usize::try_from(value(tree, path, name).integer()).unwrap_or(usize::MAX)
+fn effective_size(tree: &Tree, path: &SectionPath, name: &str) -> usize {
+    usize::try_from(effective_value(tree, path, name).integer()).unwrap_or(usize::MAX)
 }
 
 fn compile_kind(tree: &Tree, path: &SectionPath, service: &str, kind: &str) -> KindSettings {
-    let state = match value(tree, path, "state").text() {
+    let state = match effective_value(tree, path, "state").text() {
         "stopped" => ServiceState::Stopped,
         _ => ServiceState::Started,
     };
@@ -144,32 +144,32 @@
         service: service.to_owned(),
         kind: kind.to_owned(),
         state,
-        team: value(tree, path, "team").text().to_owned(),
-        deadline: millis(tree, path, "deadline_ms"),
-        expected_duration: millis(tree, path, "expected_ms"),
-        tasks_max: size(tree, path, "tasks_max"),
-        task_bytes_max: size(tree, path, "task_bytes_max"),
-        retry_share: value(tree, path, "retry_percent").integer() as f64 / 100.0,
+        team: effective_value(tree, path, "team").text().to_owned(),
+        deadline: effective_millis(tree, path, "deadline_ms"),
+        expected_duration: effective_millis(tree, path, "expected_ms"),
+        tasks_max: effective_size(tree, path, "tasks_max"),
+        task_bytes_max: effective_size(tree, path, "task_bytes_max"),
+        retry_share: effective_value(tree, path, "retry_percent").integer() as f64 / 100.0,
     }
 }
 
 fn compile_team(tree: &Tree, path: &SectionPath) -> TeamSettings {
-    let weight = value(tree, path, "weight").integer();
+    let weight = effective_value(tree, path, "weight").integer();
     TeamSettings { weight: u32::try_from(weight).unwrap_or(u32::MAX) }
 }
 
 fn compile_fleet(tree: &Tree) -> FleetSettings {
     let path = SectionPath::fleet();
     FleetSettings {
-        claim_view: value(tree, &path, "claim_view").list().to_vec(),
-        previous_claim_view: value(tree, &path, "previous_claim_view").list().to_vec(),
+        claim_view: effective_value(tree, &path, "claim_view").list().to_vec(),
+        previous_claim_view: effective_value(tree, &path, "previous_claim_view").list().to_vec(),
         previous_claim_view_until: Time::from_millis(
-            value(tree, &path, "previous_claim_view_until_ms").integer(),
+            effective_value(tree, &path, "previous_claim_view_until_ms").integer(),
         ),
-        retention: millis(tree, &path, "retention_ms"),
-        clock_skew: millis(tree, &path, "clock_skew_ms"),
-        token_lease: millis(tree, &path, "token_lease_ms"),
-        settings_age_max: millis(tree, &path, "settings_age_max_ms"),
-        answer_bytes_max: size(tree, &path, "answer_bytes_max"),
+        retention: effective_millis(tree, &path, "retention_ms"),
+        clock_skew: effective_millis(tree, &path, "clock_skew_ms"),
+        token_lease: effective_millis(tree, &path, "token_lease_ms"),
+        settings_age_max: effective_millis(tree, &path, "settings_age_max_ms"),
+        answer_bytes_max: effective_size(tree, &path, "answer_bytes_max"),
     }
 }
--- a/components/settings/src/keys.rs
+++ b/components/settings/src/keys.rs
@@ -1,8 +1,8 @@
-//! Every key of the settings tree.
+//! The schema: all keys of the settings tree.
 
 use crate::schema::{Key, ValueType};
 
-/// Keys of the root, of services and of kinds; a child inherits them.
+/// Keys of `[/]`, services and kinds. Child sections inherit their values.
 pub const SERVICE_KEYS: &[Key] = &[
     Key {
         name: "state",
@@ -26,7 +26,7 @@
         name: "expected_ms",
         value_type: ValueType::Integer { min: 1, max: 600_000, unit: "ms" },
         default: "200",
-        help: "How long a task is taken to last until enough of them were measured.",
+        help: "Assumed duration of a task until enough tasks were measured.",
     },
     Key {
         name: "tasks_max",
@@ -72,7 +72,7 @@
         name: "retention_ms",
         value_type: ValueType::Integer { min: 1_000, max: 3_600_000, unit: "ms" },
         default: "600000",
-        help: "How long claims, start tables and answers are kept after an id was made.",
+        help: "How long claims, start tables and answers are kept after a submission id was made.",
     },
     Key {
         name: "clock_skew_ms",
@@ -108,7 +108,7 @@
     help: "The team's part of the slots when teams compete.",
 }];
 
-/// The reference page of these keys, in Markdown.
+/// Returns the reference of all keys as Markdown, for `dockpassd --print-reference`.
 pub fn reference_page() -> String {
     let mut page = String::new();
     page.push_str("## `[/]`, `[SERVICE]`, `[SERVICE/KIND]`\n\n");
@@ -121,7 +121,7 @@
 }
 
 impl Key {
-    /// A Markdown table of keys.
+    /// Returns a Markdown table of `keys` with their type, default and meaning.
     pub fn table(keys: &[Key]) -> String {
         let mut table = String::from("| key | type | default | meaning |\n|---|---|---|---|\n");
         for key in keys {
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! The settings tree: one typed schema, inheritance, validation and INI text.
+//! The settings tree: typed schema, inheritance, validation and INI format.
 
 mod catalog;
 mod error;
--- a/components/settings/src/path.rs
+++ b/components/settings/src/path.rs
@@ -1,4 +1,4 @@
-//! Paths of sections in the tree.
+//! Paths of sections in the settings tree.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,26 +9,26 @@
 
 /// The section from which every service inherits.
 const ROOT: &str = "/";
-/// The section of what concerns the whole fleet.
+/// The section of fleet-wide settings.
 const FLEET: &str = "fleet";
-/// The parent of the teams' sections.
+/// The first part of the path of a team's section.
 const TEAMS: &str = "teams";
-/// Longest path taken, in bytes.
-const LONGEST: usize = 128;
+/// Maximum length of a path, in bytes.
+const PATH_BYTES_MAX: usize = 128;
 
-/// What a section describes; decides which keys it may hold.
+/// The subject of a section, which determines its allowed keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// The root or a service or a kind below it.
+    /// The root, a service, or a kind of a service.
     Service,
-    /// The whole fleet.
+    /// Fleet-wide settings.
     Fleet,
     /// One team.
     Team,
 }
 
 impl Scope {
-    /// The keys that a section of this scope may hold.
+    /// The allowed keys of sections with this scope.
     pub fn keys(self) -> &'static [Key] {
         match self {
             Self::Service => SERVICE_KEYS,
@@ -44,22 +44,22 @@
 pub struct SectionPath(String);
 
 impl SectionPath {
-    /// The section from which every service inherits.
+    /// The section from which every service inherits, `/`.
     pub fn root() -> Self {
         Self(ROOT.to_owned())
     }
 
-    /// The section of the whole fleet.
+    /// The section of fleet-wide settings, `fleet`.
     pub fn fleet() -> Self {
         Self(FLEET.to_owned())
     }
 
-    /// The path as text.
+    /// The path as written in INI text, without brackets.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// What the section describes.
+    /// The scope, which determines the allowed keys.
     pub fn scope(&self) -> Scope {
         if self.0 == FLEET {
             Scope::Fleet
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The section it inherits from; none for the root, the fleet and teams.
+    /// The section that this one inherits from; `None` for the root, the fleet and teams.
     pub fn parent(&self) -> Option<Self> {
         if self.0 == ROOT || self.scope() != Scope::Service {
             return None;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The service and, below it, the kind: `booking/holds` is (`booking`, `holds`).
+    /// The service and kind of a kind's section: `booking/holds` is (`booking`, `holds`).
     pub fn service_and_kind(&self) -> Option<(&str, &str)> {
         match self.scope() {
             Scope::Service => self.0.split_once('/').filter(|(service, _)| !service.is_empty()),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The team's name, for a team's section.
+    /// The team's name if this is a team's section.
     pub fn team(&self) -> Option<&str> {
         match self.scope() {
             Scope::Team => self.0.split_once('/').map(|(_, team)| team),
@@ -106,17 +106,17 @@
         if text == ROOT {
             return Ok(Self::root());
         }
-        if text.len() > LONGEST {
-            return refuse("the path is over 128 bytes");
+        if text.len() > PATH_BYTES_MAX {
+            return refuse("the path is longer than 128 bytes");
         }
-        if !text.split('/').all(is_word) {
-            return refuse("a path is words of a-z, 0-9 and '-', parted by '/'");
+        if !text.split('/').all(is_path_word) {
+            return refuse("a path consists of words of a-z, 0-9 and '-', separated by '/'");
         }
         let parts = text.split('/').count();
         let path = Self(text.to_owned());
         match path.scope() {
-            Scope::Team if parts != 2 => refuse("a team's section is [teams/NAME]"),
-            _ if text.starts_with("fleet/") => refuse("[fleet] has no children"),
+            Scope::Team if parts != 2 => refuse("a team's section must be [teams/NAME]"),
+            _ if text.starts_with("fleet/") => refuse("[fleet] cannot have child sections"),
             _ => Ok(path),
         }
     }
@@ -142,7 +142,7 @@
     }
 }
 
-fn is_word(part: &str) -> bool {
+fn is_path_word(part: &str) -> bool {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     !part.is_empty() && part.chars().all(allowed)
 }
--- a/components/settings/src/schema.rs
+++ b/components/settings/src/schema.rs
@@ -1,94 +1,94 @@
-//! Typed keys: what a setting may hold, its unit, range and default.
+//! Keys and values: types, units, ranges, defaults and parsing.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a key's value may be.
+/// The type and range of a key's value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueType {
-    /// A whole number within a range, in a unit.
+    /// A whole number within a range.
     Integer {
-        /// The smallest value taken.
+        /// The smallest allowed value.
         min: u64,
-        /// The largest value taken.
+        /// The largest allowed value.
         max: u64,
-        /// The unit, for people.
+        /// The unit, as shown in errors and in the reference.
         unit: &'static str,
     },
-    /// A time in seconds, whole or with decimals, within a range.
+    /// A duration in seconds within a range; decimals are allowed.
     Seconds {
-        /// The shortest time taken, in ms.
+        /// The shortest allowed duration, in milliseconds.
         min_ms: u64,
-        /// The longest time taken, in ms.
+        /// The longest allowed duration, in milliseconds.
         max_ms: u64,
     },
     /// `true` or `false`.
     Flag,
-    /// One of a few words.
+    /// One of the listed words.
     Choice(&'static [&'static str]),
     /// Any text without line breaks.
     Text,
-    /// Agents as `NAME@RACK`, parted by spaces.
+    /// Agents as `NAME@RACK`, separated by spaces.
     Members,
-    /// `IP:PORT`.
+    /// A socket address as `IP:PORT`.
     Address,
-    /// Addresses parted by spaces.
+    /// Socket addresses separated by spaces.
     Addresses,
 }
 
-/// One setting's name, type, default and meaning.
+/// The schema of one setting.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
-    /// The name as written in INI.
+    /// The name, as written in INI text.
     pub name: &'static str,
-    /// What it may hold.
+    /// The type of its value.
     pub value_type: ValueType,
-    /// The value in force where none is written.
+    /// The value if none is set, as written in INI text.
     pub default: &'static str,
-    /// One sentence on what it does.
+    /// The description in the reference, one sentence.
     pub help: &'static str,
 }
 
-/// A value read by its key's type.
+/// A value parsed by its key's type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value {
-    /// A whole number.
+    /// A value of an integer key.
     Integer(u64),
-    /// A time.
+    /// A value of a seconds key.
     Duration(Duration),
-    /// `true` or `false`.
+    /// A value of a flag key.
     Flag(bool),
-    /// A word or a text.
+    /// A value of a choice key or a text key.
     Text(String),
-    /// Words in order.
+    /// The agents of a members key, in the order written.
     List(Vec<String>),
-    /// An address.
+    /// A value of an address key.
     Address(SocketAddr),
-    /// Addresses in order.
+    /// A value of an addresses key, in the order written.
     Addresses(Vec<SocketAddr>),
 }
 
 impl Key {
-    /// Reads a value, or says in a clause why it can't be taken.
+    /// Parses a value; the error is a clause that names the reason.
     pub fn parse(&self, text: &str) -> Result<Value, String> {
         match self.value_type {
-            ValueType::Integer { min, max, unit } => read_integer(text, min, max, unit),
-            ValueType::Seconds { min_ms, max_ms } => read_seconds(text, min_ms, max_ms),
-            ValueType::Flag => read_flag(text),
-            ValueType::Choice(words) => read_choice(text, words),
-            ValueType::Text => read_text(text),
-            ValueType::Members => read_members(text),
-            ValueType::Address => read_address(text).map(Value::Address),
-            ValueType::Addresses => read_addresses(text),
+            ValueType::Integer { min, max, unit } => parse_integer(text, min, max, unit),
+            ValueType::Seconds { min_ms, max_ms } => parse_seconds(text, min_ms, max_ms),
+            ValueType::Flag => parse_flag(text),
+            ValueType::Choice(words) => parse_choice(text, words),
+            ValueType::Text => parse_text(text),
+            ValueType::Members => parse_members(text),
+            ValueType::Address => parse_address(text).map(Value::Address),
+            ValueType::Addresses => parse_addresses(text),
         }
     }
 
-    /// The type in words, with unit and range.
+    /// Describes the type, range and unit for the reference.
     pub fn describe_type(&self) -> String {
         match self.value_type {
             ValueType::Integer { min, max, unit } => format!("integer {min} to {max}, {unit}"),
             ValueType::Seconds { min_ms, max_ms } => {
-                format!("decimal {} to {}, s", seconds(min_ms), seconds(max_ms))
+                format!("decimal {} to {}, s", to_seconds(min_ms), to_seconds(max_ms))
             }
             ValueType::Flag => "true or false".to_owned(),
             ValueType::Choice(words) => words.join(" or "),
@@ -99,81 +99,109 @@
         }
     }
 
-    /// Finds a key by name.
+    /// Finds the key of this name.
     pub fn find<'a>(keys: &'a [Key], name: &str) -> Option<&'a Key> {
         keys.iter().find(|key| key.name == name)
     }
 }
 
 impl Value {
-    /// The whole number. Panics when the schema gave another type: a bug in the caller.
+    /// The number of an integer key.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the value has another type.
     pub fn integer(&self) -> u64 {
         match self {
             Self::Integer(number) => *number,
-            other => panic!("not an integer key: {other:?}"),
+            other => panic!("expected an integer, got {other:?}"),
         }
     }
 
-    /// The time. Panics when the schema gave another type: a bug in the caller.
+    /// The duration of a seconds key.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the value has another type.
     pub fn duration(&self) -> Duration {
         match self {
-            Self::Duration(time) => *time,
-            other => panic!("not a key of a time: {other:?}"),
+            Self::Duration(duration) => *duration,
+            other => panic!("expected a duration, got {other:?}"),
         }
     }
 
-    /// The flag. Panics when the schema gave another type: a bug in the caller.
+    /// The value of a flag key.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the value has another type.
     pub fn flag(&self) -> bool {
         match self {
             Self::Flag(flag) => *flag,
-            other => panic!("not a flag key: {other:?}"),
+            other => panic!("expected a flag, got {other:?}"),
         }
     }
 
-    /// The text or word. Panics when the schema gave another type: a bug in the caller.
+    /// The text of a text key or the word of a choice key.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the value has another type.
     pub fn text(&self) -> &str {
         match self {
             Self::Text(text) => text,
-            other => panic!("not a text key: {other:?}"),
+            other => panic!("expected a text, got {other:?}"),
         }
     }
 
-    /// The address. Panics when the schema gave another type: a bug in the caller.
+    /// The address of an address key.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the value has another type.
     pub fn address(&self) -> SocketAddr {
         match self {
             Self::Address(address) => *address,
-            other => panic!("not an address key: {other:?}"),
+            other => panic!("expected an address, got {other:?}"),
         }
     }
 
-    /// The addresses. Panics when the schema gave another type: a bug in the caller.
+    /// The addresses of an addresses key.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the value has another type.
     pub fn addresses(&self) -> &[SocketAddr] {
         match self {
             Self::Addresses(addresses) => addresses,
-            other => panic!("not a key of addresses: {other:?}"),
+            other => panic!("expected addresses, got {other:?}"),
         }
     }
 
-    /// The words. Panics when the schema gave another type: a bug in the caller.
+    /// The agents of a members key, each as `NAME@RACK`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the value has another type.
     pub fn list(&self) -> &[String] {
         match self {
             Self::List(words) => words,
-            other => panic!("not a list key: {other:?}"),
+            other => panic!("expected a list of agents, got {other:?}"),
         }
     }
 }
 
-fn read_address(text: &str) -> Result<SocketAddr, String> {
+fn parse_address(text: &str) -> Result<SocketAddr, String> {
     text.parse().map_err(|_| format!("'{text}' is not IP:PORT"))
 }
 
-fn read_addresses(text: &str) -> Result<Value, String> {
+fn parse_addresses(text: &str) -> Result<Value, String> {
     let addresses: Result<Vec<SocketAddr>, String> =
-        text.split_whitespace().map(read_address).collect();
+        text.split_whitespace().map(parse_address).collect();
     addresses.map(Value::Addresses)
 }
 
-fn read_integer(text: &str, min: u64, max: u64, unit: &str) -> Result<Value, String> {
+fn parse_integer(text: &str, min: u64, max: u64, unit: &str) -> Result<Value, String> {
     let number: u64 =
         text.parse().map_err(|_| format!("'{text}' is not a whole number ({unit})"))?;
     if number < min || number > max {
@@ -182,20 +210,20 @@
     Ok(Value::Integer(number))
 }
 
-fn seconds(millis: u64) -> f64 {
+fn to_seconds(millis: u64) -> f64 {
     Duration::from_millis(millis).as_secs_f64()
 }
 
-fn read_seconds(text: &str, min_ms: u64, max_ms: u64) -> Result<Value, String> {
+fn parse_seconds(text: &str, min_ms: u64, max_ms: u64) -> Result<Value, String> {
     let number: f64 = text.parse().map_err(|_| format!("'{text}' is not a number (s)"))?;
-    let (min, max) = (seconds(min_ms), seconds(max_ms));
+    let (min, max) = (to_seconds(min_ms), to_seconds(max_ms));
     if !(min..=max).contains(&number) {
         return Err(format!("{text} is out of range {min} to {max} (s)"));
     }
     Ok(Value::Duration(Duration::from_secs_f64(number)))
 }
 
-fn read_flag(text: &str) -> Result<Value, String> {
+fn parse_flag(text: &str) -> Result<Value, String> {
     match text {
         "true" => Ok(Value::Flag(true)),
         "false" => Ok(Value::Flag(false)),
@@ -203,21 +231,21 @@
     }
 }
 
-fn read_choice(text: &str, words: &[&str]) -> Result<Value, String> {
+fn parse_choice(text: &str, words: &[&str]) -> Result<Value, String> {
     if words.contains(&text) {
         return Ok(Value::Text(text.to_owned()));
     }
     Err(format!("'{text}' is none of: {}", words.join(", ")))
 }
 
-fn read_text(text: &str) -> Result<Value, String> {
+fn parse_text(text: &str) -> Result<Value, String> {
     if text.contains(['\n', '\r']) {
-        return Err("a value has one line".to_owned());
+        return Err("the value contains a line break".to_owned());
     }
     Ok(Value::Text(text.to_owned()))
 }
 
-fn read_members(text: &str) -> Result<Value, String> {
+fn parse_members(text: &str) -> Result<Value, String> {
     let words: Vec<String> = text.split_whitespace().map(str::to_owned).collect();
     let mut names: Vec<&str> = Vec::with_capacity(words.len());
     for word in &words {
@@ -227,8 +255,8 @@
         }
     }
     names.sort_unstable();
-    if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-        return Err(format!("'{}' stands twice", twice[0]));
+    if let Some(duplicate) = names.windows(2).find(|pair| pair[0] == pair[1]) {
+        return Err(format!("'{}' is listed twice", duplicate[0]));
     }
     Ok(Value::List(words))
 }
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree itself: sections of written values, edits, INI text.
+//! The settings tree: sections with explicit values, edits, and conversion from and to INI text.
 
 use std::collections::BTreeMap;
 
@@ -8,43 +8,43 @@
 use crate::schema::{Key, Value};
 use crate::{SectionPath, SettingsError};
 
-/// The written values of one section, by key.
+/// The explicit values of one section by key, as INI text.
 type Section = BTreeMap<String, String>;
 
-/// One step of a change.
+/// One step of a change to the tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Edit {
-    /// Writes a value; makes the section where there is none.
+    /// Sets a value; creates the section if it does not exist.
     Set {
-        /// The section.
+        /// The path of the section.
         section: SectionPath,
         /// The key.
         key: String,
-        /// The value, as in INI.
+        /// The value, as in INI text.
         value: String,
     },
-    /// Makes an empty section, whose values are all inherited.
+    /// Creates a section without explicit values; does nothing if it exists.
     Add {
-        /// The section.
+        /// The path of the section.
         section: SectionPath,
     },
-    /// Takes a written value away, so that it is inherited again.
+    /// Removes an explicit value, so that the inherited one applies again.
     Unset {
-        /// The section.
+        /// The path of the section.
         section: SectionPath,
         /// The key.
         key: String,
     },
-    /// Takes a section away with all below it.
+    /// Removes a section and all its descendants.
     Remove {
-        /// The section.
+        /// The path of the section.
         section: SectionPath,
     },
 }
 
 impl Edit {
-    /// The section that the edit touches.
+    /// The path of the edited section.
     pub fn section(&self) -> &SectionPath {
         match self {
             Self::Set { section, .. } | Self::Unset { section, .. } => section,
@@ -53,20 +53,20 @@
     }
 }
 
-/// A valid settings tree.
+/// A settings tree whose sections, keys and values are valid.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tree {
     sections: BTreeMap<SectionPath, Section>,
 }
 
 impl Tree {
-    /// Reads and checks INI text.
+    /// Parses and validates INI text.
     pub fn from_ini(text: &str) -> Result<Self, SettingsError> {
         let mut tree = Self::default();
         for (name, properties) in parse_ini(text)? {
             let path: SectionPath = name.parse()?;
             for (key, value) in &properties {
-                check(&path, key, value)?;
+                validate(&path, key, value)?;
             }
             tree.sections.insert(path, properties);
         }
@@ -74,7 +74,7 @@
         Ok(tree)
     }
 
-    /// The tree as INI text; reads back to an equal tree.
+    /// Formats the tree as INI text, which parses to an equal tree.
     pub fn to_ini(&self) -> String {
         let mut text = String::new();
         for (path, section) in &self.sections {
@@ -87,20 +87,22 @@
         text
     }
 
-    /// The tree after some edits, or why they can't be taken. The tree itself is unharmed.
+    /// Returns a copy of the tree with `edits` applied in order, or the first error.
+    ///
+    /// Parent sections are checked only after the last edit.
     pub fn with_edits(&self, edits: &[Edit]) -> Result<Self, SettingsError> {
-        let mut next = self.clone();
+        let mut updated = self.clone();
         for edit in edits {
-            next.apply(edit)?;
+            updated.apply(edit)?;
         }
-        next.check_parents()?;
-        Ok(next)
+        updated.check_parents()?;
+        Ok(updated)
     }
 
     fn apply(&mut self, edit: &Edit) -> Result<(), SettingsError> {
         match edit {
             Edit::Set { section, key, value } => {
-                check(section, key, value)?;
+                validate(section, key, value)?;
                 let values = self.sections.entry(section.clone()).or_default();
                 values.insert(key.clone(), value.clone());
             }
@@ -110,26 +112,26 @@
             Edit::Unset { section, key } => {
                 let values = self.section_mut(section)?;
                 if values.remove(key).is_none() {
-                    let reason = "not written here";
+                    let reason = "not set in this section";
                     return Err(SettingsError::key(section.as_str(), key, reason));
                 }
             }
             Edit::Remove { section } => {
                 self.section_mut(section)?;
-                let below = format!("{section}/");
+                let prefix = format!("{section}/");
                 self.sections
-                    .retain(|path, _| path != section && !path.as_str().starts_with(&below));
+                    .retain(|path, _| path != section && !path.as_str().starts_with(&prefix));
             }
         }
         Ok(())
     }
 
     fn section_mut(&mut self, path: &SectionPath) -> Result<&mut Section, SettingsError> {
-        let missing = || SettingsError::section(path.as_str(), "no such section");
-        self.sections.get_mut(path).ok_or_else(missing)
+        let not_found = || SettingsError::section(path.as_str(), "the section does not exist");
+        self.sections.get_mut(path).ok_or_else(not_found)
     }
 
-    /// A kind needs its service, so that a misspelt service does not come to life by a kind.
+    /// Checks that each kind's service has a section, so that a misspelled service name is an error.
     fn check_parents(&self) -> Result<(), SettingsError> {
         for path in self.sections.keys() {
             let Some(parent) = path.parent() else { continue };
@@ -141,20 +143,20 @@
         Ok(())
     }
 
-    /// The paths of all sections, in order.
+    /// The paths of all sections, sorted.
     pub fn paths(&self) -> impl Iterator<Item = &SectionPath> {
         self.sections.keys()
     }
 
-    /// The value as written in just this section.
+    /// The explicit value in this section, without inheritance.
     pub fn explicit_text(&self, path: &SectionPath, key: &str) -> Option<&str> {
         self.sections.get(path)?.get(key).map(String::as_str)
     }
 
-    /// The edits that lead from this tree to another.
-    pub fn edits_to(&self, wanted: &Self) -> Vec<Edit> {
+    /// The edits that turn this tree into `target`.
+    pub fn edits_to(&self, target: &Self) -> Vec<Edit> {
         let mut edits = Vec::new();
-        for (path, section) in &wanted.sections {
+        for (path, section) in &target.sections {
             if !self.sections.contains_key(path) {
                 edits.push(Edit::Add { section: path.clone() });
             }
@@ -166,42 +168,42 @@
             }
         }
         for (path, section) in self.sections.iter().rev() {
-            let Some(kept) = wanted.sections.get(path) else {
+            let Some(target_section) = target.sections.get(path) else {
                 edits.push(Edit::Remove { section: path.clone() });
                 continue;
             };
-            for key in section.keys().filter(|key| !kept.contains_key(*key)) {
+            for key in section.keys().filter(|key| !target_section.contains_key(*key)) {
                 edits.push(Edit::Unset { section: path.clone(), key: key.clone() });
             }
         }
         edits
     }
 
-    /// The text in force and the section that it is written in; none for the default.
+    /// The effective value as text, with the section that sets it or `None` for the default.
     pub fn effective_text<'a>(
         &'a self,
         path: &SectionPath,
         key: &Key,
     ) -> (Option<SectionPath>, &'a str) {
-        let mut at = Some(path.clone());
-        while let Some(section) = at {
+        let mut current = Some(path.clone());
+        while let Some(section) = current {
             if let Some(text) = self.sections.get(&section).and_then(|s| s.get(key.name)) {
                 return (Some(section), text);
             }
-            at = section.parent();
+            current = section.parent();
         }
         (None, key.default)
     }
 
-    /// The value in force: written here, inherited, or the default.
+    /// The effective value: explicit, inherited or the default.
     pub fn effective(&self, path: &SectionPath, key: &Key) -> Value {
         let (_, text) = self.effective_text(path, key);
-        key.parse(text).expect("checked when it was written")
+        key.parse(text).expect("values are validated when set")
     }
 }
 
-/// Checks one written value against the schema.
-fn check(path: &SectionPath, name: &str, value: &str) -> Result<(), SettingsError> {
+/// Validates a key and its value against the schema.
+fn validate(path: &SectionPath, name: &str, value: &str) -> Result<(), SettingsError> {
     let refuse = |reason: String| SettingsError::key(path.as_str(), name, reason);
     let Some(key) = Key::find(path.scope().keys(), name) else {
         return Err(refuse("unknown key".to_owned()));
@@ -210,32 +212,33 @@
     Ok(())
 }
 
-/// Splits INI text into sections, refusing repeated sections, repeated keys and stray keys.
+/// Parses INI text into sections. Duplicate sections, duplicate keys and keys outside sections are
+/// errors.
 pub fn parse_ini(text: &str) -> Result<BTreeMap<String, Section>, SettingsError> {
     let options = ParseOption { enabled_quote: false, enabled_escape: false, ..Default::default() };
     let ini = Ini::load_from_str_opt(text, options)
-        .map_err(|error| SettingsError::section("-", format!("not INI: {error}")))?;
+        .map_err(|error| SettingsError::section("-", format!("not valid INI: {error}")))?;
     let mut sections = BTreeMap::new();
     for (name, properties) in &ini {
         let Some(name) = name else {
             if let Some((key, _)) = properties.iter().next() {
-                return Err(SettingsError::key("-", key, "stands before any section"));
+                return Err(SettingsError::key("-", key, "the key is outside any section"));
             }
             continue;
         };
-        let section = read_section(name, properties)?;
+        let section = to_section(name, properties)?;
         if sections.insert(name.to_owned(), section).is_some() {
-            return Err(SettingsError::section(name, "written twice"));
+            return Err(SettingsError::section(name, "the section occurs twice"));
         }
     }
     Ok(sections)
 }
 
-fn read_section(name: &str, properties: &ini::Properties) -> Result<Section, SettingsError> {
+fn to_section(name: &str, properties: &ini::Properties) -> Result<Section, SettingsError> {
     let mut section = Section::new();
     for (key, value) in properties.iter() {
         if section.insert(key.to_owned(), value.to_owned()).is_some() {
-            return Err(SettingsError::key(name, key, "written twice"));
+            return Err(SettingsError::key(name, key, "the key occurs twice"));
         }
     }
     Ok(section)
--- a/components/settings/tests/schema.rs
+++ b/components/settings/tests/schema.rs
@@ -1,4 +1,4 @@
-//! What a key's value may be.
+//! Parsing and range checks of values.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 };
 
 #[test]
-fn integers_keep_to_their_range() {
+fn integers_outside_the_range_are_rejected() {
     assert_eq!(LIMIT.parse("690"), Ok(Value::Integer(690)));
     assert!(LIMIT.parse("0").unwrap_err().contains("out of range"));
     assert!(LIMIT.parse("691").unwrap_err().contains("out of range"));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn seconds_may_have_decimals_and_keep_to_their_range() {
+fn seconds_accept_decimals_and_reject_values_outside_the_range() {
     assert_eq!(GRACE.parse("6"), Ok(Value::Duration(Duration::from_secs(6))));
     assert_eq!(GRACE.parse("6.5"), Ok(Value::Duration(Duration::from_millis(6_500))));
     assert!(GRACE.parse("0.9").unwrap_err().contains("out of range"));
--- a/components/settings/tests/tree.rs
+++ b/components/settings/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Inheritance, refusals and INI text of the settings tree.
+//! Inheritance, validation and INI round trips of the settings tree.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn children_inherit_unless_they_say_otherwise() {
+fn sections_inherit_values_that_they_do_not_set() {
     let tree = Tree::from_ini(BOOKING).unwrap();
     let catalog = Catalog::new(3, &tree);
     let holds = catalog.kind("booking", "holds").unwrap();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn stopping_a_service_stops_its_kinds() {
+fn kinds_inherit_the_state_of_a_stopped_service() {
     let tree = Tree::from_ini(BOOKING).unwrap();
     let stopped = tree.with_edits(&[set("booking", "state", "stopped")]).unwrap();
     let catalog = Catalog::new(4, &stopped);
@@ -49,21 +49,21 @@
 }
 
 #[test]
-fn refusals_name_section_key_and_reason() {
+fn errors_name_section_key_and_reason() {
     let cases = [
         ("[booking]\nspeed = 3\n", "[booking] speed: unknown key"),
         ("[booking]\ndeadline_ms = 0\n", "[booking] deadline_ms: 0 is out of range"),
         ("[booking]\ndeadline_ms = 2s\n", "[booking] deadline_ms: '2s' is not a whole number"),
         ("[booking]\nstate = paused\n", "[booking] state: 'paused' is none of"),
         ("[booking/holds]\n", "[booking/holds] -: its parent [booking] is missing"),
-        ("[Booking]\n", "[Booking] -: a path is words"),
-        ("[booking]\n[booking]\n", "[booking] -: written twice"),
-        ("[booking]\nteam = a\nteam = b\n", "[booking] team: written twice"),
-        ("deadline_ms = 3\n", "[-] deadline_ms: stands before any section"),
+        ("[Booking]\n", "[Booking] -: a path consists of words"),
+        ("[booking]\n[booking]\n", "[booking] -: the section occurs twice"),
+        ("[booking]\nteam = a\nteam = b\n", "[booking] team: the key occurs twice"),
+        ("deadline_ms = 3\n", "[-] deadline_ms: the key is outside any section"),
         ("[fleet]\nclaim_view = a1@r1 a2\n", "[fleet] claim_view: 'a2' is not NAME@RACK"),
-        ("[fleet]\nclaim_view = a1@r1 a1@r2\n", "[fleet] claim_view: 'a1' stands twice"),
+        ("[fleet]\nclaim_view = a1@r1 a1@r2\n", "[fleet] claim_view: 'a1' is listed twice"),
         ("[teams/a/b]\n", "[teams/a/b] -: a team's section"),
-        ("[booking", "not INI"),
+        ("[booking", "not valid INI"),
     ];
     for (text, expected) in cases {
         let error = Tree::from_ini(text).unwrap_err().to_string();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_refused_edit_leaves_the_tree_unharmed() {
+fn a_rejected_edit_leaves_the_tree_unchanged() {
     let tree = Tree::from_ini(BOOKING).unwrap();
     let edits = [set("booking", "team", "other"), set("booking", "deadline_ms", "none")];
     assert!(tree.with_edits(&edits).is_err());
@@ -80,17 +80,17 @@
 }
 
 #[test]
-fn removing_a_section_takes_its_children() {
+fn removing_a_section_removes_its_descendants() {
     let tree = Tree::from_ini(BOOKING).unwrap();
     let section: SectionPath = "booking".parse().unwrap();
-    let next = tree.with_edits(&[Edit::Remove { section }]).unwrap();
-    let left: Vec<_> = next.paths().map(SectionPath::as_str).collect();
-    assert_eq!(left, ["/", "teams/kyushu"]);
+    let updated = tree.with_edits(&[Edit::Remove { section }]).unwrap();
+    let remaining: Vec<_> = updated.paths().map(SectionPath::as_str).collect();
+    assert_eq!(remaining, ["/", "teams/kyushu"]);
 }
 
 proptest! {
     #[test]
-    fn ini_text_reads_back(
+    fn ini_text_round_trips(
         values in proptest::collection::vec((0..SERVICE_KEYS.len(), "[a-z]{1,6}", 1u64..400), 0..12),
     ) {
         let mut tree = Tree::default();
@@ -102,15 +102,15 @@
                 "retry_percent" => (number % 101).to_string(),
                 _ => number.to_string(),
             };
-            if let Ok(next) = tree.with_edits(&[set(&service, key.name, &value)]) {
-                tree = next;
+            if let Ok(updated) = tree.with_edits(&[set(&service, key.name, &value)]) {
+                tree = updated;
             }
         }
         prop_assert_eq!(Tree::from_ini(&tree.to_ini()).unwrap(), tree);
     }
 
     #[test]
-    fn edits_lead_from_any_tree_to_any_other(
+    fn edits_to_produces_the_target_tree(
         from in proptest::collection::vec(("[a-c]", "[x-z]", 1u64..400), 0..6),
         to in proptest::collection::vec(("[a-c]", "[x-z]", 1u64..400), 0..6),
     ) {
@@ -132,7 +132,7 @@
     }
 
     #[test]
-    fn any_text_is_read_or_refused(text in "[\\[\\]a-z/=\\n ;#\"]{0,80}") {
+    fn arbitrary_text_is_rejected_or_round_trips(text in "[\\[\\]a-z/=\\n ;#\"]{0,80}") {
         if let Ok(tree) = Tree::from_ini(&text) {
             prop_assert_eq!(Tree::from_ini(&tree.to_ini()).unwrap(), tree);
         }
