--- a/components/api/src/body.rs
+++ b/components/api/src/body.rs
@@ -1,28 +1,28 @@
-//! Bodies of submissions.
+//! Request bodies of submissions.
 
 use std::sync::Arc;
 
 use model::{Code, Failure, Verdict};
 use serde::{Deserialize, Serialize};
 
-/// Longest body taken, in bytes.
+/// Maximum size of a request body, in bytes.
 pub const BODY_BYTES_MAX: usize = 16 * 1024 * 1024;
-/// Most tasks in one job, whatever the settings say.
+/// Maximum number of tasks in a job, independent of the settings.
 pub const TASKS_MAX: usize = 690;
-/// Longest deadline taken, in milliseconds.
+/// Maximum `deadline_ms`, in milliseconds.
 const DEADLINE_MAX_MS: u64 = 600_000;
 
 /// The body of `PUT /v1/jobs/{submission}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobBody {
-    /// The service.
+    /// The service's name.
     pub service: String,
-    /// The kind below it.
+    /// The kind's name.
     pub kind: String,
-    /// The tasks' texts, each handed to a target as it is.
+    /// The tasks' texts, each passed to a target unchanged.
     pub tasks: Vec<Arc<str>>,
-    /// Time to the answer, in milliseconds; the settings' where it is left out.
+    /// Time from arrival to the answer, in milliseconds; if absent, the settings' default applies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
 }
@@ -31,39 +31,41 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestBody {
-    /// The service.
+    /// The service's name.
     pub service: String,
-    /// The kind below it.
+    /// The kind's name.
     pub kind: String,
-    /// The task's text.
+    /// The task's text, passed to a target unchanged.
     pub task: Arc<str>,
-    /// Time to the answer, in milliseconds; the settings' where it is left out.
+    /// Time from arrival to the answer, in milliseconds; if absent, the settings' default applies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// Whether it may run more than once.
+    /// Whether the task may run more than once.
     #[serde(default)]
     pub repeatable: bool,
 }
 
-/// Work read from either body.
+/// A validated submission from either body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
-    /// The service.
+    /// The service's name.
     pub service: String,
-    /// The kind below it.
+    /// The kind's name.
     pub kind: String,
-    /// The tasks' texts: 1 to 690.
+    /// The tasks' texts; at least one and at most [`TASKS_MAX`].
     pub tasks: Vec<Arc<str>>,
-    /// Time to the answer, in milliseconds.
+    /// Time from arrival to the answer, in milliseconds; `None` for the settings' default.
     pub deadline_ms: Option<u64>,
-    /// Whether it may run more than once.
+    /// Whether the task may run more than once.
     pub repeatable: bool,
 }
 
-/// Reads a job's body.
+/// Parses and validates the body of a job.
+///
+/// Fails with [`Code::BadBody`] or [`Code::TooLarge`].
 pub fn parse_job(body: &[u8]) -> Result<Submission, Failure> {
-    let job: JobBody = serde_json::from_slice(body).map_err(bad_json)?;
-    check(Submission {
+    let job: JobBody = serde_json::from_slice(body).map_err(invalid_json)?;
+    validate(Submission {
         service: job.service,
         kind: job.kind,
         tasks: job.tasks,
@@ -72,10 +74,12 @@
     })
 }
 
-/// Reads the body of one piece of work.
+/// Parses and validates the body of a single-task request.
+///
+/// Fails with [`Code::BadBody`].
 pub fn parse_request(body: &[u8]) -> Result<Submission, Failure> {
-    let request: RequestBody = serde_json::from_slice(body).map_err(bad_json)?;
-    check(Submission {
+    let request: RequestBody = serde_json::from_slice(body).map_err(invalid_json)?;
+    validate(Submission {
         service: request.service,
         kind: request.kind,
         tasks: vec![request.task],
@@ -84,21 +88,24 @@
     })
 }
 
-fn check(work: Submission) -> Result<Submission, Failure> {
-    let bad = |message: &str| Err(Failure::new(Code::BadBody, Verdict::NotRun, message));
-    if work.tasks.is_empty() {
-        return bad("a job has at least one task");
+fn validate(submission: Submission) -> Result<Submission, Failure> {
+    let bad_body = |message: &str| Err(Failure::new(Code::BadBody, Verdict::NotRun, message));
+    if submission.tasks.is_empty() {
+        return bad_body("a job needs at least one task");
     }
-    if work.tasks.len() > TASKS_MAX {
-        let message = format!("{} tasks, at most {TASKS_MAX}", work.tasks.len());
+    if submission.tasks.len() > TASKS_MAX {
+        let message = format!(
+            "the job has {} tasks, at most {TASKS_MAX} are allowed",
+            submission.tasks.len()
+        );
         return Err(Failure::new(Code::TooLarge, Verdict::NotRun, message));
     }
-    if work.deadline_ms.is_some_and(|millis| millis == 0 || millis > DEADLINE_MAX_MS) {
-        return bad("deadline_ms is 1 to 600000");
+    if submission.deadline_ms.is_some_and(|millis| millis == 0 || millis > DEADLINE_MAX_MS) {
+        return bad_body("deadline_ms must be between 1 and 600000");
     }
-    Ok(work)
+    Ok(submission)
 }
 
-fn bad_json(error: serde_json::Error) -> Failure {
-    Failure::new(Code::BadBody, Verdict::NotRun, format!("not the JSON asked for: {error}"))
+fn invalid_json(error: serde_json::Error) -> Failure {
+    Failure::new(Code::BadBody, Verdict::NotRun, format!("invalid request body: {error}"))
 }
--- a/components/api/src/lib.rs
+++ b/components/api/src/lib.rs
@@ -1,14 +1,13 @@
-//! The interface for callers of an entry: HTTP paths, JSON bodies, answers.
+//! The HTTP interface that entries offer to clients: routes, JSON request bodies and responses.
 //!
-//! Only reading and writing of values; sockets are elsewhere. The interface is described for its
-//! users in `docs/callers.md`.
+//! Only parsing and formatting; the server is elsewhere.
 
-mod answer;
 mod body;
+mod response;
 mod route;
 
-pub use answer::{ApiResponse, VERDICT_HEADER, outcome_response};
 pub use body::{
     BODY_BYTES_MAX, JobBody, RequestBody, Submission, TASKS_MAX, parse_job, parse_request,
 };
+pub use response::{ApiResponse, VERDICT_HEADER, outcome_response};
 pub use route::{Route, parse_route};
--- a/components/api/src/answer.rs
+++ b/components/api/src/response.rs
@@ -1,21 +1,21 @@
-//! Answers to callers.
+//! HTTP responses to clients.
 
 use std::sync::Arc;
 
 use model::{Code, Failure, SubmissionId, Verdict};
 use serde::Serialize;
 
-/// The header that says whether the work ran.
+/// The response header with the verdict: whether the work ran.
 pub const VERDICT_HEADER: &str = "dockpass-verdict";
 
-/// An HTTP answer, ready to be written.
+/// Status, headers and body of an HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiResponse {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The verdict header, on everything but a whole answer.
+    /// The value of the verdict header; `None` if the outcome is complete.
     pub verdict: Option<Verdict>,
-    /// The `Retry-After` header, in seconds.
+    /// The value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
     /// The JSON body.
     pub body: String,
@@ -47,7 +47,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// A submission id as callers write it.
+/// Serializes a submission id in its text form.
 struct SubmissionText(SubmissionId);
 
 impl Serialize for SubmissionText {
@@ -56,25 +56,29 @@
     }
 }
 
-/// Writes the outcome of a request: every answer in task order, or why there is none.
+/// Returns the response for an outcome: the answers of all tasks in task order, or the failure.
+///
+/// # Panics
+///
+/// Panics if there are answers but no submission id.
 pub fn outcome_response(
     submission: Option<SubmissionId>,
     outcome: &Result<Arc<[Arc<str>]>, Failure>,
 ) -> ApiResponse {
     match (outcome, submission) {
-        (Ok(answers), Some(id)) => write_answers(id, answers),
-        (Ok(_), None) => unreachable!("only submissions have answers"),
-        (Err(failure), submission) => write_failure(submission, failure),
+        (Ok(answers), Some(id)) => complete_response(id, answers),
+        (Ok(_), None) => unreachable!("answers without a submission id"),
+        (Err(failure), submission) => failure_response(submission, failure),
     }
 }
 
-fn write_answers(submission: SubmissionId, answers: &[Arc<str>]) -> ApiResponse {
+fn complete_response(submission: SubmissionId, answers: &[Arc<str>]) -> ApiResponse {
     let submission = SubmissionText(submission);
     let body = CompleteBody { submission, outcome: Outcome::Complete, answers };
     ApiResponse { status: 200, verdict: None, retry_after: None, body: to_json(&body) }
 }
 
-fn write_failure(submission: Option<SubmissionId>, failure: &Failure) -> ApiResponse {
+fn failure_response(submission: Option<SubmissionId>, failure: &Failure) -> ApiResponse {
     let body = FailedBody {
         submission: submission.map(SubmissionText),
         outcome: Outcome::Failed,
@@ -84,7 +88,7 @@
         retry_after_ms: failure.retry_after_ms,
     };
     ApiResponse {
-        status: status(failure.code, failure.verdict),
+        status: failure_status(failure.code, failure.verdict),
         verdict: Some(failure.verdict),
         retry_after: failure.retry_after_ms.map(|millis| millis.div_ceil(1_000)),
         body: to_json(&body),
@@ -92,11 +96,11 @@
 }
 
 fn to_json<T: Serialize>(body: &T) -> String {
-    serde_json::to_string(body).expect("plain structs and strings become JSON")
+    serde_json::to_string(body).expect("the body types always serialize")
 }
 
-/// The status of a failure. 503 is kept for what is proven not to have run.
-fn status(code: Code, verdict: Verdict) -> u16 {
+/// The HTTP status of a failure. 503 is used only if the work provably did not run.
+fn failure_status(code: Code, verdict: Verdict) -> u16 {
     match code {
         Code::BadBody | Code::BadId | Code::IdTooNew => 400,
         Code::NoSuchPath | Code::UnknownService | Code::UnknownKind | Code::UnknownId => 404,
--- a/components/api/tests/caller_interface.rs
+++ b/components/api/tests/caller_interface.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and what they get.
+//! Parsing of client requests and formatting of responses.
 
 use api::{JobBody, Route, outcome_response, parse_job, parse_request, parse_route};
 use model::{Code, Failure, SubmissionId, Time, Verdict};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn routes_by_method_and_path() {
+fn requests_are_routed_by_method_and_path() {
     let id = id();
     let route = |method, path: String| parse_route(method, &path);
     assert_eq!(route("PUT", format!("/v1/jobs/{id}")), Ok(Route::SubmitJob(id)));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn bad_bodies_are_refused_as_not_run() {
+fn invalid_bodies_fail_as_not_run() {
     let many: Vec<&str> = vec!["t"; 691];
     let too_many =
         serde_json::json!({"service": "booking", "kind": "holds", "tasks": many}).to_string();
@@ -45,17 +45,17 @@
 }
 
 #[test]
-fn a_request_is_not_repeatable_unless_it_says_so() {
+fn requests_are_not_repeatable_by_default() {
     let body = r#"{"service":"booking","kind":"settlements","task":"ticket 9"}"#;
     assert!(!parse_request(body.as_bytes()).unwrap().repeatable);
 }
 
 #[test]
-fn outcomes_are_whole_or_carry_their_verdict() {
+fn complete_responses_have_answers_and_failed_ones_a_verdict() {
     let answers = [std::sync::Arc::from("seat 4A"), std::sync::Arc::from("seat \"4B\"")];
-    let whole = outcome_response(Some(id()), &Ok(answers.into()));
-    assert_eq!((whole.status, whole.verdict), (200, None));
-    let body: serde_json::Value = serde_json::from_str(&whole.body).unwrap();
+    let complete = outcome_response(Some(id()), &Ok(answers.into()));
+    assert_eq!((complete.status, complete.verdict), (200, None));
+    let body: serde_json::Value = serde_json::from_str(&complete.body).unwrap();
     assert_eq!(body["answers"], serde_json::json!(["seat 4A", "seat \"4B\""]));
     let refusal = Failure::new(Code::Overloaded, Verdict::NotRun, "full").retry_after(1_200);
     let refused = outcome_response(Some(id()), &Err(refusal));
@@ -64,14 +64,14 @@
 }
 
 #[test]
-fn a_refusal_without_proof_is_no_503() {
+fn a_failure_that_may_have_run_is_not_a_503() {
     let refusal = Failure::new(Code::Overloaded, Verdict::MayHaveRun, "full");
     assert_eq!(outcome_response(None, &Err(refusal)).status, 502);
 }
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(body in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_parse_or_fail_as_not_run(body in proptest::collection::vec(any::<u8>(), 0..200)) {
         for result in [parse_job(&body), parse_request(&body)] {
             if let Err(failure) = result {
                 prop_assert_eq!(failure.verdict, Verdict::NotRun);
@@ -80,7 +80,7 @@
     }
 
     #[test]
-    fn json_near_the_shape_is_read_or_refused(
+    fn generated_jobs_parse_or_fail_and_truncated_ones_fail(
         service in ".{0,12}",
         tasks in proptest::collection::vec(".{0,20}", 0..5),
         deadline in proptest::option::of(any::<u64>()),
@@ -90,7 +90,7 @@
         let job = JobBody { service, kind: "holds".into(), tasks, deadline_ms: deadline };
         let text = serde_json::to_vec(&job).unwrap();
         match parse_job(&text) {
-            Ok(work) => prop_assert_eq!(work.tasks, job.tasks),
+            Ok(submission) => prop_assert_eq!(submission.tasks, job.tasks),
             Err(failure) => prop_assert_eq!(failure.verdict, Verdict::NotRun),
         }
         let cut = cut.min(text.len().saturating_sub(1));
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn any_path_is_routed_or_refused(method in "[A-Z]{0,7}", path in "/?(v1/)?(jobs/)?.{0,60}") {
+    fn arbitrary_paths_parse_or_fail_as_not_run(method in "[A-Z]{0,7}", path in "/?(v1/)?(jobs/)?.{0,60}") {
         if let Err(failure) = parse_route(&method, &path) {
             prop_assert_eq!(failure.verdict, Verdict::NotRun);
         }
--- a/components/client/src/caller.rs
+++ b/components/client/src/entry_client.rs
@@ -1,4 +1,4 @@
-//! A client of the caller interface.
+//! A client of an entry's HTTP interface.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,34 +12,34 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// What an entry said of a submission.
+/// The outcome of a submission, as reported by an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Every task's answer, in task order.
+    /// The answers of all tasks, in task order.
     Complete(Vec<Arc<str>>),
-    /// There is no answer.
+    /// The submission failed.
     Failed {
         /// The HTTP status.
         status: u16,
-        /// The stable code.
+        /// The failure code.
         code: String,
-        /// What is known of the work.
+        /// Whether the work ran.
         verdict: Verdict,
-        /// A sentence for a person.
+        /// A human-readable description of the failure.
         message: String,
-        /// When to come back.
+        /// The delay before a retry, if the entry suggests one.
         retry_after: Option<Duration>,
     },
 }
 
-/// Why nothing is known from an entry.
+/// Error of a request without a valid response.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// No answer.
+    /// No response was received.
     #[error(transparent)]
     Http(#[from] ClientError),
-    /// An answer that makes no sense.
-    #[error("the entry's answer makes no sense: {0}")]
+    /// The response's status, headers or body are not as expected.
+    #[error("invalid response: {0}")]
     InvalidResponse(String),
 }
 
@@ -56,16 +56,16 @@
     retry_after_ms: Option<u64>,
 }
 
-/// A client of one entry.
+/// A client of one entry with a fixed timeout.
 pub struct EntryClient {
     client: Client,
-    time: Duration,
+    timeout: Duration,
 }
 
 impl EntryClient {
-    /// A client that waits so long for each answer.
-    pub fn new(entry: SocketAddr, tasks: Spawner, time: Duration) -> Self {
-        Self { client: Client::new(entry, tasks), time }
+    /// Creates a client that waits up to `timeout` for each response.
+    pub fn new(entry: SocketAddr, spawner: Spawner, timeout: Duration) -> Self {
+        Self { client: Client::new(entry, spawner), timeout }
     }
 
     /// Submits a job and waits for its outcome.
@@ -74,29 +74,29 @@
         id: SubmissionId,
         body: &JobBody,
     ) -> Result<Outcome, RequestError> {
-        let body = serde_json::to_vec(body).expect("plain structs become JSON");
+        let body = serde_json::to_vec(body).expect("the body types always serialize");
         self.send(Method::PUT, &format!("/v1/jobs/{id}"), body).await
     }
 
-    /// Submits one piece of work and waits for its outcome.
+    /// Submits a single task and waits for its outcome.
     pub async fn submit_request(
         &self,
         id: SubmissionId,
         body: &RequestBody,
     ) -> Result<Outcome, RequestError> {
-        let body = serde_json::to_vec(body).expect("plain structs become JSON");
+        let body = serde_json::to_vec(body).expect("the body types always serialize");
         self.send(Method::PUT, &format!("/v1/requests/{id}"), body).await
     }
 
-    /// Asks for the outcome of an earlier submission.
+    /// Fetches the outcome of an earlier submission.
     pub async fn fetch_outcome(&self, id: SubmissionId) -> Result<Outcome, RequestError> {
         self.send(Method::GET, &format!("/v1/jobs/{id}"), Vec::new()).await
     }
 
-    /// Asks for the entry's counters, as JSON.
+    /// Fetches the entry's status and counters, as JSON.
     pub async fn status(&self) -> Result<serde_json::Value, RequestError> {
         let reply = self.exchange(Method::GET, "/v1/status", Vec::new()).await?;
-        parse(&reply)
+        parse_body(&reply)
     }
 
     async fn exchange(
@@ -105,7 +105,7 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<Reply, ClientError> {
-        self.client.send(method, path, HeaderMap::new(), Bytes::from(body), self.time).await
+        self.client.send(method, path, HeaderMap::new(), Bytes::from(body), self.timeout).await
     }
 
     async fn send(
@@ -116,12 +116,14 @@
     ) -> Result<Outcome, RequestError> {
         let reply = self.exchange(method, path, body).await?;
         if reply.status == 200 {
-            return Ok(Outcome::Complete(parse::<CompleteBody>(&reply)?.answers));
+            return Ok(Outcome::Complete(parse_body::<CompleteBody>(&reply)?.answers));
         }
-        let failed: FailedBody = parse(&reply)?;
+        let failed: FailedBody = parse_body(&reply)?;
         let header = reply.headers.get(VERDICT_HEADER).and_then(|value| value.to_str().ok());
         if header.and_then(Verdict::parse) != Some(failed.verdict) {
-            return Err(RequestError::InvalidResponse(format!("verdict header {header:?}")));
+            return Err(RequestError::InvalidResponse(format!(
+                "the verdict header {header:?} differs from the body"
+            )));
         }
         Ok(Outcome::Failed {
             status: reply.status,
@@ -133,7 +135,7 @@
     }
 }
 
-pub(crate) fn parse<T: for<'de> Deserialize<'de>>(reply: &Reply) -> Result<T, RequestError> {
+pub(crate) fn parse_body<T: for<'de> Deserialize<'de>>(reply: &Reply) -> Result<T, RequestError> {
     serde_json::from_slice(&reply.body)
         .map_err(|error| RequestError::InvalidResponse(error.to_string()))
 }
--- a/components/client/src/lib.rs
+++ b/components/client/src/lib.rs
@@ -1,9 +1,9 @@
-//! Clients of dockpass's two HTTP interfaces: for callers and for operators.
+//! Clients of the HTTP interfaces of entries and keepers.
 
-mod caller;
-mod id;
-mod operator;
+mod entry_client;
+mod operator_client;
+mod submission_id;
 
-pub use caller::{EntryClient, Outcome, RequestError};
-pub use id::{new_submission_id, submission_id_at};
-pub use operator::{ChangeOutcome, HallOutcome, OperatorClient, OperatorError, TreeVersion};
+pub use entry_client::{EntryClient, Outcome, RequestError};
+pub use operator_client::{ChangeOutcome, HallOutcome, OperatorClient, OperatorError, TreeVersion};
+pub use submission_id::{new_submission_id, submission_id_at};
--- /dev/null
+++ b/components/client/src/operator_client.rs
@@ -0,0 +1,197 @@
+//! A client of the keepers' HTTP interface for operators.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use hyper::body::Bytes;
+use hyper::{HeaderMap, Method};
+use net::{Client, Reply, Spawner};
+use serde::Deserialize;
+use settings::{Edit, SettingsError, Tree};
+use thiserror::Error;
+use uuid::Uuid;
+use wire::{ChangeRequest, ChangeResult, EmptiedHalls, HallOrder};
+
+use crate::RequestError;
+use crate::entry_client::parse_body;
+
+/// Timeout for a keeper's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Attempts at each keeper before an outcome is reported as unknown.
+const ROUNDS: usize = 30;
+/// Delay between two rounds of attempts.
+const ROUND_DELAY: Duration = Duration::from_millis(300);
+
+/// A version of the settings tree.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TreeVersion {
+    /// The version's number.
+    pub version: u64,
+    /// The tree at this version.
+    pub tree: Tree,
+}
+
+/// The outcome of a change, as far as the client knows.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ChangeOutcome {
+    /// The result that a keeper reported.
+    Known(ChangeResult),
+    /// No keeper reported a result after several attempts. The change may still be accepted.
+    Unknown,
+}
+
+/// The outcome of a hall command, as far as the client knows.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum HallOutcome {
+    /// The command is committed; the halls that are emptied after it.
+    Accepted(EmptiedHalls),
+    /// The command was refused for this reason.
+    Refused(String),
+    /// No keeper reported a result after several attempts. The command may still be accepted.
+    Unknown,
+}
+
+/// The body of a keeper's error response.
+#[derive(Deserialize)]
+struct ErrorBody {
+    message: String,
+}
+
+/// Error while reading from the keepers.
+#[derive(Debug, Error)]
+pub enum OperatorError {
+    /// No keeper gave a valid response; the error of the last attempt.
+    #[error("no keeper gave a valid response: {0}")]
+    NoKeeper(RequestError),
+    /// The client was created without keeper addresses.
+    #[error("no keeper addresses are given")]
+    NoKeeperAddresses,
+    /// A keeper returned an invalid settings tree.
+    #[error("the keeper returned an invalid settings tree: {0}")]
+    InvalidTree(#[from] SettingsError),
+}
+
+#[derive(Deserialize)]
+struct TreeBody {
+    version: u64,
+    tree: String,
+}
+
+/// A client of several keepers, which are tried in order until one responds.
+pub struct OperatorClient {
+    keepers: Vec<Client>,
+}
+
+impl OperatorClient {
+    /// Creates a client of the keepers at these addresses.
+    pub fn new(keepers: &[SocketAddr], spawner: &Spawner) -> Self {
+        let client = |address: &SocketAddr| Client::new(*address, spawner.clone());
+        Self { keepers: keepers.iter().map(client).collect() }
+    }
+
+    /// Reads the current settings tree.
+    pub async fn read_settings(&self) -> Result<TreeVersion, OperatorError> {
+        let body: TreeBody = self.get_json("/v1/settings").await?;
+        Ok(TreeVersion { version: body.version, tree: Tree::from_ini(&body.tree)? })
+    }
+
+    /// Reads a JSON document from the first keeper that returns it.
+    pub async fn get_json<T: for<'de> Deserialize<'de>>(
+        &self,
+        path: &str,
+    ) -> Result<T, OperatorError> {
+        let mut last_error = OperatorError::NoKeeperAddresses;
+        for keeper in &self.keepers {
+            let reply = exchange(keeper, Method::GET, path, Vec::new()).await;
+            match reply.and_then(|reply| parse_body(&require_ok(reply)?)) {
+                Ok(document) => return Ok(document),
+                Err(error) => last_error = OperatorError::NoKeeper(error),
+            }
+        }
+        Err(last_error)
+    }
+
+    /// Submits edits as a new change, with retries under the same id until the outcome is known.
+    pub async fn submit_edits(&self, base_version: u64, edits: Vec<Edit>) -> ChangeOutcome {
+        let request = ChangeRequest { change: Uuid::new_v4().to_string(), base_version, edits };
+        self.submit_change(&request).await
+    }
+
+    /// Submits a change, with retries until the outcome is known. The id may have been used before.
+    pub async fn submit_change(&self, request: &ChangeRequest) -> ChangeOutcome {
+        let body = serde_json::to_vec(request).expect("the request type always serializes");
+        let outcome = self.post_until_known("/v1/changes", &body, change_outcome).await;
+        outcome.unwrap_or(ChangeOutcome::Unknown)
+    }
+
+    /// Sends a command for a hall, with retries until the outcome is known. Commands are idempotent.
+    pub async fn send_hall_command(&self, command: &HallOrder) -> HallOutcome {
+        let action = if command.takes_work { "refill" } else { "empty" };
+        let path = format!("/v1/halls/{}/{action}", command.hall);
+        let outcome = self.post_until_known(&path, &[], hall_outcome).await;
+        outcome.unwrap_or(HallOutcome::Unknown)
+    }
+
+    /// Posts to the keepers in turn, for several rounds, until `outcome` returns a result.
+    async fn post_until_known<T>(
+        &self,
+        path: &str,
+        body: &[u8],
+        outcome: impl Fn(&Reply) -> Option<T>,
+    ) -> Option<T> {
+        for round in 0..ROUNDS {
+            if round > 0 {
+                net::sleep(ROUND_DELAY).await;
+            }
+            for keeper in &self.keepers {
+                let reply = exchange(keeper, Method::POST, path, body.to_vec()).await;
+                // A keeper that gave no response may have accepted the request; another keeper knows.
+                if let Some(known) = reply.ok().and_then(|reply| outcome(&reply)) {
+                    return Some(known);
+                }
+            }
+        }
+        None
+    }
+}
+
+/// The outcome of a change in a keeper's response; `None` if another keeper must be tried.
+fn change_outcome(reply: &Reply) -> Option<ChangeOutcome> {
+    if !matches!(reply.status, 200 | 400 | 409) {
+        return None;
+    }
+    parse_body(reply).ok().map(ChangeOutcome::Known)
+}
+
+/// The outcome of a hall command in a keeper's response; `None` if another keeper must be tried.
+fn hall_outcome(reply: &Reply) -> Option<HallOutcome> {
+    match reply.status {
+        200 => parse_body(reply).ok().map(HallOutcome::Accepted),
+        400..=499 => {
+            let error_body = parse_body::<ErrorBody>(reply).ok();
+            let message = error_body
+                .map_or_else(|| "the keeper gave no reason".to_owned(), |body| body.message);
+            Some(HallOutcome::Refused(message))
+        }
+        _ => None,
+    }
+}
+
+async fn exchange(
+    keeper: &Client,
+    method: Method,
+    path: &str,
+    body: Vec<u8>,
+) -> Result<Reply, RequestError> {
+    let result =
+        keeper.send(method, path, HeaderMap::new(), Bytes::from(body), RESPONSE_TIMEOUT).await;
+    Ok(result?)
+}
+
+fn require_ok(reply: Reply) -> Result<Reply, RequestError> {
+    if reply.status == 200 {
+        return Ok(reply);
+    }
+    let text = String::from_utf8_lossy(&reply.body).into_owned();
+    Err(RequestError::InvalidResponse(format!("status {}: {text}", reply.status)))
+}
--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -1,30 +1,31 @@
-//! A steady clock that goes on while the host is suspended.
+//! A monotonic clock that advances while the host is suspended.
 //!
-//! `std::time::Instant` stands still on Linux while the host is suspended. A lease, a silence or an age that is measured by it
-//! is too short by that span: a process would go on after it as if it had never been away.
+//! On Linux, `std::time::Instant` doesn't advance during a suspension. Measured with it, leases,
+//! timeouts and ages would be too short by that time, and a resumed process would act on an expired
+//! lease.
 
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// A moment on the clock of this host, since it was booted.
+/// A time on this host's `CLOCK_BOOTTIME`, since boot. Not comparable between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// This moment.
+    /// Returns the current time.
     pub fn now() -> Self {
         let time = clock_gettime(ClockId::Boottime);
-        // Neither part of this clock is ever negative.
+        // The time since boot is never negative.
         Self(Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32))
     }
 
-    /// How long ago it was.
+    /// Time passed since this instant; zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         Self::now().since(self)
     }
 
-    /// Time passed since `earlier`; zero when `earlier` is later.
+    /// Time passed from `earlier` to this instant; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
--- a/components/clock/tests/boot_instant.rs
+++ b/components/clock/tests/boot_instant.rs
@@ -1,29 +1,29 @@
-//! The clock against the one of the standard library, which differs from it by suspensions alone.
+//! Compares `BootInstant` with `std::time::Instant`, which differs only in excluding suspensions.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
 use clock::BootInstant;
 
-const SPAN: Duration = Duration::from_millis(30);
+const SLEEP_TIME: Duration = Duration::from_millis(30);
 
 #[test]
-fn it_goes_on_at_least_as_fast_as_the_clock_of_the_standard_library() {
-    let (booted, began) = (BootInstant::now(), steady());
-    thread::sleep(SPAN);
-    let by_library = began.elapsed();
-    assert!(by_library >= SPAN && booted.elapsed() >= by_library);
+fn boot_time_advances_at_least_as_fast_as_std_instant() {
+    let (boot_start, std_start) = (BootInstant::now(), std_now());
+    thread::sleep(SLEEP_TIME);
+    let std_elapsed = std_start.elapsed();
+    assert!(std_elapsed >= SLEEP_TIME && boot_start.elapsed() >= std_elapsed);
 }
 
 #[test]
-fn it_never_goes_back() {
-    let moments: Vec<BootInstant> = (0..1_000).map(|_| BootInstant::now()).collect();
-    assert!(moments.is_sorted());
-    assert_eq!(moments[0].since(moments[999]), Duration::ZERO);
+fn boot_time_is_monotonic() {
+    let instants: Vec<BootInstant> = (0..1_000).map(|_| BootInstant::now()).collect();
+    assert!(instants.is_sorted());
+    assert_eq!(instants[0].since(instants[999]), Duration::ZERO);
 }
 
-/// The other clock is what it is compared with.
+/// Reads the clock of the standard library, which is otherwise disallowed, as the reference.
 #[allow(clippy::disallowed_methods)]
-fn steady() -> Instant {
+fn std_now() -> Instant {
     Instant::now()
 }
