--- a/components/api/src/lib.rs
+++ b/components/api/src/lib.rs
@@ -1,6 +1,6 @@
 //! The HTTP interface that entries offer to clients: routes, JSON request bodies and responses.
 //!
-//! Only parsing and formatting; the server is elsewhere.
+//! This crate only parses and formats; the daemon runs the HTTP server.
 
 mod body;
 mod response;
--- a/components/api/src/route.rs
+++ b/components/api/src/route.rs
@@ -9,7 +9,8 @@
     SubmitJob(SubmissionId),
     /// `PUT /v1/requests/{submission}`: submit a single task and wait for its answer.
     SubmitRequest(SubmissionId),
-    /// `GET /v1/jobs/{submission}` or `/v1/requests/{submission}`: fetch the outcome of a submission.
+    /// `GET /v1/jobs/{submission}` or `/v1/requests/{submission}`: fetch the outcome of a
+    /// submission.
     Fetch(SubmissionId),
     /// `GET /ready`: whether the load balancer may send requests to this entry.
     Ready,
--- a/components/client/src/operator_client.rs
+++ b/components/client/src/operator_client.rs
@@ -124,7 +124,8 @@
         outcome.unwrap_or(ChangeOutcome::Unknown)
     }
 
-    /// Sends a command for a hall, with retries until the outcome is known. Commands are idempotent.
+    /// Sends a command for a hall, with retries until the outcome is known. Commands are
+    /// idempotent.
     pub async fn send_hall_command(&self, command: &HallOrder) -> HallOutcome {
         let action = if command.takes_work { "refill" } else { "empty" };
         let path = format!("/v1/halls/{}/{action}", command.hall);
@@ -145,7 +146,8 @@
             }
             for keeper in &self.keepers {
                 let reply = exchange(keeper, Method::POST, path, body.to_vec()).await;
-                // A keeper that gave no response may have accepted the request; another keeper knows.
+                // A keeper that gave no response may have accepted the request; another keeper
+                // knows.
                 if let Some(known) = reply.ok().and_then(|reply| outcome(&reply)) {
                     return Some(known);
                 }
--- a/components/client/src/submission_id.rs
+++ b/components/client/src/submission_id.rs
@@ -5,7 +5,8 @@
 use model::{SubmissionId, Time};
 use uuid::Uuid;
 
-/// Creates a submission id with the current time. A clock before the Unix epoch counts as the epoch.
+/// Creates a submission id with the current time. A clock before the Unix epoch counts as the
+/// epoch.
 pub fn new_submission_id() -> SubmissionId {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     submission_id_at(since_epoch)
--- a/components/net/src/client.rs
+++ b/components/net/src/client.rs
@@ -33,7 +33,7 @@
     InvalidRequest(String),
     /// The connection failed after at least a part of the request was sent, or the response was
     /// invalid or too long.
-    #[error("connection failed during the request: {0}")]
+    #[error("no complete response: {0}")]
     Disconnected(String),
     /// No complete response arrived within the timeout.
     #[error("no complete response within the timeout")]
@@ -94,8 +94,8 @@
 
     /// Sends a request and waits up to `timeout` for its complete response.
     ///
-    /// A request is never sent twice. If a pooled connection has closed and hyper returns the request
-    /// unsent, it goes to another connection.
+    /// A request is never sent twice. If a pooled connection has closed and hyper returns the
+    /// request unsent, it goes to another connection.
     pub async fn send(
         &self,
         method: Method,
@@ -136,8 +136,9 @@
         Ok(request)
     }
 
-    /// Sends a request and reads its response. `pooled_send_time` is set to the time of sending if the
-    /// connection came from the pool: a timeout on a new connection says nothing about pooled ones.
+    /// Sends a request and reads its response. `pooled_send_time` is set to the time of sending if
+    /// the connection came from the pool: a timeout on a new connection says nothing about pooled
+    /// ones.
     async fn exchange(
         &self,
         mut request: Request<Full<Bytes>>,
--- a/components/net/src/connections.rs
+++ b/components/net/src/connections.rs
@@ -59,6 +59,7 @@
     peer: Option<SocketAddr>,
     phase: Cell<Phase>,
     phase_since: Cell<BootInstant>,
+    /// Number of responses written on this connection.
     answered: Cell<u64>,
     /// When this connection last received bytes.
     last_received: Cell<BootInstant>,
@@ -124,8 +125,8 @@
         self.phase() == Phase::Reading && self.last_received.get().elapsed() >= STALL_TIMEOUT
     }
 
-    /// Waits until no request is expected or partly received. A request whose client stalls is given up
-    /// only after the server has stopped accepting connections.
+    /// Waits until no request is expected or partly received. A request whose client stalls is
+    /// given up only after the server has stopped accepting connections.
     pub async fn no_request_incoming(&self, connections: &Connections) {
         let gives_up = || connections.accepting_stop.is_set() && self.is_stalled();
         while self.is_first_request_expected() || (self.phase() == Phase::Reading && !gives_up()) {
@@ -154,14 +155,16 @@
     pub answered: u64,
 }
 
-/// Time allowed for the first request on a new connection during a shutdown. Well above a round trip
-/// within a region and short compared with a planned stop.
+/// Time allowed for the first request on a new connection during a shutdown. Well above a round
+/// trip within a region and short compared with a planned stop.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A server's registry of open connections, and the control of its graceful shutdown.
 #[derive(Debug)]
 pub struct Connections {
+    /// Number of the next connection, which is also the count of accepted ones.
     next_number: Cell<u64>,
+    /// Open connections by number, so oldest first.
     open: RefCell<BTreeMap<u64, Rc<ConnectionTracker>>>,
     /// When a connection was last accepted or the start of a request received.
     last_arrival: Rc<Cell<BootInstant>>,
@@ -247,9 +250,9 @@
 
     /// The number of connections that a graceful shutdown waits for.
     ///
-    /// While connections are accepted, connections with a stalled client are excluded, since nothing
-    /// closes them. After [`Self::close`] the server gives up stalled requests itself and they count
-    /// until their response is written; otherwise the process could exit before that.
+    /// While connections are accepted, connections with a stalled client are excluded, since
+    /// nothing closes them. After [`Self::close`] the server gives up stalled requests itself and
+    /// they count until their response is written; otherwise the process could exit before that.
     pub fn active_count(&self) -> usize {
         let gives_up = self.accepting_stop.is_set();
         self.open.borrow().values().filter(|tracker| gives_up || !tracker.is_stalled()).count()
--- a/components/net/src/server.rs
+++ b/components/net/src/server.rs
@@ -1,4 +1,5 @@
-//! An HTTP/1.1 server that reads complete request bodies within limits and can shut down gracefully.
+//! An HTTP/1.1 server that reads complete request bodies within limits and can shut down
+//! gracefully.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -38,12 +39,12 @@
     /// The body exceeds [`Limits::max_body_bytes`].
     #[error("the request body exceeds the size limit")]
     TooLong,
-    /// The body was not complete within [`Limits::read_timeout`], or the client stopped sending while
-    /// the server was shutting down.
+    /// The body was not complete within [`Limits::read_timeout`], or the client stopped sending
+    /// while the server was shutting down.
     #[error("the request body was not complete in time")]
     Timeout,
     /// The connection failed or the body was malformed.
-    #[error("the connection failed within the request body")]
+    #[error("the request body could not be read")]
     Disconnected,
 }
 
@@ -60,8 +61,8 @@
     pub max_connections: usize,
 }
 
-/// Accepts connections forever and passes each request to `handler`. `limits` is called for each new
-/// connection.
+/// Accepts connections forever and passes each request to `handler`. `limits` is called for each
+/// new connection.
 pub async fn serve<L, H, F>(listener: Async<TcpListener>, spawner: Spawner, limits: L, handler: H)
 where
     L: Fn() -> Limits,
@@ -107,8 +108,8 @@
         }
     };
     accept_loop.or(connections.accepting_stopped()).await;
-    // Closing the listener resets queued connections, which may already carry a request. Accepts them
-    // first, even beyond the limit, since the queue is short.
+    // Closing the listener resets queued connections, which may already carry a request. Accepts
+    // them first, even beyond the limit, since the queue is short.
     while let Some(Ok(connection)) = future::poll_once(listener.accept()).await {
         start_connection(connection, limits());
     }
@@ -162,12 +163,13 @@
     };
     let shutdown_requested = async {
         connections.keep_alive_stopped().await;
-        // hyper treats a connection with an incomplete head as idle, so it may only shut down afterwards.
+        // hyper treats a connection with an incomplete head as idle, so it may only shut down
+        // afterwards.
         tracker.no_request_incoming(connections).await;
         false
     };
-    // `or` polls the connection first, so a request already in the socket buffer is read before an idle
-    // connection closes; otherwise its client would get no response.
+    // `or` polls the connection first, so a request already in the socket buffer is read before an
+    // idle connection closes; otherwise its client would get no response.
     if !completed.or(shutdown_requested).await {
         connection.as_mut().graceful_shutdown();
         // An error here affects this client only.
--- a/components/net/src/spawner.rs
+++ b/components/net/src/spawner.rs
@@ -8,8 +8,8 @@
 
 /// A handle that spawns futures on its thread's executor.
 ///
-/// The handle is a weak reference, since spawned futures hold clones of it: when [`block_on`] returns,
-/// the executor is dropped with its futures, which closes their sockets.
+/// The handle is a weak reference, since spawned futures hold clones of it: when [`block_on`]
+/// returns, the executor is dropped with its futures, which closes their sockets.
 #[derive(Clone, Debug)]
 pub struct Spawner {
     executor: Weak<LocalExecutor<'static>>,
--- a/components/net/tests/client_timeouts.rs
+++ b/components/net/tests/client_timeouts.rs
@@ -1,7 +1,7 @@
 //! Pooled connections that stop responding without a reset while new ones work.
 //!
-//! Guards against retries over one dead pooled connection after another, which delay starts and stops
-//! until a healthy target's lease expires.
+//! Guards against retries over one dead pooled connection after another, which delay starts and
+//! stops until a healthy target's lease expires.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -33,8 +33,8 @@
     closed: AtomicUsize,
     /// Connections with a lower number get no more responses.
     unresponsive_below: AtomicUsize,
-    /// Holds back the first responses until all first requests have arrived, so that each request uses
-    /// its own connection.
+    /// Holds back the first responses until all first requests have arrived, so that each request
+    /// uses its own connection.
     first_requests: Barrier,
 }
 
@@ -153,8 +153,8 @@
         server.stop_responding_below(1);
         let mut timeouts = 0;
         for _ in 0..POOLED {
-            // Concurrent requests use all connections: one gets no response, the others get theirs after
-            // it was sent.
+            // Concurrent requests use all connections: one gets no response, the others get theirs
+            // after it was sent.
             let results = join_all((0..POOLED).map(|_| send(&client, EXPECTED_TIMEOUT))).await;
             timeouts += results.iter().filter(|result| result.is_err()).count();
         }
--- a/components/net/tests/connect.rs
+++ b/components/net/tests/connect.rs
@@ -19,7 +19,7 @@
 fn a_later_attempt_connects_before_the_kernel_retransmits() {
     let listener = listener_with_minimal_queue();
     let address = listener.local_addr().unwrap();
-    let filler = TcpStream::connect(address).unwrap();
+    let queued = TcpStream::connect(address).unwrap();
     let accept_late = std::thread::spawn(move || {
         async_io::block_on(async {
             // The first attempt has got no response by then; the next ones have not started.
@@ -33,7 +33,7 @@
     let stream = async_io::block_on(net::connect(address)).expect("a later attempt connects");
     assert_eq!(stream.get_ref().peer_addr().unwrap(), address);
     accept_late.join().unwrap();
-    drop(filler);
+    drop(queued);
 }
 
 #[test]
--- a/components/net/tests/graceful_shutdown.rs
+++ b/components/net/tests/graceful_shutdown.rs
@@ -30,7 +30,8 @@
         let mut reused = connect(&server);
         reused.write_all(REQUEST).unwrap();
         wait_for("an idle connection", || server.connections.count(Phase::Idle) == 1).await;
-        // The server does not run between the next two lines, so the request is in the socket buffer.
+        // The server does not run between the next two lines, so the request is in the socket
+        // buffer.
         reused.write_all(REQUEST).unwrap();
         server.connections.close();
         let text = read_without_reset(reused).await;
@@ -60,13 +61,13 @@
 fn the_first_request_on_a_new_connection_is_answered_after_close() {
     net::block_on(|spawner| async move {
         let server = start(&spawner, Duration::ZERO, LIMITS);
-        let mut new = connect(&server);
+        let mut fresh = connect(&server);
         wait_for("the accepted connection", || server.connections.count(Phase::Fresh) == 1).await;
         server.connections.close();
         assert_eq!(server.connections.active_count(), 1, "the first request is still expected");
         Timer::after(Duration::from_millis(30)).await;
-        new.write_all(REQUEST).unwrap();
-        assert_answered(&read_without_reset(new).await);
+        fresh.write_all(REQUEST).unwrap();
+        assert_answered(&read_without_reset(fresh).await);
     });
 }
 
@@ -90,12 +91,12 @@
     net::block_on(|spawner| async move {
         let server = start(&spawner, Duration::ZERO, LIMITS);
         let mut idle = connect(&server);
-        let silent = connect(&server);
+        let unused = connect(&server);
         idle.write_all(REQUEST).unwrap();
         wait_for("an idle connection", || server.connections.count(Phase::Idle) == 1).await;
         server.connections.close();
         assert!(read_without_reset(idle).await.ends_with("done"));
-        assert_eq!(read_without_reset(silent).await, "");
+        assert_eq!(read_without_reset(unused).await, "");
         wait_for("no open connection", || server.connections.is_empty()).await;
         assert_eq!(server.connections.accepted(), 2);
     });
@@ -110,9 +111,9 @@
         wait_for("an idle connection", || server.connections.count(Phase::Idle) == 1).await;
         server.connections.close_idle();
         assert!(read_without_reset(idle).await.ends_with("done"));
-        let mut new = connect(&server);
-        new.write_all(REQUEST).unwrap();
-        assert_answered(&read_without_reset(new).await);
+        let mut fresh = connect(&server);
+        fresh.write_all(REQUEST).unwrap();
+        assert_answered(&read_without_reset(fresh).await);
         assert!(server.serving.get());
     });
 }
--- a/components/net/tests/graceful_shutdown_requests.rs
+++ b/components/net/tests/graceful_shutdown_requests.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown during partial, pipelined and queued requests, at the connection limit and on a
-//! slow host.
+//! Graceful shutdown during partial, pipelined and queued requests, at the connection limit and on
+//! a slow host.
 
 // Measures elapsed time in a test.
 #![allow(clippy::disallowed_methods)]
@@ -86,8 +86,8 @@
     });
 }
 
-/// Bytes of pipelined requests that the server doesn't read must not reset the connection before the
-/// client has read the response.
+/// Bytes of pipelined requests that the server doesn't read must not reset the connection before
+/// the client has read the response.
 #[test]
 fn a_response_is_complete_despite_further_pipelined_requests() {
     net::block_on(|spawner| async move {
@@ -109,7 +109,8 @@
     });
 }
 
-/// A half-closed connection counts as disconnected, so that the tasks of departed clients stop at once.
+/// A half-closed connection counts as disconnected, so that the tasks of departed clients stop at
+/// once.
 #[test]
 fn a_half_closed_connection_counts_as_disconnected() {
     net::block_on(|spawner| async move {
@@ -123,8 +124,8 @@
     });
 }
 
-/// A client that stops sending within a request doesn't delay the shutdown. It gets a response if the
-/// head was complete.
+/// A client that stops sending within a request doesn't delay the shutdown. It gets a response if
+/// the head was complete.
 #[test]
 fn a_stalled_request_is_given_up_after_close() {
     net::block_on(|spawner| async move {
@@ -142,7 +143,8 @@
     });
 }
 
-/// Guards against a shutdown that ends between giving up a stalled request and writing its response.
+/// Guards against a shutdown that ends between giving up a stalled request and writing its
+/// response.
 #[test]
 fn a_stalled_request_counts_as_active_until_its_response_is_written() {
     net::block_on(|spawner| async move {
@@ -190,8 +192,8 @@
     });
 }
 
-/// Guards against a stop that completes before a busy executor has polled a connection with an unread
-/// request.
+/// Guards against a stop that completes before a busy executor has polled a connection with an
+/// unread request.
 #[test]
 fn an_unread_request_is_answered_before_the_stop_on_a_slow_host() {
     let (address_sender, address_receiver) = std::sync::mpsc::channel::<SocketAddr>();
--- a/components/net/tests/support/mod.rs
+++ b/components/net/tests/support/mod.rs
@@ -88,8 +88,8 @@
     stream
 }
 
-/// Reads until the connection ends, on another thread. Returns whether it ended without an error and
-/// the received text.
+/// Reads until the connection ends, on another thread. Returns whether it ended without an error
+/// and the received text.
 pub async fn read_to_end(mut stream: TcpStream) -> (bool, String) {
     let read = std::thread::spawn(move || {
         let mut text = String::new();
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -131,7 +131,8 @@
         self.sections.get_mut(path).ok_or_else(not_found)
     }
 
-    /// Checks that each kind's service has a section, so that a misspelled service name is an error.
+    /// Checks that each kind's service has a section, so that a misspelled service name is an
+    /// error.
     fn check_parents(&self) -> Result<(), SettingsError> {
         for path in self.sections.keys() {
             let Some(parent) = path.parent() else { continue };
