--- a/daemon/src/settings_link.rs
+++ b/daemon/src/settings_link.rs
@@ -55,7 +55,7 @@
             turn += 1;
             if let Ok(stream) = net::connect(keeper).await {
                 let NewClient { client, dispatch } =
-                    KeeperServiceClient::new(Config::default(), net::frames(stream));
+                    KeeperServiceClient::new(Config::default(), net::framed_transport(stream));
                 tasks.spawn_rpc(async move {
                     // The calls see why it ended.
                     let _ = dispatch.await;
@@ -97,7 +97,8 @@
             }
             PullReply::Delta { version, edits } => {
                 let Some((_, tree)) = &self.have else { return false };
-                let tree = edits.iter().try_fold(tree.clone(), |tree, edits| tree.with(edits));
+                let tree =
+                    edits.iter().try_fold(tree.clone(), |tree, edits| tree.with_edits(edits));
                 let Ok(tree) = tree else {
                     error!("settings: a delta of {} makes no valid tree", keeper);
                     self.have = None;
