--- a/components/membership/src/detector.rs
+++ b/components/membership/src/detector.rs
@@ -55,7 +55,7 @@
     /// Sends a message.
     Send(NodeName, Message),
     /// A node is taken for something else than before.
-    Changed(NodeName, Liveness),
+    LivenessChanged(NodeName, Liveness),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -289,7 +289,7 @@
         *member = Member { generation, status, dies };
         self.gossip.add(Update { node: name.clone(), generation, status });
         if changed {
-            out.push(Event::Changed(name.clone(), status));
+            out.push(Event::LivenessChanged(name.clone(), status));
         }
     }
 
--- a/components/membership/tests/detector.rs
+++ b/components/membership/tests/detector.rs
@@ -118,10 +118,10 @@
                     self.frames.push(Reverse((self.now + HOP, self.sequence)));
                     self.contents.insert(self.sequence, (from.clone(), to, message));
                 }
-                Event::Changed(node, Status::Dead) => {
+                Event::LivenessChanged(node, Status::Dead) => {
                     self.deaths.push((node, from.clone(), self.now));
                 }
-                Event::Changed(..) => {}
+                Event::LivenessChanged(..) => {}
             }
         }
     }
--- a/daemon/src/probe.rs
+++ b/daemon/src/probe.rs
@@ -143,7 +143,7 @@
         for event in events {
             match event {
                 Event::Send(to, message) => self.send(&to, message).await,
-                Event::Changed(node, liveness) => {
+                Event::LivenessChanged(node, liveness) => {
                     log_change(&self.name, &node, liveness);
                     self.subscribers.iter().for_each(|subscriber| subscriber(&node, liveness));
                 }
