--- a/components/membership/src/detector.rs
+++ b/components/membership/src/detector.rs
@@ -1,9 +1,10 @@
-//! A failure detector after SWIM: each node probes one other a period, asks others to probe in its
-//! place where no answer comes, suspects before it declares dead, and spreads news on the probes.
+//! SWIM failure detector (Das, Gupta, Motivala: SWIM, DSN 2002).
 //!
-//! The load of a node does not depend on how many there are. A suspected node refutes with a
-//! higher generation, so that a process that stood still for less than the suspicion time is
-//! never declared dead. (Das, Gupta, Motivala: SWIM, DSN 2002.)
+//! Each node probes one other node per period, asks other nodes for indirect probes if no
+//! acknowledgement arrives, marks the target as suspect before it declares it dead, and piggybacks
+//! membership updates on the probe messages. The load per node does not depend on the number of
+//! nodes. A suspected node refutes the suspicion with a higher generation, so a process that is
+//! paused for less than the suspicion timeout is never declared dead.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -16,45 +17,45 @@
 use crate::gossip::Gossip;
 use crate::{Message, Status, Update};
 
-/// Updates on one message, so that it fits a datagram.
-const UPDATES: usize = 6;
-/// Nodes asked to probe in one's place.
-const HELPERS: usize = 3;
-/// Times that an update is told by each node, over the logarithm of their number.
-const TOLD_FACTOR: u32 = 3;
+/// Maximum number of piggybacked updates per message, so that a message fits in a datagram.
+const MAX_UPDATES: usize = 6;
+/// Number of nodes that are asked for an indirect probe.
+const INDIRECT_PROBES: usize = 3;
+/// Each node sends an update this many times for each doubling of the number of nodes.
+const RETRANSMIT_FACTOR: u32 = 3;
 
-/// The detector's times.
+/// Probe intervals and timeouts.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// From one probe to the next.
+    /// Interval between two probes of a node.
     pub period: Duration,
-    /// From a probe to the asking of helpers.
-    pub direct: Duration,
-    /// Longest stall of a process that must cost nothing. From suspicion to death it takes this
-    /// and the time for a refutation to reach every node: a period for each doubling of their
-    /// number.
-    pub stall: Duration,
+    /// Time without an acknowledgement after which indirect probes are requested.
+    pub direct_timeout: Duration,
+    /// Longest pause of a process that must not get it declared dead. The suspicion timeout is this
+    /// value plus the time for a refutation to reach every node: one period for each doubling of
+    /// the number of nodes.
+    pub max_stall: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
             period: Duration::from_millis(500),
-            direct: Duration::from_millis(150),
-            stall: Duration::from_millis(3_500),
+            direct_timeout: Duration::from_millis(150),
+            max_stall: Duration::from_millis(3_500),
         }
     }
 }
 
-/// What a node is taken for.
+/// A node's status as seen by the local detector.
 pub type Liveness = Status;
 
-/// What the detector does.
+/// Output of the detector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Sends a message.
+    /// Send the message to the node.
     Send(NodeName, Message),
-    /// A node is taken for something else than before.
+    /// The liveness of the node changed to the given value.
     LivenessChanged(NodeName, Liveness),
 }
 
@@ -62,21 +63,21 @@
 struct Member {
     generation: u64,
     status: Status,
-    /// When a suspicion becomes death.
-    dies: Option<Time>,
+    /// When a suspected node is declared dead; `None` if it is not suspected.
+    dead_at: Option<Time>,
 }
 
-/// A probe that is not answered yet.
+/// A probe that has not been acknowledged yet.
 #[derive(Clone, Debug)]
 struct Probe {
     target: NodeName,
     number: u64,
-    /// When helpers are asked; none once they were.
-    helpers_at: Option<Time>,
-    ends: Time,
+    /// When indirect probes are sent; `None` after they were sent.
+    indirect_at: Option<Time>,
+    timeout_at: Time,
 }
 
-/// One node's view of all others.
+/// The state of the failure detector on one node.
 #[derive(Debug)]
 pub struct Detector {
     name: NodeName,
@@ -84,18 +85,20 @@
     timing: Timing,
     rng: ChaCha8Rng,
     members: BTreeMap<NodeName, Member>,
-    /// Whom to probe, in a shuffled round, so that each is probed once a round.
-    round: Vec<NodeName>,
+    /// Remaining probe targets of the current round, shuffled. Each member is probed once per
+    /// round.
+    probe_order: Vec<NodeName>,
     gossip: Gossip,
     probe: Option<Probe>,
     next_probe: Time,
-    numbers: u64,
-    /// Pings made for others: own number to (asker, asker's number).
-    errands: HashMap<u64, (NodeName, u64)>,
+    last_number: u64,
+    /// Pings sent on behalf of other nodes: own ping number to (requester, its ping number).
+    relayed_pings: HashMap<u64, (NodeName, u64)>,
 }
 
 impl Detector {
-    /// A detector of a node in a life; `generation` is higher in each life, `seed` any number.
+    /// Creates the detector of the node `name`. `generation` must be higher at every start of the
+    /// node; `seed` initializes the random choice of probe targets.
     pub fn new(name: NodeName, generation: u64, seed: u64, timing: Timing, now: Time) -> Self {
         Self {
             name,
@@ -103,48 +106,48 @@
             timing,
             rng: ChaCha8Rng::seed_from_u64(seed),
             members: BTreeMap::new(),
-            round: Vec::new(),
+            probe_order: Vec::new(),
             gossip: Gossip::default(),
             probe: None,
             next_probe: now,
-            numbers: 0,
-            errands: HashMap::new(),
+            last_number: 0,
+            relayed_pings: HashMap::new(),
         }
     }
 
-    /// Sets who may exist; those that are no longer named are forgotten.
+    /// Replaces the set of monitored nodes. State of nodes that are no longer listed is dropped.
     pub fn set_members(&mut self, names: impl Iterator<Item = NodeName>) {
         let mut old = std::mem::take(&mut self.members);
         for name in names.filter(|name| *name != self.name) {
-            let fresh = Member { generation: 0, status: Status::Alive, dies: None };
-            let member = old.remove(&name).unwrap_or(fresh);
+            let initial = Member { generation: 0, status: Status::Alive, dead_at: None };
+            let member = old.remove(&name).unwrap_or(initial);
             self.members.insert(name, member);
         }
-        self.round.clear();
+        self.probe_order.clear();
     }
 
-    /// What a node is taken for; `None` for one that is not named.
+    /// Returns the liveness of a node, or `None` if it is not monitored.
     pub fn liveness(&self, name: &NodeName) -> Option<Liveness> {
         self.members.get(name).map(|member| member.status)
     }
 
-    /// A direct sign of life, such as an answer on another way.
-    pub fn heard(&mut self, now: Time, name: &NodeName, out: &mut Vec<Event>) {
+    /// Records a message from a node on any channel, which ends a suspicion.
+    pub fn record_contact(&mut self, now: Time, name: &NodeName, out: &mut Vec<Event>) {
         let Some(generation) = self.members.get(name).map(|member| member.generation) else {
             return;
         };
         if self.liveness(name) == Some(Status::Suspect) {
-            self.set(now, name, generation, Status::Alive, out);
+            self.set_status(now, name, generation, Status::Alive, out);
         }
     }
 
-    /// Takes a message.
+    /// Handles a message of another node.
     pub fn handle(&mut self, now: Time, from: &NodeName, message: Message, out: &mut Vec<Event>) {
         for update in message.updates() {
-            self.learn(now, update, out);
+            self.apply_update(now, update, out);
         }
         self.reply(from, message, out);
-        self.heard(now, from, out);
+        self.record_contact(now, from, out);
     }
 
     fn reply(&mut self, from: &NodeName, message: Message, out: &mut Vec<Event>) {
@@ -154,52 +157,55 @@
                 out.push(Event::Send(from.clone(), Message::Ack { number, updates }));
             }
             Message::PingFor { number, target, .. } => {
-                let own = self.next_number();
-                self.errands.insert(own, (from.clone(), number));
+                let relay_number = self.next_number();
+                self.relayed_pings.insert(relay_number, (from.clone(), number));
                 let updates = self.updates_for(&target);
-                out.push(Event::Send(target, Message::Ping { number: own, updates }));
+                out.push(Event::Send(target, Message::Ping { number: relay_number, updates }));
             }
-            Message::Ack { number, .. } => self.acked(number, out),
+            Message::Ack { number, .. } => self.handle_ack(number, out),
         }
     }
 
-    fn acked(&mut self, number: u64, out: &mut Vec<Event>) {
-        if let Some((asker, asked)) = self.errands.remove(&number) {
-            let updates = self.updates_for(&asker);
-            return out.push(Event::Send(asker, Message::Ack { number: asked, updates }));
+    fn handle_ack(&mut self, number: u64, out: &mut Vec<Event>) {
+        if let Some((requester, request_number)) = self.relayed_pings.remove(&number) {
+            let updates = self.updates_for(&requester);
+            return out
+                .push(Event::Send(requester, Message::Ack { number: request_number, updates }));
         }
         if self.probe.as_ref().is_some_and(|probe| probe.number == number) {
             self.probe = None;
         }
     }
 
-    /// Lets time pass.
+    /// Runs all actions that are due at `now`.
     pub fn tick(&mut self, now: Time, out: &mut Vec<Event>) {
-        self.bury(now, out);
-        self.ask_helpers(now, out);
-        if self.probe.as_ref().is_some_and(|probe| probe.ends <= now) {
-            self.suspect_probed(now, out);
+        self.expire_suspicions(now, out);
+        self.send_indirect_probes(now, out);
+        if self.probe.as_ref().is_some_and(|probe| probe.timeout_at <= now) {
+            self.suspect_probe_target(now, out);
         }
         if self.next_probe <= now {
             self.next_probe = now + self.timing.period;
-            self.errands.clear();
-            self.probe_next(now, out);
+            self.relayed_pings.clear();
+            self.send_next_probe(now, out);
         }
     }
 
-    /// When the next tick is due.
+    /// Returns the time at which [`Detector::tick`] must be called next.
     pub fn next_timer(&self) -> Time {
         let probe = self.probe.as_ref();
-        let helpers = probe.and_then(|probe| probe.helpers_at);
-        let ends = probe.map(|probe| probe.ends);
-        let deaths = self.members.values().filter_map(|member| member.dies);
-        let due = deaths.chain(helpers).chain(ends).min();
+        let indirect = probe.and_then(|probe| probe.indirect_at);
+        let timeout_at = probe.map(|probe| probe.timeout_at);
+        let dead_times = self.members.values().filter_map(|member| member.dead_at);
+        let due = dead_times.chain(indirect).chain(timeout_at).min();
         due.map_or(self.next_probe, |due| due.min(self.next_probe))
     }
 
-    /// Suspected nodes that did not refute it are dead.
-    fn bury(&mut self, now: Time, out: &mut Vec<Event>) {
-        let due = |(_, member): &(&NodeName, &Member)| member.dies.is_some_and(|dies| dies <= now);
+    /// Declares nodes dead whose suspicion timed out without a refutation.
+    fn expire_suspicions(&mut self, now: Time, out: &mut Vec<Event>) {
+        let due = |(_, member): &(&NodeName, &Member)| {
+            member.dead_at.is_some_and(|dead_at| dead_at <= now)
+        };
         let dead: Vec<(NodeName, u64)> = self
             .members
             .iter()
@@ -207,35 +213,35 @@
             .map(|(name, member)| (name.clone(), member.generation))
             .collect();
         for (name, generation) in dead {
-            self.set(now, &name, generation, Status::Dead, out);
+            self.set_status(now, &name, generation, Status::Dead, out);
         }
     }
 
-    fn probe_next(&mut self, now: Time, out: &mut Vec<Event>) {
-        if self.round.is_empty() {
-            self.round = self.members.keys().cloned().collect();
-            self.round.shuffle(&mut self.rng);
+    fn send_next_probe(&mut self, now: Time, out: &mut Vec<Event>) {
+        if self.probe_order.is_empty() {
+            self.probe_order = self.members.keys().cloned().collect();
+            self.probe_order.shuffle(&mut self.rng);
         }
-        let Some(target) = self.round.pop() else { return };
+        let Some(target) = self.probe_order.pop() else { return };
         let number = self.next_number();
         self.probe = Some(Probe {
             target: target.clone(),
             number,
-            helpers_at: Some(now + self.timing.direct),
-            ends: now + self.timing.period,
+            indirect_at: Some(now + self.timing.direct_timeout),
+            timeout_at: now + self.timing.period,
         });
         let updates = self.updates_for(&target);
         out.push(Event::Send(target, Message::Ping { number, updates }));
     }
 
-    fn ask_helpers(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn send_indirect_probes(&mut self, now: Time, out: &mut Vec<Event>) {
         let Some(probe) = &mut self.probe else { return };
-        if probe.helpers_at.is_none_or(|at| at > now) {
+        if probe.indirect_at.is_none_or(|at| at > now) {
             return;
         }
-        probe.helpers_at = None;
+        probe.indirect_at = None;
         let (target, number) = (probe.target.clone(), probe.number);
-        for _ in 0..HELPERS.min(self.members.len().saturating_sub(1)) {
+        for _ in 0..INDIRECT_PROBES.min(self.members.len().saturating_sub(1)) {
             let pick = self.rng.random_range(0..self.members.len());
             let Some(helper) = self.members.keys().nth(pick).cloned() else { continue };
             if helper != target {
@@ -246,26 +252,26 @@
         }
     }
 
-    fn suspect_probed(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn suspect_probe_target(&mut self, now: Time, out: &mut Vec<Event>) {
         let Some(probe) = self.probe.take() else { return };
         let Some(member) = self.members.get(&probe.target).copied() else { return };
         if member.status == Status::Alive {
-            self.set(now, &probe.target, member.generation, Status::Suspect, out);
+            self.set_status(now, &probe.target, member.generation, Status::Suspect, out);
         }
     }
 
-    /// Takes news of a node, unless something newer is known.
-    fn learn(&mut self, now: Time, update: &Update, out: &mut Vec<Event>) {
+    /// Applies an update about a node unless the known state is newer.
+    fn apply_update(&mut self, now: Time, update: &Update, out: &mut Vec<Event>) {
         if update.node == self.name {
             return self.refute(update);
         }
         let Some(member) = self.members.get(&update.node) else { return };
-        if update.beats(member.generation, member.status) {
-            self.set(now, &update.node, update.generation, update.status, out);
+        if update.supersedes(member.generation, member.status) {
+            self.set_status(now, &update.node, update.generation, update.status, out);
         }
     }
 
-    /// Bad news of this node itself: a higher generation says that it lives.
+    /// Refutes a suspicion of the local node by announcing a higher generation.
     fn refute(&mut self, update: &Update) {
         if update.status != Status::Alive {
             self.generation = self.generation.max(update.generation + 1);
@@ -274,7 +280,7 @@
         }
     }
 
-    fn set(
+    fn set_status(
         &mut self,
         now: Time,
         name: &NodeName,
@@ -285,8 +291,8 @@
         let spread = self.timing.period * (self.members.len().max(1).ilog2() + 1);
         let Some(member) = self.members.get_mut(name) else { return };
         let changed = member.status != status;
-        let dies = (status == Status::Suspect).then(|| now + self.timing.stall + spread);
-        *member = Member { generation, status, dies };
+        let dead_at = (status == Status::Suspect).then(|| now + self.timing.max_stall + spread);
+        *member = Member { generation, status, dead_at };
         self.gossip.add(Update { node: name.clone(), generation, status });
         if changed {
             out.push(Event::LivenessChanged(name.clone(), status));
@@ -294,15 +300,16 @@
     }
 
     fn next_number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// News for a message. A node that is not taken for alive is always told so, that it may
-    /// refute it: it may have missed all that was spread.
+    /// Returns the updates to piggyback on a message to `to`. If that node is not considered alive,
+    /// its own status is always included so that it can refute it, even if it missed the earlier
+    /// updates.
     fn updates_for(&mut self, to: &NodeName) -> Vec<Update> {
         let nodes = self.members.len().max(1) as u32;
-        let mut updates = self.gossip.take(UPDATES, TOLD_FACTOR * (nodes.ilog2() + 1));
+        let mut updates = self.gossip.take(MAX_UPDATES, RETRANSMIT_FACTOR * (nodes.ilog2() + 1));
         if let Some(member) = self.members.get(to).filter(|m| m.status != Status::Alive) {
             let (node, generation) = (to.clone(), member.generation);
             updates.push(Update { node, generation, status: member.status });
--- a/components/membership/src/gossip.rs
+++ b/components/membership/src/gossip.rs
@@ -1,59 +1,62 @@
-//! News of nodes, spread on messages that flow anyway.
+//! Dissemination of membership updates, piggybacked on probe messages.
 
 use model::NodeName;
 use serde::{Deserialize, Serialize};
 
-/// What is said of a node.
+/// Status of a node in the failure detector, ordered by precedence within a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Status {
-    /// It answers.
+    /// The node answers probes.
     Alive,
-    /// It did not answer, and may refute it.
+    /// The node did not answer a probe and may still refute the suspicion.
     Suspect,
-    /// It did not refute it in time.
+    /// The node did not refute the suspicion before the timeout.
     Dead,
 }
 
-/// News of one node.
+/// A status update about one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The node.
+    /// The node that the update is about.
     pub node: NodeName,
-    /// Counted up by the node itself, at its start and to refute a suspicion.
+    /// Incarnation number, incremented only by the node itself: at its start and to refute a
+    /// suspicion.
     pub generation: u64,
-    /// What is said of it.
+    /// The announced status.
     pub status: Status,
 }
 
 impl Update {
-    /// Whether this is newer than what is known: a higher generation, or worse news of the same.
-    pub fn beats(&self, generation: u64, status: Status) -> bool {
+    /// Whether this update takes precedence over the known state: it has a higher generation, or
+    /// the same generation and a worse status.
+    pub fn supersedes(&self, generation: u64, status: Status) -> bool {
         (self.generation, self.status) > (generation, status)
     }
 }
 
-/// Updates to be spread, those told least often first.
+/// Queue of updates with their transmission counts; those sent least often go first.
 #[derive(Debug, Default)]
 pub(crate) struct Gossip {
     queue: Vec<(u32, Update)>,
 }
 
 impl Gossip {
-    /// Adds an update; an older one of the same node is dropped.
+    /// Enqueues an update, replacing a queued one about the same node.
     pub fn add(&mut self, update: Update) {
         self.queue.retain(|(_, queued)| queued.node != update.node);
         self.queue.push((0, update));
     }
 
-    /// Takes up to `count` updates for a message; each is told `times` times in all.
-    pub fn take(&mut self, count: usize, times: u32) -> Vec<Update> {
-        self.queue.sort_by_key(|(told, _)| *told);
+    /// Returns up to `count` updates for a message. An update is dropped from the queue after
+    /// `times` transmissions.
+    pub fn take(&mut self, count: usize, max_transmissions: u32) -> Vec<Update> {
+        self.queue.sort_by_key(|(sent, _)| *sent);
         let taken: Vec<Update> =
             self.queue.iter().take(count).map(|(_, update)| update.clone()).collect();
-        for (told, _) in self.queue.iter_mut().take(count) {
-            *told += 1;
+        for (sent, _) in self.queue.iter_mut().take(count) {
+            *sent += 1;
         }
-        self.queue.retain(|(told, _)| *told < times);
+        self.queue.retain(|(sent, _)| *sent < max_transmissions);
         taken
     }
 }
--- a/components/membership/src/list.rs
+++ b/components/membership/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, as INI: one section a node.
+//! The platform's host list, parsed from INI with one section per node.
 //!
 //! ```ini
 //! [a1]
@@ -9,7 +9,8 @@
 //! state = live
 //! ```
 //!
-//! The list lags. It names who may exist and who is leaving; who lives is found out by talking.
+//! The list is eventually consistent. It defines which nodes may exist and which are leaving;
+//! liveness is determined by the failure detector.
 
 use std::net::SocketAddr;
 
@@ -17,47 +18,47 @@
 use serde::{Deserialize, Serialize};
 use settings::{Key, SettingsError, Value, ValueType, parse_ini};
 
-/// What a node does.
+/// Role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Takes requests.
+    /// Accepts client requests and dispatches their tasks.
     Entry,
-    /// Starts tasks on its target.
+    /// Starts tasks on the target of its host.
     Agent,
-    /// Keeps the settings tree.
+    /// Replicates the settings tree.
     Keeper,
 }
 
-/// What the platform says of a host.
+/// Lifecycle state of a host as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HostState {
-    /// It is there.
+    /// The host is in service.
     Live,
-    /// It is being taken away.
+    /// The host is being decommissioned.
     Leaving,
 }
 
-/// One node on the list.
+/// An entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name.
+    /// Unique name of the node.
     pub name: NodeName,
-    /// What it does.
+    /// Role of the node.
     pub role: Role,
-    /// Where other dockpass processes reach it.
+    /// Address at which other dockpass processes reach the node.
     pub address: SocketAddr,
-    /// Its data hall.
+    /// Data hall of the host.
     pub hall: String,
-    /// Its rack.
+    /// Rack of the host.
     pub rack: String,
-    /// What the platform says of it.
+    /// State reported by the platform.
     pub state: HostState,
 }
 
-/// The list.
+/// The platform's host list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// The nodes, by name.
+    /// The nodes, sorted by name.
     pub hosts: Vec<Host>,
 }
 
@@ -66,26 +67,26 @@
         name: "role",
         value_type: ValueType::Choice(&["entry", "agent", "keeper"]),
         default: "agent",
-        help: "What the node does.",
+        help: "Role of the node.",
     },
     Key {
         name: "address",
         value_type: ValueType::Address,
         default: "",
-        help: "Where other dockpass processes reach it.",
+        help: "Address at which other dockpass processes reach the node.",
     },
-    Key { name: "hall", value_type: ValueType::Text, default: "", help: "Its data hall." },
-    Key { name: "rack", value_type: ValueType::Text, default: "", help: "Its rack." },
+    Key { name: "hall", value_type: ValueType::Text, default: "", help: "Data hall of the host." },
+    Key { name: "rack", value_type: ValueType::Text, default: "", help: "Rack of the host." },
     Key {
         name: "state",
         value_type: ValueType::Choice(&["live", "leaving"]),
         default: "live",
-        help: "What the platform says of it.",
+        help: "State of the host as reported by the platform.",
     },
 ];
 
 impl HostList {
-    /// Reads the list from INI text.
+    /// Parses the list from INI text. The error names the section and key that are invalid.
     pub fn from_ini(text: &str) -> Result<Self, SettingsError> {
         let mut hosts = Vec::new();
         for (name, section) in parse_ini(text)? {
@@ -93,37 +94,37 @@
             if let Some(key) = unknown {
                 return Err(SettingsError::key(&name, key, "unknown key"));
             }
-            let value = |key: &str| read(&name, key, section.get(key).map(String::as_str));
+            let value = |key: &str| read_value(&name, key, section.get(key).map(String::as_str));
             hosts.push(Host {
-                role: role(value("role")?.text()),
+                role: parse_role(value("role")?.text()),
                 address: value("address")?.address(),
                 hall: value("hall")?.text().to_owned(),
                 rack: value("rack")?.text().to_owned(),
-                state: state(value("state")?.text()),
+                state: parse_state(value("state")?.text()),
                 name: NodeName::new(&name),
             });
         }
         Ok(Self { hosts })
     }
 
-    /// The list as INI text; reads back to an equal list.
+    /// Formats the list as INI text that [`HostList::from_ini`] parses to an equal list.
     pub fn to_ini(&self) -> String {
-        self.hosts.iter().map(section).collect()
+        self.hosts.iter().map(format_section).collect()
     }
 
-    /// The nodes of a role.
+    /// Iterates over the nodes with the given role.
     pub fn of_role(&self, role: Role) -> impl Iterator<Item = &Host> {
         self.hosts.iter().filter(move |host| host.role == role)
     }
 }
 
-fn read(section: &str, name: &str, text: Option<&str>) -> Result<Value, SettingsError> {
-    let key = Key::find(KEYS, name).expect("a key of the list");
+fn read_value(section: &str, name: &str, text: Option<&str>) -> Result<Value, SettingsError> {
+    let key = Key::find(KEYS, name).expect("the key is defined in KEYS");
     let text = text.unwrap_or(key.default);
     key.read(text).map_err(|reason| SettingsError::key(section, name, reason))
 }
 
-fn role(word: &str) -> Role {
+fn parse_role(word: &str) -> Role {
     match word {
         "entry" => Role::Entry,
         "keeper" => Role::Keeper,
@@ -131,14 +132,14 @@
     }
 }
 
-fn state(word: &str) -> HostState {
+fn parse_state(word: &str) -> HostState {
     match word {
         "leaving" => HostState::Leaving,
         _ => HostState::Live,
     }
 }
 
-fn section(host: &Host) -> String {
+fn format_section(host: &Host) -> String {
     let role = match host.role {
         Role::Entry => "entry",
         Role::Agent => "agent",
@@ -162,7 +163,7 @@
                         [e1]\nrole = entry\naddress = 127.0.0.1:7300\nstate = leaving\n";
 
     #[test]
-    fn the_list_reads_back() {
+    fn host_list_round_trips_through_ini() {
         let list = HostList::from_ini(LIST).unwrap();
         assert_eq!(list.of_role(Role::Agent).count(), 1);
         assert_eq!(list.hosts[1].state, HostState::Leaving);
@@ -170,7 +171,7 @@
     }
 
     #[test]
-    fn a_bad_list_names_the_node_and_key() {
+    fn invalid_address_error_names_node_and_key() {
         let error = HostList::from_ini("[a1]\naddress = here\n").unwrap_err();
         assert_eq!(error.to_string(), "[a1] address: 'here' is not IP:PORT");
     }
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,14 +1,14 @@
-//! Which hosts exist, live and leave.
+//! Host membership: which hosts exist, are alive or are leaving.
 //!
-//! The platform's list ([`HostList`]) names who may exist and who is leaving, and lags. Who lives
-//! is found out by [`Detector`], after direct signs such as answers and broken connections.
+//! [`HostList`] holds the platform's list of hosts that may exist and hosts that are leaving; it
+//! may be out of date. [`Detector`] determines which nodes are alive.
 
 mod detector;
 mod gossip;
-mod list;
-mod probe;
+mod host_list;
+mod message;
 
 pub use detector::{Detector, Event, Liveness, Timing};
 pub use gossip::{Status, Update};
-pub use list::{Host, HostList, HostState, Role};
-pub use probe::Message;
+pub use host_list::{Host, HostList, HostState, Role};
+pub use message::Message;
