--- a/components/subset/src/lib.rs
+++ b/components/subset/src/lib.rs
@@ -5,9 +5,9 @@
 //! live: every agent chooses for itself, needs to know no other agent, and the loss of an entry moves
 //! only the agents that served it.
 //!
-//! No clock or socket in here: [`Subset::listed`] and [`Subset::chosen`] take a time.
+//! No clock or socket in here: [`Subset::update_registered`] and [`Subset::select`] take a time.
 
 mod steady;
 mod subset;
 
-pub use subset::{Sizes, Subset};
+pub use subset::{Subset, SubsetSizes};
--- a/components/subset/src/subset.rs
+++ b/components/subset/src/subset.rs
@@ -11,14 +11,14 @@
 
 /// How many sessions there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sizes {
+pub struct SubsetSizes {
     /// Entries that an agent serves at least, where there are so many.
     pub entries_of_agent: usize,
     /// Agents of its service that an entry is served by at least, on the mean.
     pub agents_of_entry: usize,
 }
 
-impl Default for Sizes {
+impl Default for SubsetSizes {
     fn default() -> Self {
         Self { entries_of_agent: 6, agents_of_entry: 28 }
     }
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct Subset {
     own: NodeName,
-    sizes: Sizes,
+    sizes: SubsetSizes,
     entries: BTreeMap<SocketAddr, Listed>,
     /// Agents of the same service, this one included.
     agents: usize,
@@ -51,13 +51,13 @@
 
 impl Subset {
     /// The choice of an agent that knows no entry yet.
-    pub fn new(own: NodeName, sizes: Sizes) -> Self {
+    pub fn new(own: NodeName, sizes: SubsetSizes) -> Self {
         let count = Steady::new(sizes.entries_of_agent);
         Self { own, sizes, entries: BTreeMap::new(), agents: 1, count }
     }
 
     /// The entries that keepers list now, and how many agents of the service are registered.
-    pub fn listed<'a>(
+    pub fn update_registered<'a>(
         &mut self,
         now: Time,
         entries: impl IntoIterator<Item = (&'a NodeName, SocketAddr)>,
@@ -73,7 +73,7 @@
     }
 
     /// The entries that the agent is to serve now, in the order of their addresses.
-    pub fn chosen(&mut self, now: Time) -> Vec<SocketAddr> {
+    pub fn select(&mut self, now: Time) -> Vec<SocketAddr> {
         self.entries.retain(|_, listed| listed.absent.is_none_or(|at| now.since(at) < ABSENCE));
         let count = self.count(now);
         let mut ranked: Vec<(u64, SocketAddr)> = self
@@ -89,7 +89,7 @@
     }
 
     /// Whether some keeper lists an entry, or has listed it lately.
-    pub fn knows(&self, address: SocketAddr) -> bool {
+    pub fn contains(&self, address: SocketAddr) -> bool {
         self.entries.contains_key(&address)
     }
 
--- a/components/subset/tests/subset.rs
+++ b/components/subset/tests/subset.rs
@@ -6,7 +6,7 @@
 
 use model::{NodeName, Time};
 use proptest::prelude::*;
-use subset::{Sizes, Subset};
+use subset::{Subset, SubsetSizes};
 
 const START: Time = Time::from_millis(1_000_000);
 
@@ -20,11 +20,11 @@
 }
 
 fn tell(subset: &mut Subset, now: Time, entries: &[(NodeName, SocketAddr)], agents: usize) {
-    subset.listed(now, entries.iter().map(|(name, address)| (name, *address)), agents);
+    subset.update_registered(now, entries.iter().map(|(name, address)| (name, *address)), agents);
 }
 
 fn agent(number: usize) -> Subset {
-    Subset::new(NodeName::new(&format!("agent-{number}")), Sizes::default())
+    Subset::new(NodeName::new(&format!("agent-{number}")), SubsetSizes::default())
 }
 
 /// What all agents choose once everything has settled.
@@ -34,9 +34,9 @@
         for second in 0..4 {
             let now = START + Duration::from_secs(second);
             tell(&mut subset, now, entries, agents);
-            subset.chosen(now);
+            subset.select(now);
         }
-        subset.chosen(START + Duration::from_secs(4)).into_iter().collect()
+        subset.select(START + Duration::from_secs(4)).into_iter().collect()
     };
     (0..agents).map(choose).collect()
 }
@@ -90,11 +90,11 @@
     for (step, (listed, agents)) in [(3, 1), (20, 4), (40, 30), (51, 90)].into_iter().enumerate() {
         let now = START + Duration::from_millis(300 * step as u64);
         tell(&mut subset, now, &all[..listed], agents);
-        assert!(subset.chosen(now).len() <= 6, "step {step}");
+        assert!(subset.select(now).len() <= 6, "step {step}");
     }
     let later = START + Duration::from_secs(6);
     tell(&mut subset, later, &all, 240);
-    assert_eq!(subset.chosen(later).len(), 6);
+    assert_eq!(subset.select(later).len(), 6);
 }
 
 /// Keepers that have just started list only whoever has registered since.
@@ -103,13 +103,13 @@
     let all = entries(51);
     let mut subset = agent(1);
     tell(&mut subset, START, &all, 240);
-    let before = subset.chosen(START);
+    let before = subset.select(START);
     let restarted = START + Duration::from_secs(10);
     tell(&mut subset, restarted, &all[..2], 5);
-    assert_eq!(subset.chosen(restarted), before);
+    assert_eq!(subset.select(restarted), before);
     let second_later = restarted + Duration::from_secs(1);
     tell(&mut subset, second_later, &all, 240);
-    assert_eq!(subset.chosen(second_later + Duration::from_secs(5)), before);
+    assert_eq!(subset.select(second_later + Duration::from_secs(5)), before);
 }
 
 #[test]
@@ -117,16 +117,16 @@
     let all = entries(51);
     let mut subset = agent(1);
     tell(&mut subset, START, &all, 240);
-    let before = subset.chosen(START);
+    let before = subset.select(START);
     let lost = before[0];
     let left: Vec<_> = all.iter().filter(|(_, address)| *address != lost).cloned().collect();
     tell(&mut subset, START, &left, 240);
-    assert_eq!(subset.chosen(START + Duration::from_secs(2)), before, "it may be restarting");
-    let without = subset.chosen(START + Duration::from_secs(3));
+    assert_eq!(subset.select(START + Duration::from_secs(2)), before, "it may be restarting");
+    let without = subset.select(START + Duration::from_secs(3));
     assert_eq!(without.len(), 6);
     assert_eq!(without.iter().filter(|address| before.contains(address)).count(), 5);
     tell(&mut subset, START + Duration::from_secs(9), &all, 240);
-    assert_eq!(subset.chosen(START + Duration::from_secs(9)), before);
+    assert_eq!(subset.select(START + Duration::from_secs(9)), before);
 }
 
 proptest! {
@@ -147,7 +147,7 @@
             let mut subset = agent(number);
             // So many agents that the least number of entries is enough.
             tell(&mut subset, START, listed, 2_000);
-            subset.chosen(START).into_iter().collect()
+            subset.select(START).into_iter().collect()
         };
         let (with, without) = (choose(&all), choose(&left));
         prop_assert!(with.difference(&without).count() <= 1);
--- a/daemon/src/capacity/agent_sessions.rs
+++ b/daemon/src/capacity/agent_sessions.rs
@@ -45,7 +45,7 @@
     pub(super) fn update_entries(self: &Rc<Self>, nodes: &[NodeInfo], agents: usize) {
         let listed = nodes.iter().filter(|node| node.role == NodeRole::Entry);
         let listed = listed.map(|node| (&node.name, node.address));
-        self.subset.borrow_mut().listed(self.clock.now(), listed, agents);
+        self.subset.borrow_mut().update_registered(self.clock.now(), listed, agents);
         self.update_selection();
     }
 
@@ -53,7 +53,7 @@
     /// selected.
     fn update_selection(self: &Rc<Self>) {
         let now = self.clock.now();
-        let selected = self.subset.borrow_mut().chosen(now);
+        let selected = self.subset.borrow_mut().select(now);
         for address in &selected {
             self.select_entry(now, *address);
         }
@@ -79,7 +79,7 @@
         let subset = self.subset.borrow();
         let mut contacts = self.contacts.borrow_mut();
         let others = contacts.iter_mut().filter(|(address, contact)| {
-            contact.selected && !selected.contains(address) && subset.knows(**address)
+            contact.selected && !selected.contains(address) && subset.contains(**address)
         });
         let deselect = |(_, contact): (&SocketAddr, &mut EntryContact)| {
             contact.selected = false;
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -10,7 +10,7 @@
 use membership::Role;
 use model::NodeName;
 use settings::{SettingsError, Value, parse_ini};
-use subset::Sizes;
+use subset::SubsetSizes;
 use thiserror::Error;
 
 pub use keys::print_reference;
@@ -110,7 +110,7 @@
     /// After this a task that the target does not answer is given up.
     pub stuck: Duration,
     /// With room: how many entries it serves.
-    pub sizes: Sizes,
+    pub sizes: SubsetSizes,
     /// With room: the longest lease that the target grants.
     pub longest_lease: Duration,
 }
@@ -258,7 +258,7 @@
     let slots = sections.value(AGENT, "slots")?.integer();
     let stuck = sections.value(AGENT, "stuck_ms")?.integer();
     let longest_lease = sections.value(AGENT, "longest_lease_ms")?.integer();
-    let sizes = Sizes {
+    let sizes = SubsetSizes {
         entries_of_agent: sections.value(AGENT, "entries_served")?.integer() as usize,
         agents_of_entry: sections.value(AGENT, "agents_of_entry")?.integer() as usize,
     };
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -9,7 +9,7 @@
 use clap::{Arg, ArgAction, Command, value_parser};
 use soak::{Cut, KeeperSummary, Load, RoomTimes, Surge, Work, play_load};
 use soak::{Options, RoomSummary, Summary, Violation, run, run_keepers, run_room};
-use subset::Sizes;
+use subset::SubsetSizes;
 
 /// How often progress is shown, in runs.
 const SHOW_EVERY: u64 = 5_000;
@@ -134,8 +134,10 @@
         seed: get("first"),
         entries: get("entries") as usize,
         agents: get("agents") as usize,
-        sizes: (serves > 0)
-            .then(|| Sizes { entries_of_agent: serves, agents_of_entry: get("least") as usize }),
+        sizes: (serves > 0).then(|| SubsetSizes {
+            entries_of_agent: serves,
+            agents_of_entry: get("least") as usize,
+        }),
         work,
         usage: part("usage"),
         span,
--- a/soak/src/room/load.rs
+++ b/soak/src/room/load.rs
@@ -11,7 +11,7 @@
 use model::{JobId, NodeName, Resources, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use subset::{Sizes, Subset};
+use subset::{Subset, SubsetSizes};
 use wire::Document;
 
 use super::RoomTimes;
@@ -122,7 +122,7 @@
     /// How many agents, each with a target.
     pub agents: usize,
     /// How many entries an agent serves; all of them where none is given.
-    pub sizes: Option<Sizes>,
+    pub sizes: Option<SubsetSizes>,
     /// What callers ask for.
     pub work: Work,
     /// What part of all room jobs take on the mean.
@@ -245,9 +245,9 @@
     let choose = |agent: usize| {
         let mut subset = Subset::new(NodeName::new(&format!("agent-{agent}")), sizes);
         let listed = names.iter().enumerate().map(|(entry, name)| (name, address(entry)));
-        subset.listed(START, listed, load.agents);
-        subset.chosen(START);
-        let settled = subset.chosen(START + WARM_UP);
+        subset.update_registered(START, listed, load.agents);
+        subset.select(START);
+        let settled = subset.select(START + WARM_UP);
         settled.into_iter().map(|address| usize::from(address.port())).collect()
     };
     (0..load.agents).map(choose).collect()
--- a/soak/tests/load.rs
+++ b/soak/tests/load.rs
@@ -4,7 +4,7 @@
 
 use dispatch::Policy;
 use soak::{Cut, Load, LoadResult, RoomTimes, SlowLinks, Surge, Work, play_load};
-use subset::Sizes;
+use subset::SubsetSizes;
 
 const ENTRIES: usize = 20;
 const AGENTS: usize = 90;
@@ -15,7 +15,7 @@
         seed: 1,
         entries: ENTRIES,
         agents: AGENTS,
-        sizes: Some(Sizes::default()),
+        sizes: Some(SubsetSizes::default()),
         work: Work::LARGE_TASKS,
         usage: 0.6,
         span: Duration::from_secs(2),
