--- a/components/subset/src/lib.rs
+++ b/components/subset/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which entries an agent keeps sessions with.
+//! Selects the entries with which an agent keeps sessions.
 //!
-//! With a session between each entry and each agent, heartbeats and loads grow with entries times
-//! agents. So each agent serves only some entries, chosen by rendezvous hashing over the entries that
-//! live: every agent chooses for itself, needs to know no other agent, and the loss of an entry moves
-//! only the agents that served it.
+//! With a session between every entry and every agent, heartbeat and load traffic would grow with
+//! the product of their numbers. Each agent therefore serves a subset of the live entries, selected
+//! by rendezvous hashing. Agents need no coordination, and the loss of an entry affects only the
+//! agents that served it.
 //!
-//! No clock or socket in here: [`Subset::update_registered`] and [`Subset::select`] take a time.
+//! This crate uses neither clock nor sockets: the caller passes the current time to
+//! [`Subset::update_registered`] and [`Subset::select`].
 
-mod steady;
+mod debounce;
 mod subset;
 
 pub use subset::{Subset, SubsetSizes};
--- a/components/subset/src/subset.rs
+++ b/components/subset/src/subset.rs
@@ -1,4 +1,4 @@
-//! The choice of one agent.
+//! Subset selection of one agent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,14 +7,14 @@
 use model::{NodeName, Time};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::steady::Steady;
+use crate::debounce::DebouncedCount;
 
-/// How many sessions there are.
+/// Minimum numbers of sessions per agent and per entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSizes {
-    /// Entries that an agent serves at least, where there are so many.
+    /// Minimum number of entries that an agent serves, if that many are registered.
     pub entries_of_agent: usize,
-    /// Agents of its service that an entry is served by at least, on the mean.
+    /// Minimum mean number of agents of a service that serve an entry.
     pub agents_of_entry: usize,
 }
 
@@ -24,39 +24,41 @@
     }
 }
 
-/// An entry that no keeper lists is still counted for so long: keepers that have just started list
-/// only whoever has registered since, and every node does so within a second.
-const ABSENCE: Duration = Duration::from_secs(3);
-/// How long other sizes have to hold before an agent serves more or fewer entries: longer than nodes
-/// that start together, or keepers, take until all are counted.
-const SETTLED: Duration = Duration::from_secs(2);
+/// Grace period for which an entry stays a candidate after the keepers stopped listing it. A
+/// restarted keeper lists only nodes that have registered since, and every node registers within a
+/// second.
+const ABSENCE_GRACE: Duration = Duration::from_secs(3);
+/// Time for which the required subset size has to stay above or below the current size before the
+/// current size changes. It is longer than all nodes take to register after a common start or a
+/// restart of the keepers.
+const SIZE_CHANGE_DELAY: Duration = Duration::from_secs(2);
 
-/// An entry that some keeper lists, or has listed lately.
+/// An entry that is registered with a keeper, or was during the grace period.
 #[derive(Clone, Debug)]
-struct Listed {
+struct RegisteredEntry {
     name: NodeName,
-    absent: Option<Time>,
+    absent_since: Option<Time>,
 }
 
-/// Chooses the entries that one agent keeps sessions with.
+/// Selects the entries with which one agent keeps sessions.
 #[derive(Debug)]
 pub struct Subset {
     own: NodeName,
     sizes: SubsetSizes,
-    entries: BTreeMap<SocketAddr, Listed>,
-    /// Agents of the same service, this one included.
+    entries: BTreeMap<SocketAddr, RegisteredEntry>,
+    /// Registered agents of the same service, including this one.
     agents: usize,
-    count: Steady,
+    count: DebouncedCount,
 }
 
 impl Subset {
-    /// The choice of an agent that knows no entry yet.
+    /// Creates the selection of the agent `own`, without any registered entries.
     pub fn new(own: NodeName, sizes: SubsetSizes) -> Self {
-        let count = Steady::new(sizes.entries_of_agent);
+        let count = DebouncedCount::new(sizes.entries_of_agent);
         Self { own, sizes, entries: BTreeMap::new(), agents: 1, count }
     }
 
-    /// The entries that keepers list now, and how many agents of the service are registered.
+    /// Updates the registered entries and the number of registered agents of the service.
     pub fn update_registered<'a>(
         &mut self,
         now: Time,
@@ -64,44 +66,48 @@
         agents: usize,
     ) {
         self.agents = agents.max(1);
-        for listed in self.entries.values_mut() {
-            listed.absent.get_or_insert(now);
+        for entry in self.entries.values_mut() {
+            entry.absent_since.get_or_insert(now);
         }
         for (name, address) in entries {
-            self.entries.insert(address, Listed { name: name.clone(), absent: None });
+            self.entries
+                .insert(address, RegisteredEntry { name: name.clone(), absent_since: None });
         }
     }
 
-    /// The entries that the agent is to serve now, in the order of their addresses.
+    /// Returns the addresses of the entries that the agent serves now, sorted.
     pub fn select(&mut self, now: Time) -> Vec<SocketAddr> {
-        self.entries.retain(|_, listed| listed.absent.is_none_or(|at| now.since(at) < ABSENCE));
-        let count = self.count(now);
+        self.entries
+            .retain(|_, entry| entry.absent_since.is_none_or(|at| now.since(at) < ABSENCE_GRACE));
+        let count = self.update_count(now);
         let mut ranked: Vec<(u64, SocketAddr)> = self
             .entries
             .iter()
-            .map(|(address, listed)| (self.rank(&listed.name), *address))
+            .map(|(address, entry)| (self.hash_weight(&entry.name), *address))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         ranked.truncate(count);
-        let mut chosen: Vec<SocketAddr> = ranked.into_iter().map(|(_, address)| address).collect();
-        chosen.sort_unstable();
-        chosen
+        let mut selected: Vec<SocketAddr> =
+            ranked.into_iter().map(|(_, address)| address).collect();
+        selected.sort_unstable();
+        selected
     }
 
-    /// Whether some keeper lists an entry, or has listed it lately.
+    /// Whether the entry is registered with a keeper, or was during the grace period.
     pub fn contains(&self, address: SocketAddr) -> bool {
         self.entries.contains_key(&address)
     }
 
-    /// How many entries to serve: more where agents are few, so that each entry has enough of them.
-    fn count(&mut self, now: Time) -> usize {
-        let enough = (self.sizes.agents_of_entry * self.entries.len()).div_ceil(self.agents);
-        let wanted = enough.max(self.sizes.entries_of_agent);
-        self.count.follow(now, wanted, SETTLED)
+    /// Returns how many entries to serve. With few agents this exceeds the minimum, so that each
+    /// entry is served by enough of them.
+    fn update_count(&mut self, now: Time) -> usize {
+        let required = (self.sizes.agents_of_entry * self.entries.len()).div_ceil(self.agents);
+        let target_count = required.max(self.sizes.entries_of_agent);
+        self.count.update(now, target_count, SIZE_CHANGE_DELAY)
     }
 
-    fn rank(&self, entry: &NodeName) -> u64 {
-        let agent = xxh3_64_with_seed(self.own.as_str().as_bytes(), 0);
-        xxh3_64_with_seed(entry.as_str().as_bytes(), agent)
+    fn hash_weight(&self, entry: &NodeName) -> u64 {
+        let seed = xxh3_64_with_seed(self.own.as_str().as_bytes(), 0);
+        xxh3_64_with_seed(entry.as_str().as_bytes(), seed)
     }
 }
