--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -142,8 +142,8 @@
             kept: self.table.kept() as u64,
             kept_bytes: self.table.kept_bytes() as u64,
             answers_dropped: self.table.dropped(),
-            queued: services.clone().map(|service| service.queue.tasks() as u64).sum(),
-            idle: services.map(|service| u64::from(service.pool.idle())).sum(),
+            queued: services.clone().map(|service| service.queue.waiting_tasks() as u64).sum(),
+            idle: services.map(|service| u64::from(service.pool.idle_tokens())).sum(),
             ..self.counters
         }
     }
@@ -299,7 +299,7 @@
             team: job.team.clone(),
             kind: job.label.clone(),
             step,
-            queue: service.map_or(0, |service| service.queue.tasks()),
+            queue: service.map_or(0, |service| service.queue.waiting_tasks()),
             estimate,
         }
     }
--- a/components/entry/src/intake.rs
+++ b/components/entry/src/intake.rs
@@ -164,7 +164,7 @@
         let weight = catalog.team(&kind.team).weight;
         let load = Load {
             tasks_ahead: service.queue.tasks_ahead(&kind.team, weight),
-            idle: service.pool.idle(),
+            idle: service.pool.idle_tokens(),
             slots: service.usable_slots(self.entry_count),
         };
         let estimate = estimate(times, load, request.tasks.len());
--- a/components/entry/src/placing.rs
+++ b/components/entry/src/placing.rs
@@ -69,8 +69,8 @@
         let any_target_at = job.waits_since + wait;
         let any_target = now >= any_target_at;
         let Phase::Active(gather) = &mut job.phase else { return false };
-        let Some(target) = service.pool.spend(any_target, |rack| gather.on_rack(rack)) else {
-            if !any_target && service.pool.idle() > 0 {
+        let Some(target) = service.pool.spend_token(any_target, |rack| gather.on_rack(rack)) else {
+            if !any_target && service.pool.idle_tokens() > 0 {
                 self.table.set_timer(any_target_at, id, TimerKind::AnyTarget);
             }
             return false;
@@ -83,7 +83,7 @@
             service.queue.remove(&team, deadline, arrival, 0);
         }
         service.busy += 1;
-        let idle = service.pool.idle();
+        let idle = service.pool.idle_tokens();
         let wanted = service.update_wanted(target);
         let request = StartRequest {
             key: TaskKey { submission: id, index, attempt, origin },
--- a/components/entry/src/service.rs
+++ b/components/entry/src/service.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use model::SubmissionId;
-use placement::{FairQueue, Pool, TargetId};
+use placement::{FairQueue, TargetId, TargetPool};
 
 /// Targets considered in one call of [`Service::next_to_ask`] when all of them are asked already.
 const ASK_AGAIN_SCAN: usize = 4;
@@ -13,7 +13,7 @@
 /// The queue and the targets of one service at one entry.
 #[derive(Debug)]
 pub(crate) struct Service {
-    pub pool: Pool,
+    pub pool: TargetPool,
     pub queue: FairQueue<SubmissionId>,
     /// Tasks sent and not yet answered.
     pub busy: u32,
@@ -30,7 +30,7 @@
 impl Default for Service {
     fn default() -> Self {
         Self {
-            pool: Pool::default(),
+            pool: TargetPool::default(),
             queue: FairQueue::default(),
             busy: 0,
             slots: 0,
@@ -44,8 +44,8 @@
 impl Service {
     /// The number of tokens that are missing beyond the idle and the requested ones.
     pub fn tokens_needed(&self) -> u32 {
-        let waiting = u32::try_from(self.queue.tasks()).unwrap_or(u32::MAX);
-        let available = self.pool.ready() + self.requested_total;
+        let waiting = u32::try_from(self.queue.waiting_tasks()).unwrap_or(u32::MAX);
+        let available = self.pool.unpenalized_tokens() + self.requested_total;
         (waiting.saturating_add(RESERVE_TOKENS)).saturating_sub(available)
     }
 
@@ -61,8 +61,8 @@
     /// Updates and returns the token request piggybacked on a message to a target: its share of the
     /// waiting tasks, or zero when the idle tokens suffice.
     pub fn update_wanted(&mut self, target: TargetId) -> u32 {
-        let waiting = u32::try_from(self.queue.tasks()).unwrap_or(u32::MAX);
-        if self.pool.ready() >= waiting.saturating_add(RESERVE_TOKENS) {
+        let waiting = u32::try_from(self.queue.waiting_tasks()).unwrap_or(u32::MAX);
+        if self.pool.unpenalized_tokens() >= waiting.saturating_add(RESERVE_TOKENS) {
             self.set_requested(target, 0);
         } else if waiting > 0 {
             self.set_requested(target, waiting.div_ceil(self.pool.len().max(1) as u32));
@@ -80,7 +80,7 @@
     /// These are the targets without a request. When all have one, they are those of the next few
     /// whose request is at most half of `count`, since demand has grown.
     pub fn next_to_ask(&mut self, count: u32) -> Vec<TargetId> {
-        let round = self.pool.round_after(self.last_asked);
+        let round = self.pool.round_robin_after(self.last_asked);
         if self.requested.len() < self.pool.len() {
             return round.filter(|id| self.requested_from(*id) == 0).collect();
         }
@@ -91,7 +91,7 @@
 
     /// The slots that this entry can expect to use when `entries` entries share the targets.
     pub fn usable_slots(&self, entries: u32) -> u32 {
-        let held = self.pool.idle() + self.busy;
+        let held = self.pool.idle_tokens() + self.busy;
         held.max(self.slots / entries.max(1))
     }
 }
--- a/components/entry/src/tokens.rs
+++ b/components/entry/src/tokens.rs
@@ -1,7 +1,7 @@
 //! Sessions with agents and the exchange of slot tokens with them.
 
 use model::{NodeName, Time};
-use placement::{Profile, TargetId};
+use placement::{TargetId, TargetProfile};
 use telemetry::MessageKind;
 use wire::{AgentInfo, SyncReply, SyncRequest};
 
@@ -75,10 +75,10 @@
         let state = self.targets.get(target);
         let straggling = if state.straggling { STRAGGLING } else { 0 };
         let penalty = if state.suspected { SUSPECTED } else { straggling };
-        let profile = Profile { remote: state.remote, rack: state.rack, penalty };
+        let profile = TargetProfile { remote: state.remote, rack: state.rack, penalty };
         let usable = state.session.is_some() && !state.leaving;
         if usable {
-            self.services.entry(state.service.clone()).or_default().pool.set(target, profile);
+            self.services.entry(state.service.clone()).or_default().pool.upsert(target, profile);
         }
     }
 
@@ -100,7 +100,7 @@
     pub(crate) fn add_tokens(&mut self, target: TargetId, count: u32) {
         let state = self.targets.get(target);
         if let Some(service) = self.services.get_mut(&state.service) {
-            service.pool.add(target, count);
+            service.pool.add_tokens(target, count);
         }
     }
 
@@ -112,7 +112,7 @@
             return;
         }
         let targets = service.pool.len().max(1) as u32;
-        let waiting = u32::try_from(service.queue.tasks()).unwrap_or(u32::MAX);
+        let waiting = u32::try_from(service.queue.waiting_tasks()).unwrap_or(u32::MAX);
         let each = needed.div_ceil(targets).max(waiting.div_ceil(targets));
         let mut round = service.next_to_ask(each);
         round.truncate(needed.div_ceil(each.max(1)) as usize);
@@ -162,9 +162,9 @@
             let requested = service.requested_from(target).saturating_sub(reply.granted);
             service.set_requested(target, if reply.void { 0 } else { requested });
             if reply.void {
-                service.pool.take(target, u32::MAX);
+                service.pool.take_tokens(target, u32::MAX);
             }
-            service.pool.add(target, reply.granted);
+            service.pool.add_tokens(target, reply.granted);
         }
         self.dispatch(now, &service, out);
         self.return_recalled(now, target, reply.recalled, out);
@@ -186,8 +186,8 @@
         let state = self.targets.get(target);
         let Some(session) = state.session else { return };
         let Some(service) = self.services.get_mut(&state.service) else { return };
-        let returned = service.pool.take(target, recalled);
-        let holds = service.pool.idle_of(target) > 0 || service.requested_from(target) > 0;
+        let returned = service.pool.take_tokens(target, recalled);
+        let holds = service.pool.idle_tokens_of(target) > 0 || service.requested_from(target) > 0;
         if recalled > 0 && returned == 0 {
             // The recall and this reply move no token.
             self.counters.messages.wasted(MessageKind::Sync, 2);
@@ -209,7 +209,7 @@
             }
             let name = state.node.name.clone();
             let Some(service) = self.services.get_mut(&state.service) else { continue };
-            let idle = service.pool.take(target, u32::MAX);
+            let idle = service.pool.take_tokens(target, u32::MAX);
             if idle > 0 {
                 out.push(Action::Log(LogEvent::LeaseEnded(name, idle)));
             }
--- a/components/placement/src/fair.rs
+++ b/components/placement/src/fair.rs
@@ -115,7 +115,7 @@
     }
 
     /// Tasks waiting in all jobs.
-    pub fn tasks(&self) -> usize {
+    pub fn waiting_tasks(&self) -> usize {
         self.tasks
     }
 
--- a/components/placement/src/lib.rs
+++ b/components/placement/src/lib.rs
@@ -1,6 +1,6 @@
 //! Where a task goes and which waiting job is next.
 //!
-//! Work of one service goes to the targets of that service. [`Pool`] ranks the targets for which
+//! Work of one service goes to the targets of that service. [`TargetPool`] ranks the targets for which
 //! the entry holds idle slot tokens; [`FairQueue`] orders the waiting jobs: teams by weight, then
 //! earliest deadline first.
 
@@ -8,4 +8,4 @@
 mod pool;
 
 pub use fair::FairQueue;
-pub use pool::{Pool, Profile, TargetId};
+pub use pool::{TargetId, TargetPool, TargetProfile};
--- a/components/placement/src/pool.rs
+++ b/components/placement/src/pool.rs
@@ -8,7 +8,7 @@
 
 /// What the rank of a target depends on, besides its idle tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Profile {
+pub struct TargetProfile {
     /// Whether it is in another data hall than the entry.
     pub remote: bool,
     /// Its rack, numbered by the entry.
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Target {
-    profile: Profile,
+    profile: TargetProfile,
     idle: u32,
     used: u64,
 }
@@ -42,7 +42,7 @@
 
 /// The targets of one service that the entry may place on.
 #[derive(Debug, Default)]
-pub struct Pool {
+pub struct TargetPool {
     targets: BTreeMap<TargetId, Target>,
     ranked: BTreeSet<Rank>,
     idle: u32,
@@ -51,9 +51,9 @@
     uses: u64,
 }
 
-impl Pool {
+impl TargetPool {
     /// Adds a target without tokens, or gives a known one a new profile.
-    pub fn set(&mut self, id: TargetId, profile: Profile) {
+    pub fn upsert(&mut self, id: TargetId, profile: TargetProfile) {
         let old = self.targets.get(&id).copied();
         let (idle, used) = old.map_or((0, 0), |target| (target.idle, target.used));
         self.replace(id, Target { profile, idle, used });
@@ -69,14 +69,14 @@
     }
 
     /// Adds idle tokens of a target; none for one that is not in the pool.
-    pub fn add(&mut self, id: TargetId, tokens: u32) {
+    pub fn add_tokens(&mut self, id: TargetId, tokens: u32) {
         if let Some(target) = self.targets.get(&id).copied() {
             self.replace(id, Target { idle: target.idle + tokens, ..target });
         }
     }
 
     /// Takes up to so many idle tokens of a target; returns how many.
-    pub fn take(&mut self, id: TargetId, tokens: u32) -> u32 {
+    pub fn take_tokens(&mut self, id: TargetId, tokens: u32) -> u32 {
         let Some(target) = self.targets.get(&id).copied() else { return 0 };
         let taken = tokens.min(target.idle);
         self.replace(id, Target { idle: target.idle - taken, ..target });
@@ -88,7 +88,11 @@
     ///
     /// `tasks_on_rack` says how many tasks of the job a rack has; among the best few targets that
     /// are alike otherwise, the one on the rack with the fewest wins.
-    pub fn spend(&mut self, any: bool, tasks_on_rack: impl Fn(u32) -> u32) -> Option<TargetId> {
+    pub fn spend_token(
+        &mut self,
+        any: bool,
+        tasks_on_rack: impl Fn(u32) -> u32,
+    ) -> Option<TargetId> {
         let best = *self.ranked.first()?;
         if best.0 > 0 && !any {
             return None;
@@ -108,17 +112,17 @@
     }
 
     /// Idle tokens of all targets.
-    pub fn idle(&self) -> u32 {
+    pub fn idle_tokens(&self) -> u32 {
         self.idle
     }
 
     /// Idle tokens of the targets that are not to be avoided.
-    pub fn ready(&self) -> u32 {
+    pub fn unpenalized_tokens(&self) -> u32 {
         self.ready
     }
 
     /// Idle tokens of one target.
-    pub fn idle_of(&self, id: TargetId) -> u32 {
+    pub fn idle_tokens_of(&self, id: TargetId) -> u32 {
         self.targets.get(&id).map_or(0, |target| target.idle)
     }
 
@@ -128,7 +132,7 @@
     }
 
     /// The targets after a given one, in a round.
-    pub fn round_after(&self, last: TargetId) -> impl Iterator<Item = TargetId> + '_ {
+    pub fn round_robin_after(&self, last: TargetId) -> impl Iterator<Item = TargetId> + '_ {
         let after =
             self.targets.range((std::ops::Bound::Excluded(last), std::ops::Bound::Unbounded));
         let before = self.targets.range(..=last);
--- a/components/placement/tests/placement.rs
+++ b/components/placement/tests/placement.rs
@@ -4,37 +4,37 @@
 use std::sync::Arc;
 
 use model::Time;
-use placement::{FairQueue, Pool, Profile, TargetId};
+use placement::{FairQueue, TargetId, TargetPool, TargetProfile};
 use proptest::prelude::*;
 
-fn pool(profiles: &[(Profile, u32)]) -> Pool {
-    let mut pool = Pool::default();
+fn pool(profiles: &[(TargetProfile, u32)]) -> TargetPool {
+    let mut pool = TargetPool::default();
     for (number, (profile, idle)) in profiles.iter().enumerate() {
         let id = TargetId(number as u32);
-        pool.set(id, *profile);
-        pool.add(id, *idle);
+        pool.upsert(id, *profile);
+        pool.add_tokens(id, *idle);
     }
     pool
 }
 
-fn profile(remote: bool, rack: u32, penalty: u8) -> Profile {
-    Profile { remote, rack, penalty }
+fn profile(remote: bool, rack: u32, penalty: u8) -> TargetProfile {
+    TargetProfile { remote, rack, penalty }
 }
 
 #[test]
 fn near_and_idle_targets_come_first_and_stragglers_last() {
     let mut pool =
         pool(&[(profile(false, 1, 1), 8), (profile(true, 2, 0), 8), (profile(false, 3, 0), 1)]);
-    let order: Vec<u32> = (0..10).map(|_| pool.spend(true, |_| 0).unwrap().0).collect();
+    let order: Vec<u32> = (0..10).map(|_| pool.spend_token(true, |_| 0).unwrap().0).collect();
     assert_eq!(order, [2, 1, 1, 1, 1, 1, 1, 1, 1, 0]);
 }
 
 #[test]
 fn targets_to_be_avoided_are_used_only_when_told() {
     let mut pool = pool(&[(profile(false, 1, 1), 2)]);
-    assert_eq!((pool.idle(), pool.ready()), (2, 0));
-    assert_eq!(pool.spend(false, |_| 0), None);
-    assert_eq!(pool.spend(true, |_| 0), Some(TargetId(0)));
+    assert_eq!((pool.idle_tokens(), pool.unpenalized_tokens()), (2, 0));
+    assert_eq!(pool.spend_token(false, |_| 0), None);
+    assert_eq!(pool.spend_token(true, |_| 0), Some(TargetId(0)));
 }
 
 #[test]
@@ -43,7 +43,7 @@
     let mut pool = pool(&[rack(1), rack(1), rack(2), rack(3)]);
     let mut on_rack: HashMap<u32, u32> = HashMap::new();
     for _ in 0..6 {
-        let id = pool.spend(true, |rack| on_rack.get(&rack).copied().unwrap_or(0)).unwrap();
+        let id = pool.spend_token(true, |rack| on_rack.get(&rack).copied().unwrap_or(0)).unwrap();
         *on_rack.entry(pool.rack(id)).or_default() += 1;
     }
     assert_eq!(on_rack, HashMap::from([(1, 2), (2, 2), (3, 2)]));
@@ -67,7 +67,7 @@
     }
     assert_eq!(served.get(&'m'), Some(&20));
     assert_eq!(served.get(&'h'), Some(&60));
-    assert_eq!(queue.tasks(), 620 - 80);
+    assert_eq!(queue.waiting_tasks(), 620 - 80);
 }
 
 #[test]
@@ -84,24 +84,24 @@
 proptest! {
     #[test]
     fn the_pool_counts_its_tokens(steps in proptest::collection::vec((0..5u8, 0..4u32, 0..6u32), 0..80)) {
-        let mut pool = Pool::default();
+        let mut pool = TargetPool::default();
         let mut expected: HashMap<u32, u32> = HashMap::new();
         for (step, target, tokens) in steps {
             let id = TargetId(target);
             match step {
-                0 => { pool.set(id, profile(tokens > 2, target, 0)); expected.entry(target).or_default(); }
+                0 => { pool.upsert(id, profile(tokens > 2, target, 0)); expected.entry(target).or_default(); }
                 1 => { pool.remove(id); expected.remove(&target); }
-                2 => { pool.add(id, tokens); if let Some(idle) = expected.get_mut(&target) { *idle += tokens; } }
+                2 => { pool.add_tokens(id, tokens); if let Some(idle) = expected.get_mut(&target) { *idle += tokens; } }
                 3 => {
-                    let taken = pool.take(id, tokens);
+                    let taken = pool.take_tokens(id, tokens);
                     if let Some(idle) = expected.get_mut(&target) { *idle -= taken; }
                 }
-                _ => match pool.spend(true, |_| 0) {
+                _ => match pool.spend_token(true, |_| 0) {
                     Some(id) => *expected.get_mut(&id.0).unwrap() -= 1,
                     None => prop_assert_eq!(expected.values().sum::<u32>(), 0),
                 }
             }
-            prop_assert_eq!(pool.idle(), expected.values().sum::<u32>());
+            prop_assert_eq!(pool.idle_tokens(), expected.values().sum::<u32>());
         }
     }
 
@@ -122,7 +122,7 @@
                 let (team, deadline, _) = jobs[job];
                 queue.remove(&teams[team], Time::from_millis(deadline), job as u64, 0);
             }
-            prop_assert_eq!(queue.tasks(), left.iter().sum::<usize>());
+            prop_assert_eq!(queue.waiting_tasks(), left.iter().sum::<usize>());
         }
         prop_assert_eq!(left.iter().sum::<usize>(), 0);
     }
