--- a/components/placement/src/lib.rs
+++ b/components/placement/src/lib.rs
@@ -1,11 +1,11 @@
-//! Where a task goes and which waiting job is next.
+//! Task placement and job queueing.
 //!
-//! Work of one service goes to the targets of that service. [`TargetPool`] ranks the targets for which
-//! the entry holds idle slot tokens; [`FairQueue`] orders the waiting jobs: teams by weight, then
-//! earliest deadline first.
+//! Tasks of a service run on the targets of that service. [`TargetPool`] ranks the targets for
+//! which the entry holds idle slot tokens. [`FairQueue`] orders the waiting jobs: weighted fair
+//! between teams, earliest deadline first within a team.
 
-mod fair;
-mod pool;
+mod fair_queue;
+mod target_pool;
 
-pub use fair::FairQueue;
-pub use pool::{TargetId, TargetPool, TargetProfile};
+pub use fair_queue::FairQueue;
+pub use target_pool::{TargetId, TargetPool, TargetProfile};
--- a/components/placement/tests/placement.rs
+++ b/components/placement/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Ranking of targets and fair order of jobs.
+//! Tests of the target ranking and the fair queue.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn near_and_idle_targets_come_first_and_stragglers_last() {
+fn near_and_idle_targets_are_preferred_over_penalized_ones() {
     let mut pool =
         pool(&[(profile(false, 1, 1), 8), (profile(true, 2, 0), 8), (profile(false, 3, 0), 1)]);
     let order: Vec<u32> = (0..10).map(|_| pool.spend_token(true, |_| 0).unwrap().0).collect();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn targets_to_be_avoided_are_used_only_when_told() {
+fn penalized_targets_are_used_only_if_allowed() {
     let mut pool = pool(&[(profile(false, 1, 1), 2)]);
     assert_eq!((pool.idle_tokens(), pool.unpenalized_tokens()), (2, 0));
     assert_eq!(pool.spend_token(false, |_| 0), None);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_job_spreads_over_racks() {
+fn tasks_of_a_job_are_spread_over_racks() {
     let rack = |number| (profile(false, number, 0), 4);
     let mut pool = pool(&[rack(1), rack(1), rack(2), rack(3)]);
     let mut on_rack: HashMap<u32, u32> = HashMap::new();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn teams_get_slots_by_weight_and_deadlines_order_a_team() {
+fn teams_share_slots_by_weight_and_jobs_run_by_deadline() {
     let (heavy, light): (Arc<str>, Arc<str>) = ("heavy".into(), "light".into());
     let mut queue = FairQueue::default();
     queue.insert(&heavy, 3, Time::from_millis(500), 1, 300, 'h');
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_flooding_team_does_not_count_against_another() {
+fn backlog_of_one_team_does_not_delay_another() {
     let (flood, calm): (Arc<str>, Arc<str>) = ("flood".into(), "calm".into());
     let mut queue = FairQueue::default();
     queue.insert(&flood, 1, Time::from_millis(500), 1, 10_000, 'f');
@@ -83,7 +83,7 @@
 
 proptest! {
     #[test]
-    fn the_pool_counts_its_tokens(steps in proptest::collection::vec((0..5u8, 0..4u32, 0..6u32), 0..80)) {
+    fn pool_counts_idle_tokens(steps in proptest::collection::vec((0..5u8, 0..4u32, 0..6u32), 0..80)) {
         let mut pool = TargetPool::default();
         let mut expected: HashMap<u32, u32> = HashMap::new();
         for (step, target, tokens) in steps {
@@ -106,24 +106,24 @@
     }
 
     #[test]
-    fn the_queue_counts_its_tasks(jobs in proptest::collection::vec((0..3usize, 0..9u64, 1..5usize), 1..40)) {
+    fn queue_counts_waiting_tasks(jobs in proptest::collection::vec((0..3usize, 0..9u64, 1..5usize), 1..40)) {
         let teams: Vec<Arc<str>> = ["a", "b", "c"].map(Arc::from).into();
         let mut queue = FairQueue::default();
-        let mut left: Vec<usize> = Vec::new();
+        let mut remaining: Vec<usize> = Vec::new();
         for (arrival, (team, deadline, tasks)) in jobs.iter().enumerate() {
             let deadline = Time::from_millis(*deadline);
             queue.insert(&teams[*team], 1, deadline, arrival as u64, *tasks, arrival);
-            left.push(*tasks);
+            remaining.push(*tasks);
         }
         while let Some(job) = queue.head() {
             queue.take_task();
-            left[job] -= 1;
-            if left[job] == 0 {
+            remaining[job] -= 1;
+            if remaining[job] == 0 {
                 let (team, deadline, _) = jobs[job];
                 queue.remove(&teams[team], Time::from_millis(deadline), job as u64, 0);
             }
-            prop_assert_eq!(queue.waiting_tasks(), left.iter().sum::<usize>());
+            prop_assert_eq!(queue.waiting_tasks(), remaining.iter().sum::<usize>());
         }
-        prop_assert_eq!(left.iter().sum::<usize>(), 0);
+        prop_assert_eq!(remaining.iter().sum::<usize>(), 0);
     }
 }
