--- a/components/admission/src/estimate.rs
+++ b/components/admission/src/estimate.rs
@@ -6,11 +6,11 @@
 
 /// What stands between a new job and its slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Load {
+pub struct QueueLoad {
     /// Tasks that are served before the job's.
     pub tasks_ahead: usize,
     /// Idle slots at hand.
-    pub idle: u32,
+    pub idle_slots: u32,
     /// Slots that the entry has or may count on, idle or busy; at least one.
     pub slots: u32,
 }
@@ -23,8 +23,8 @@
 ///
 /// The tasks that find no idle slot wait for slots to come free, one each mean service time over
 /// the number of slots; the last of them then runs as long as the slowest of the job.
-pub fn estimate(times: &ServiceTimes, load: Load, tasks: usize) -> Duration {
-    let waiting = (load.tasks_ahead + tasks).saturating_sub(load.idle as usize);
+pub fn estimate_completion(times: &ServiceTimes, load: QueueLoad, tasks: usize) -> Duration {
+    let waiting = (load.tasks_ahead + tasks).saturating_sub(load.idle_slots as usize);
     let turns = waiting as f64 / f64::from(load.slots.max(1));
     times.mean().mul_f64(turns * WAIT_MARGIN) + times.slowest_of(tasks)
 }
@@ -35,9 +35,9 @@
 
     const MEAN: Duration = Duration::from_millis(100);
 
-    fn estimate_ms(tasks_ahead: usize, idle: u32, tasks: usize) -> u128 {
-        let load = Load { tasks_ahead, idle, slots: 10 };
-        estimate(&ServiceTimes::new(MEAN), load, tasks).as_millis()
+    fn estimate_ms(tasks_ahead: usize, idle_slots: u32, tasks: usize) -> u128 {
+        let load = QueueLoad { tasks_ahead, idle_slots, slots: 10 };
+        estimate_completion(&ServiceTimes::new(MEAN), load, tasks).as_millis()
     }
 
     #[test]
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -3,5 +3,5 @@
 mod estimate;
 mod service_times;
 
-pub use estimate::{Load, estimate};
+pub use estimate::{QueueLoad, estimate_completion};
 pub use service_times::ServiceTimes;
--- a/components/entry/src/intake.rs
+++ b/components/entry/src/intake.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use admission::{Load, estimate};
+use admission::{QueueLoad, estimate_completion};
 use claims::{Age, Round};
 use model::{Code, Digest, Failure, SubmissionId, Time, Verdict};
 use settings::{Catalog, KindSettings, ServiceState};
@@ -162,12 +162,12 @@
         };
         let Some(times) = self.kinds.times(kind) else { return Ok(()) };
         let weight = catalog.team(&kind.team).weight;
-        let load = Load {
+        let load = QueueLoad {
             tasks_ahead: service.queue.tasks_ahead(&kind.team, weight),
-            idle: service.pool.idle_tokens(),
+            idle_slots: service.pool.idle_tokens(),
             slots: service.usable_slots(self.entry_count),
         };
-        let estimate = estimate(times, load, request.tasks.len());
+        let estimate = estimate_completion(times, load, request.tasks.len());
         let deadline = time_limit(kind, request);
         if estimate <= deadline {
             return Ok(());
