--- a/components/admission/src/estimate.rs
+++ b/components/admission/src/estimate.rs
@@ -1,32 +1,32 @@
-//! The estimated time from admission to the last answer of a job.
+//! Estimate of the time from admission of a job to its last result.
 
 use std::time::Duration;
 
 use crate::ServiceTimes;
 
-/// What stands between a new job and its slots.
+/// Queued tasks and slots at the arrival of a new job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLoad {
-    /// Tasks that are served before the job's.
+    /// Number of tasks that are served before the tasks of the job.
     pub tasks_ahead: usize,
-    /// Idle slots at hand.
+    /// Number of idle slots.
     pub idle_slots: u32,
-    /// Slots that the entry has or may count on, idle or busy; at least one.
+    /// Number of slots that the entry can use, idle or busy; zero counts as one.
     pub slots: u32,
 }
 
-/// How much longer than estimated a wait is taken to be: work admitted at the very edge of its
-/// deadline misses it by the smallest error, and has then used slots for nothing.
+/// Safety factor applied to the estimated queueing delay. Without it, a job admitted close to its
+/// deadline misses it at the smallest estimation error and wastes the slots it used.
 const WAIT_MARGIN: f64 = 1.6;
 
-/// Estimates the time to the last answer of a job of so many tasks.
+/// Estimates the time from admission to the last result of a job with `tasks` tasks.
 ///
-/// The tasks that find no idle slot wait for slots to come free, one each mean service time over
-/// the number of slots; the last of them then runs as long as the slowest of the job.
+/// Tasks that find no idle slot wait for slots to be freed, at a rate of one per mean service time
+/// and slot. The last of them then runs as long as the slowest task of the job.
 pub fn estimate_completion(times: &ServiceTimes, load: QueueLoad, tasks: usize) -> Duration {
     let waiting = (load.tasks_ahead + tasks).saturating_sub(load.idle_slots as usize);
-    let turns = waiting as f64 / f64::from(load.slots.max(1));
-    times.mean().mul_f64(turns * WAIT_MARGIN) + times.slowest_of(tasks)
+    let slot_turns = waiting as f64 / f64::from(load.slots.max(1));
+    times.mean().mul_f64(slot_turns * WAIT_MARGIN) + times.slowest_of(tasks)
 }
 
 #[cfg(test)]
@@ -41,12 +41,12 @@
     }
 
     #[test]
-    fn idle_slots_mean_no_wait() {
+    fn job_does_not_wait_with_enough_idle_slots() {
         assert_eq!(estimate_ms(0, 10, 10), 100);
     }
 
     #[test]
-    fn waiting_tasks_cost_turns() {
+    fn waiting_tasks_delay_completion() {
         assert_eq!(estimate_ms(0, 0, 10), 260);
         assert_eq!(estimate_ms(40, 0, 10), 900);
     }
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -1,4 +1,5 @@
-//! Whether a job can meet its deadline, from measured service times and what waits ahead of it.
+//! Admission control: estimates whether a job can meet its deadline from measured service times and
+//! the tasks queued ahead of it.
 
 mod estimate;
 mod service_times;
--- a/components/admission/src/service_times.rs
+++ b/components/admission/src/service_times.rs
@@ -1,17 +1,17 @@
-//! How long tasks of one kind take at their targets.
+//! Service time statistics of tasks of one kind.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Longest time told apart, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
-/// Times after which the older half is forgotten.
-const WINDOW: u64 = 2_000;
-/// Times needed before they are trusted over the setting.
-const ENOUGH: u64 = 20;
+/// Longest recorded service time, in milliseconds; longer times are clamped to it.
+const MAX_RECORDED_MS: u64 = 600_000;
+/// Number of samples after which the older window is discarded.
+const WINDOW_SAMPLES: u64 = 2_000;
+/// Minimum number of samples before they replace the configured expected time.
+const MIN_SAMPLES: u64 = 20;
 
-/// Service times of the last few thousand tasks of one kind, within a few kilobytes.
+/// Distribution of recent service times of one kind of task, kept in two windows of bounded size.
 #[derive(Clone, Debug)]
 pub struct ServiceTimes {
     expected: Duration,
@@ -19,7 +19,7 @@
     older: Window,
 }
 
-/// Some times, with their sum, so that the mean costs nothing.
+/// A window of samples, with their sum so that the mean takes constant time.
 #[derive(Clone, Debug)]
 struct Window {
     histogram: Histogram<u32>,
@@ -34,47 +34,48 @@
 }
 
 impl ServiceTimes {
-    /// No times yet; `expected` stands in until there are enough.
+    /// Creates empty statistics; `expected` is used until there are enough samples.
     pub fn new(expected: Duration) -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_MS, 1).expect("constant bounds");
+        let histogram = Histogram::new_with_bounds(1, MAX_RECORDED_MS, 1).expect("constant bounds");
         let empty = Window { histogram, sum: Duration::ZERO };
         Self { expected, recent: empty.clone(), older: empty }
     }
 
-    /// Adds the time of one task.
+    /// Records the service time of one task.
     pub fn record(&mut self, time: Duration) {
-        let millis = u64::try_from(time.as_millis()).unwrap_or(LONGEST_MS);
-        self.recent.histogram.saturating_record(millis.clamp(1, LONGEST_MS));
+        let millis = u64::try_from(time.as_millis()).unwrap_or(MAX_RECORDED_MS);
+        self.recent.histogram.saturating_record(millis.clamp(1, MAX_RECORDED_MS));
         self.recent.sum += time;
-        if self.recent.histogram.len() >= WINDOW {
+        if self.recent.histogram.len() >= WINDOW_SAMPLES {
             std::mem::swap(&mut self.recent, &mut self.older);
             self.recent.histogram.reset();
             self.recent.sum = Duration::ZERO;
         }
     }
 
-    fn known(&self) -> &Window {
+    /// The window with more samples.
+    fn larger_window(&self) -> &Window {
         let older = self.older.histogram.len() > self.recent.histogram.len();
         if older { &self.older } else { &self.recent }
     }
 
-    /// The mean time.
+    /// Returns the mean service time.
     pub fn mean(&self) -> Duration {
-        let known = self.known();
-        if known.histogram.len() < ENOUGH {
+        let window = self.larger_window();
+        if window.histogram.len() < MIN_SAMPLES {
             return self.expected;
         }
-        known.mean()
+        window.mean()
     }
 
-    /// The time within which the slowest of so many tasks ends, more likely than not.
+    /// Returns the median of the longest service time among `tasks` tasks.
     pub fn slowest_of(&self, tasks: usize) -> Duration {
-        let known = self.known();
-        if known.histogram.len() < ENOUGH {
+        let window = self.larger_window();
+        if window.histogram.len() < MIN_SAMPLES {
             return self.expected;
         }
         let quantile = 0.5_f64.powf(1.0 / tasks.max(1) as f64);
-        Duration::from_millis(known.histogram.value_at_quantile(quantile))
+        Duration::from_millis(window.histogram.value_at_quantile(quantile))
     }
 }
 
@@ -83,7 +84,7 @@
     use super::*;
 
     #[test]
-    fn the_setting_stands_in_until_enough_is_known() {
+    fn expected_time_is_used_until_enough_samples() {
         let mut times = ServiceTimes::new(Duration::from_millis(200));
         (0..19).for_each(|_| times.record(Duration::from_millis(50)));
         assert_eq!(times.mean(), Duration::from_millis(200));
@@ -92,7 +93,7 @@
     }
 
     #[test]
-    fn many_tasks_wait_for_a_slower_one() {
+    fn slowest_task_time_grows_with_task_count() {
         let mut times = ServiceTimes::new(Duration::from_millis(200));
         (1..=500).for_each(|n| times.record(Duration::from_millis(n)));
         assert!(times.slowest_of(1) < times.slowest_of(10));
@@ -100,7 +101,7 @@
     }
 
     #[test]
-    fn old_times_are_forgotten() {
+    fn old_samples_are_discarded() {
         let mut times = ServiceTimes::new(Duration::from_millis(200));
         (0..5_000).for_each(|_| times.record(Duration::from_millis(400)));
         (0..5_000).for_each(|_| times.record(Duration::from_millis(60)));
