--- a/components/routing/src/error.rs
+++ b/components/routing/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Why a table of routes can't be taken.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum InvalidTable {
+pub enum InvalidRouteTable {
     /// A route names a service that the table does not have.
     #[error("route {route}: no service is called '{service}'")]
     UnknownService {
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -3,5 +3,5 @@
 mod error;
 mod table;
 
-pub use error::InvalidTable;
-pub use table::{Route, RouteTable, ServiceInfo, TransferLimits};
+pub use error::InvalidRouteTable;
+pub use table::{HttpLimits, Route, RouteTable, ServiceInfo};
--- a/components/routing/src/table.rs
+++ b/components/routing/src/table.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::InvalidTable;
+use crate::InvalidRouteTable;
 
 /// One queue of jobs.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,29 +35,29 @@
     /// Its name.
     pub name: Arc<str>,
     /// Whether its targets refuse what does not fit.
-    pub guards_room: bool,
+    pub rejects_overload: bool,
 }
 
 /// What a client may take of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TransferLimits {
+pub struct HttpLimits {
     /// Longest head of a request, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest body of a request, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Longest time for a head.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Longest time between two requests of a connection.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
-impl Default for TransferLimits {
+impl Default for HttpLimits {
     fn default() -> Self {
         Self {
-            header_bytes: 16 * 1024,
-            body_bytes: 256 * 1024,
-            header_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            max_header_bytes: 16 * 1024,
+            max_body_bytes: 256 * 1024,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -68,7 +68,7 @@
     /// Its version; the highest holds.
     pub version: u64,
     /// What clients may take.
-    pub limits: TransferLimits,
+    pub limits: HttpLimits,
     services: BTreeMap<Arc<str>, ServiceInfo>,
     /// By host: routes with the longest prefix first.
     routes: BTreeMap<String, Vec<Arc<Route>>>,
@@ -80,8 +80,8 @@
         version: u64,
         services: Vec<ServiceInfo>,
         routes: Vec<Route>,
-        limits: TransferLimits,
-    ) -> Result<Self, InvalidTable> {
+        limits: HttpLimits,
+    ) -> Result<Self, InvalidRouteTable> {
         let services: BTreeMap<Arc<str>, ServiceInfo> =
             services.into_iter().map(|service| (service.name.clone(), service)).collect();
         let mut by_host: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
@@ -118,23 +118,26 @@
     }
 }
 
-fn check(route: &Route, services: &BTreeMap<Arc<str>, ServiceInfo>) -> Result<(), InvalidTable> {
+fn check(
+    route: &Route,
+    services: &BTreeMap<Arc<str>, ServiceInfo>,
+) -> Result<(), InvalidRouteTable> {
     let name = || route.name.to_string();
     if !services.contains_key(&route.service) {
         let service = route.service.to_string();
-        return Err(InvalidTable::UnknownService { route: name(), service });
+        return Err(InvalidRouteTable::UnknownService { route: name(), service });
     }
     if route.timeout.is_zero() {
-        return Err(InvalidTable::NoTimeout { route: name() });
+        return Err(InvalidRouteTable::NoTimeout { route: name() });
     }
     Ok(())
 }
 
-fn check_places(routes: &[Arc<Route>]) -> Result<(), InvalidTable> {
+fn check_places(routes: &[Arc<Route>]) -> Result<(), InvalidRouteTable> {
     let mut seen: BTreeMap<&str, &Route> = BTreeMap::new();
     for route in routes {
         if let Some(first) = seen.insert(&route.prefix, route) {
-            return Err(InvalidTable::SamePlace {
+            return Err(InvalidRouteTable::SamePlace {
                 first: first.name.to_string(),
                 second: route.name.to_string(),
                 host: route.host.clone(),
--- a/daemon/src/capacity/entry_http.rs
+++ b/daemon/src/capacity/entry_http.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response, StatusCode};
 use net::{Body, BodyError, Limits, Tasks};
 use platform::{BadJob, CallerCall, Malformed, Reply};
-use routing::{Route, TransferLimits};
+use routing::{HttpLimits, Route};
 use serde_json::json;
 
 use super::entry::Entry;
@@ -35,13 +35,13 @@
     let connections = entry.stop.connections.clone();
     let limits = move || {
         let limits =
-            limits_source.route_table().map_or_else(TransferLimits::default, |table| table.limits);
+            limits_source.route_table().map_or_else(HttpLimits::default, |table| table.limits);
         Limits {
-            header_bytes: limits.header_bytes,
-            body_bytes: limits.body_bytes,
+            header_bytes: limits.max_header_bytes,
+            body_bytes: limits.max_body_bytes,
             // The server starts the header timeout at the previous response, so it has to cover the
             // idle time.
-            read_time: limits.idle_time.max(limits.header_time),
+            read_time: limits.idle_timeout.max(limits.header_timeout),
             connections: MAX_CONNECTIONS,
         }
     };
