--- a/components/routing/src/error.rs
+++ b/components/routing/src/error.rs
@@ -1,34 +1,34 @@
-//! Why a table of routes can't be taken.
+//! Validation errors of route tables.
 
 use thiserror::Error;
 
-/// Why a table of routes can't be taken.
+/// The reason why a route table is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidRouteTable {
-    /// A route names a service that the table does not have.
+    /// A route refers to a service that is not in the table.
     #[error("route {route}: no service is called '{service}'")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service that it names.
+        /// Name of the missing service.
         service: String,
     },
-    /// Two routes have the same host and prefix.
+    /// Two routes have the same host and path prefix.
     #[error("routes {first} and {second}: both at {host}{prefix}")]
-    SamePlace {
-        /// One route.
+    DuplicateRoute {
+        /// Name of the first route.
         first: String,
-        /// The other.
+        /// Name of the second route.
         second: String,
-        /// Their host.
+        /// Host of both routes.
         host: String,
-        /// Their prefix.
+        /// Path prefix of both routes.
         prefix: String,
     },
-    /// A time-out of 0.
+    /// The timeout of a route is zero.
     #[error("route {route}: the time-out is 0")]
-    NoTimeout {
-        /// The route.
+    ZeroTimeout {
+        /// Name of the route.
         route: String,
     },
 }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,4 +1,4 @@
-//! The routes of a fleet: which request belongs to which queue, and what holds for its jobs.
+//! Route table: maps requests to queues and services, and holds the execution policy of each route.
 
 mod error;
 mod table;
--- a/components/routing/src/table.rs
+++ b/components/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! A checked table of routes, and the look-up of a request's route.
+//! Validated route table and lookup of the route of a request.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,48 +6,51 @@
 
 use crate::InvalidRouteTable;
 
-/// One queue of jobs.
+/// A route: selects requests by host and path prefix, and sets the service and the execution policy
+/// of their jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for people.
+    /// Name for logs and error messages.
     pub name: Arc<str>,
-    /// The host that requests name.
+    /// Host header value that the route matches, without the port.
     pub host: String,
-    /// What the path of its requests begins with.
+    /// Prefix that the request path must start with.
     pub prefix: String,
-    /// The service whose targets run its tasks.
+    /// Name of the service whose targets run the tasks.
     pub service: Arc<str>,
-    /// Longest time of a request.
+    /// Maximum duration of a request.
     pub timeout: Duration,
-    /// Added to the stretched work, it is the time in which a job is to end.
+    /// Fixed part of the latency objective: the objective of a job is the duration of its longest
+    /// chain of work times `stretch`, plus this value.
     pub target_latency: Duration,
-    /// How much longer than its longest chain of work a job may take.
+    /// Factor applied to the duration of the longest chain of work of a job in its latency
+    /// objective.
     pub stretch: f64,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// How often a task may fail.
+    /// Maximum number of attempts per task.
     pub max_attempts: u32,
 }
 
-/// A pool of targets.
+/// A service: a pool of interchangeable targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceInfo {
-    /// Its name.
+    /// Unique name of the service.
     pub name: Arc<str>,
-    /// Whether its targets refuse what does not fit.
+    /// Whether the targets reject tasks that exceed their free capacity.
     pub rejects_overload: bool,
 }
 
-/// What a client may take of a connection.
+/// Limits on the HTTP connections of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request header, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head.
+    /// Maximum time to receive a request header.
     pub header_timeout: Duration,
-    /// Longest time between two requests of a connection.
+    /// Maximum idle time between two requests on a connection.
     pub idle_timeout: Duration,
 }
 
@@ -62,20 +65,21 @@
     }
 }
 
-/// A checked table.
+/// A validated route table.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
-    /// Its version; the highest holds.
+    /// Version of the table; the table with the highest version is in effect.
     pub version: u64,
-    /// What clients may take.
+    /// Limits on client connections.
     pub limits: HttpLimits,
     services: BTreeMap<Arc<str>, ServiceInfo>,
-    /// By host: routes with the longest prefix first.
+    /// Routes by lowercase host, longest prefix first.
     routes: BTreeMap<String, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// Checks services and routes.
+    /// Validates the services and routes and builds the table. Fails if a route refers to a missing
+    /// service, has a zero timeout, or duplicates the host and prefix of another route.
     pub fn new(
         version: u64,
         services: Vec<ServiceInfo>,
@@ -86,39 +90,40 @@
             services.into_iter().map(|service| (service.name.clone(), service)).collect();
         let mut by_host: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for route in routes {
-            check(&route, &services)?;
+            validate_route(&route, &services)?;
             by_host.entry(route.host.to_ascii_lowercase()).or_default().push(Arc::new(route));
         }
         for routes in by_host.values_mut() {
-            check_places(routes)?;
+            check_duplicates(routes)?;
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         Ok(Self { version, limits, services, routes: by_host })
     }
 
-    /// The route of a request, by its host and the longest prefix that its path begins with.
+    /// Returns the route of a request: the one with the longest matching prefix on the host. A port
+    /// in `host` is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         self.routes.get(&host)?.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// A service by its name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&ServiceInfo> {
         self.services.get(name)
     }
 
-    /// How many routes it has.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// Whether it has no route.
+    /// Whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 }
 
-fn check(
+fn validate_route(
     route: &Route,
     services: &BTreeMap<Arc<str>, ServiceInfo>,
 ) -> Result<(), InvalidRouteTable> {
@@ -128,16 +133,16 @@
         return Err(InvalidRouteTable::UnknownService { route: name(), service });
     }
     if route.timeout.is_zero() {
-        return Err(InvalidRouteTable::NoTimeout { route: name() });
+        return Err(InvalidRouteTable::ZeroTimeout { route: name() });
     }
     Ok(())
 }
 
-fn check_places(routes: &[Arc<Route>]) -> Result<(), InvalidRouteTable> {
+fn check_duplicates(routes: &[Arc<Route>]) -> Result<(), InvalidRouteTable> {
     let mut seen: BTreeMap<&str, &Route> = BTreeMap::new();
     for route in routes {
         if let Some(first) = seen.insert(&route.prefix, route) {
-            return Err(InvalidRouteTable::SamePlace {
+            return Err(InvalidRouteTable::DuplicateRoute {
                 first: first.name.to_string(),
                 second: route.name.to_string(),
                 host: route.host.clone(),
