--- a/components/journal/src/file.rs
+++ b/components/journal/src/file.rs
@@ -16,7 +16,7 @@
     /// Every whole record, oldest first.
     pub records: Vec<Vec<u8>>,
     /// Bytes of a torn tail that were cut off.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
 
 /// An append-only file of records.
@@ -44,13 +44,13 @@
     ///
     /// Records that no mark names as synced are written anew before they count: a process that was
     /// killed, or whose sync failed, may have left them in the page cache alone. Where the disk has no room
-    /// for that the journal isn't settled ([`Journal::is_settled`]) until a later sync.
+    /// for that the journal isn't settled ([`Journal::is_synced`]) until a later sync.
     pub fn open(path: &Path) -> Result<Opened, JournalError> {
-        Self::open_on(path, Disk::default())
+        Self::open_on_disk(path, Disk::default())
     }
 
     /// The same on a disk whose room is known.
-    pub fn open_on(path: &Path, disk: Disk) -> Result<Opened, JournalError> {
+    pub fn open_on_disk(path: &Path, disk: Disk) -> Result<Opened, JournalError> {
         let io = |source| JournalError::of(path, source);
         remove_if_there(&aside(path)).map_err(io)?;
         let bytes = read_if_there(path).map_err(io)?;
@@ -74,7 +74,7 @@
         let records = found.map(|found| found.records).unwrap_or_default();
         match journal.settle_tail().and_then(|()| journal.sync()) {
             Err(error) if !error.is_full() => Err(error),
-            _ => Ok(Opened { journal, records, cut }),
+            _ => Ok(Opened { journal, records, truncated_bytes: cut }),
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Whether all that was handed in is on the disk.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_synced(&self) -> bool {
         self.replacement.is_none() && self.pending.is_empty()
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Bytes of the file up to what was synced last, and its mark.
-    pub fn bytes(&self) -> u64 {
+    pub fn synced_bytes(&self) -> u64 {
         self.synced + if self.marked { format::MARK as u64 } else { 0 }
     }
 
@@ -161,7 +161,7 @@
     }
 
     fn go_to_end(&mut self) -> Result<(), JournalError> {
-        let end = SeekFrom::Start(self.bytes());
+        let end = SeekFrom::Start(self.synced_bytes());
         let gone = self.file.as_mut().map_or(Ok(0), |file| file.seek(end));
         self.settle(gone).map(|_| ())
     }
--- a/components/journal/tests/full_disk.rs
+++ b/components/journal/tests/full_disk.rs
@@ -21,7 +21,7 @@
 /// A journal with one record, on a disk of its own.
 fn with_first(path: &Path) -> (Journal, Disk) {
     let disk = Disk::with_room(PLENTY);
-    let mut journal = Journal::open_on(path, disk.clone()).unwrap().journal;
+    let mut journal = Journal::open_on_disk(path, disk.clone()).unwrap().journal;
     journal.append(b"first");
     journal.sync().unwrap();
     (journal, disk)
@@ -38,11 +38,11 @@
         let stored = journal.sync();
         assert_eq!(stored.is_err(), room < 36, "room for {room}: a record of 23 bytes takes 36");
         assert!(stored.err().is_none_or(|error| error.is_full()));
-        assert_eq!(journal.is_settled(), room >= 36);
+        assert_eq!(journal.is_synced(), room >= 36);
         journal.append(b"third");
         disk.set_room(PLENTY);
         journal.sync().unwrap();
-        assert!(journal.is_settled());
+        assert!(journal.is_synced());
         assert_eq!(records(&path), [&b"first"[..], b"second, which is longer", b"third"], "{room}");
     }
 }
@@ -59,14 +59,14 @@
         drop(journal);
         // The disk is full still; what a power failure leaves of the refused bytes is any part of them.
         let written = fs::read(&path).unwrap();
-        let opened = Journal::open_on(&path, disk.clone()).unwrap();
+        let opened = Journal::open_on_disk(&path, disk.clone()).unwrap();
         assert_eq!(opened.records, [b"first"], "room for {room}");
         drop(opened);
         for end in 45..=written.len() {
             fs::write(&path, &written[..end]).unwrap();
             disk.set_room(0);
             let Opened { mut journal, records: found, .. } =
-                Journal::open_on(&path, disk.clone()).unwrap();
+                Journal::open_on_disk(&path, disk.clone()).unwrap();
             assert_eq!(found, [b"first"], "room for {room}, {end} bytes left");
             journal.append(b"after");
             assert!(journal.sync().is_err());
@@ -103,13 +103,14 @@
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, &bytes[..bytes.len() - 16]).unwrap();
     let disk = Disk::with_room(0);
-    let Opened { mut journal, records: found, .. } = Journal::open_on(&path, disk.clone()).unwrap();
+    let Opened { mut journal, records: found, .. } =
+        Journal::open_on_disk(&path, disk.clone()).unwrap();
     assert_eq!(found, [b"first"]);
-    assert!(!journal.is_settled(), "its records don't count yet");
+    assert!(!journal.is_synced(), "its records don't count yet");
     assert!(journal.sync().is_err());
     disk.set_room(PLENTY);
     journal.sync().unwrap();
-    assert!(journal.is_settled());
+    assert!(journal.is_synced());
     assert_eq!(records(&path), [b"first"]);
 }
 
@@ -117,8 +118,8 @@
 fn a_new_journal_on_a_full_disk_is_made_later() {
     let (_folder, path) = folder();
     let disk = Disk::with_room(0);
-    let mut journal = Journal::open_on(&path, disk.clone()).unwrap().journal;
-    assert!(!journal.is_settled());
+    let mut journal = Journal::open_on_disk(&path, disk.clone()).unwrap().journal;
+    assert!(!journal.is_synced());
     journal.replace(&[b"blank".to_vec()]);
     journal.append(b"more");
     assert!(journal.sync().unwrap_err().is_full());
--- a/components/journal/tests/journal.rs
+++ b/components/journal/tests/journal.rs
@@ -24,7 +24,10 @@
 fn records_read_back_and_more_can_follow() {
     let (_folder, path) = write(&RECORDS);
     let mut opened = Journal::open(&path).unwrap();
-    assert_eq!((opened.records.as_slice(), opened.cut), (&RECORDS.map(<[u8]>::to_vec)[..], 0));
+    assert_eq!(
+        (opened.records.as_slice(), opened.truncated_bytes),
+        (&RECORDS.map(<[u8]>::to_vec)[..], 0)
+    );
     opened.journal.append(b"fourth");
     opened.journal.sync().unwrap();
     assert_eq!(Journal::open(&path).unwrap().records.len(), 4);
@@ -122,7 +125,7 @@
         if let Ok(opened) = Journal::open(&path) {
             let again = Journal::open(&path).unwrap();
             prop_assert_eq!(opened.records, again.records);
-            prop_assert_eq!(again.cut, 0);
+            prop_assert_eq!(again.truncated_bytes, 0);
         }
     }
 }
--- a/components/journal/tests/power_loss.rs
+++ b/components/journal/tests/power_loss.rs
@@ -195,12 +195,12 @@
     let first = [b"dockjrn1".as_slice(), &record(b"one"), &record(b"two"), &[7; 5]].concat();
     fs::write(&path, &first).unwrap();
     let mut opened = Journal::open(&path).unwrap();
-    assert_eq!((opened.records.len(), opened.cut), (2, 5));
+    assert_eq!((opened.records.len(), opened.truncated_bytes), (2, 5));
     opened.journal.append(b"three");
     opened.journal.sync().unwrap();
     let opened = Journal::open(&path).unwrap();
     assert_eq!(opened.records, [b"one".to_vec(), b"two".to_vec(), b"three".to_vec()]);
-    assert_eq!(opened.cut, 0);
+    assert_eq!(opened.truncated_bytes, 0);
 }
 
 /// What users would see: a keeper whose journal can't be looked at begins anew on an empty one, and what
--- a/daemon/src/keeper_role/decide.rs
+++ b/daemon/src/keeper_role/decide.rs
@@ -123,7 +123,7 @@
         log: Option<EventLog>,
         now: Time,
     ) -> Self {
-        news_lines::recovered(log.as_ref(), &name, &keeper, journal.bytes());
+        news_lines::recovered(log.as_ref(), &name, &keeper, journal.synced_bytes());
         let mut decider = Self {
             name,
             keeper,
--- a/daemon/src/keeper_role/storage.rs
+++ b/daemon/src/keeper_role/storage.rs
@@ -30,7 +30,7 @@
 impl Storage {
     /// A journal that was just opened. Where its disk had no room for that, it is full.
     pub fn new(journal: Journal, now: Time) -> Self {
-        let full = (!journal.is_settled()).then(|| FullDisk::new(now));
+        let full = (!journal.is_synced()).then(|| FullDisk::new(now));
         Self { journal, full }
     }
 
@@ -46,7 +46,7 @@
 
     /// Bytes of the journal.
     pub fn bytes(&self) -> u64 {
-        self.journal.bytes()
+        self.journal.synced_bytes()
     }
 
     /// Stores what a batch of actions asks for, with one sync. Where there is no room, it waits.
@@ -97,13 +97,13 @@
     path: &Path,
     disk: Disk,
 ) -> Result<(Journal, Vec<Record>, u64), KeeperError> {
-    let opened = Journal::open_on(path, disk)?;
+    let opened = Journal::open_on_disk(path, disk)?;
     let mut records = Vec::with_capacity(opened.records.len());
     for (number, bytes) in opened.records.iter().enumerate() {
         let record = bincode::deserialize(bytes).map_err(|_| KeeperError::BadRecord(number))?;
         records.push(record);
     }
-    Ok((opened.journal, records, opened.cut))
+    Ok((opened.journal, records, opened.truncated_bytes))
 }
 
 /// A record's bytes in the journal.
