--- a/components/journal/src/disk.rs
+++ b/components/journal/src/disk.rs
@@ -1,42 +1,43 @@
-//! What takes a journal's bytes.
+//! Disk abstraction with an optional limit on free space, for tests of full disks.
 
 use std::fs::File;
 use std::io::{self, Write};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A disk; by default the real one. Tests give it a room of their own, which can be used up and made.
+/// The disk that a journal writes to. The default has no limit; tests can limit its free space.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    /// Bytes that it takes, where that is limited.
-    room: Option<Arc<AtomicU64>>,
+    /// Remaining free space in bytes, if limited.
+    free_bytes: Option<Arc<AtomicU64>>,
 }
 
 impl Disk {
-    /// A disk that takes so many bytes.
-    pub fn with_room(bytes: u64) -> Self {
-        Self { room: Some(Arc::new(AtomicU64::new(bytes))) }
+    /// Creates a disk with `bytes` of free space.
+    pub fn with_free_bytes(bytes: u64) -> Self {
+        Self { free_bytes: Some(Arc::new(AtomicU64::new(bytes))) }
     }
 
-    /// From now on it takes so many bytes, if its room is limited.
-    pub fn set_room(&self, bytes: u64) {
-        if let Some(room) = &self.room {
-            room.store(bytes, Ordering::Release);
+    /// Sets the free space in bytes. Does nothing if the disk is unlimited.
+    pub fn set_free_bytes(&self, bytes: u64) {
+        if let Some(free_bytes) = &self.free_bytes {
+            free_bytes.store(bytes, Ordering::Release);
         }
     }
 
-    /// Writes bytes; where they don't fit, as many as do.
+    /// Writes `bytes` to the file. If they exceed the free space, writes the part that fits and
+    /// returns [`io::ErrorKind::StorageFull`].
     pub(crate) fn write(&self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
-        let fits = self.take(bytes.len());
-        file.write_all(&bytes[..fits])?;
-        if fits < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        let reserved = self.reserve(bytes.len());
+        file.write_all(&bytes[..reserved])?;
+        if reserved < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
-    fn take(&self, bytes: usize) -> usize {
-        let Some(room) = &self.room else { return bytes };
-        let take = |room: u64| Some(room.saturating_sub(bytes as u64));
-        let before = room.fetch_update(Ordering::AcqRel, Ordering::Acquire, take);
-        let before = before.unwrap_or_else(|room| room);
-        bytes.min(usize::try_from(before).unwrap_or(usize::MAX))
+    fn reserve(&self, bytes: usize) -> usize {
+        let Some(free_bytes) = &self.free_bytes else { return bytes };
+        let reserve = |free_bytes: u64| Some(free_bytes.saturating_sub(bytes as u64));
+        let available = free_bytes.fetch_update(Ordering::AcqRel, Ordering::Acquire, reserve);
+        let available = available.unwrap_or_else(|free_bytes| free_bytes);
+        bytes.min(usize::try_from(available).unwrap_or(usize::MAX))
     }
 }
--- a/components/journal/src/error.rs
+++ b/components/journal/src/error.rs
@@ -1,68 +1,69 @@
-//! What can go wrong with a journal.
+//! Errors of the journal.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use thiserror::Error;
 
-/// Why a journal can't be used.
+/// An error when opening or writing a journal.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// The file system refused.
+    /// An I/O operation failed.
     #[error("{path}: {source}")]
     Io {
-        /// The file.
+        /// Path of the journal file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         #[source]
         source: io::Error,
     },
-    /// The disk has no room. What was handed in stays so, and may be written later.
+    /// The disk is full. Unsynced records stay pending and can be written by a later sync.
     #[error("{path}: {source}")]
     Full {
-        /// The file.
+        /// Path of the journal file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         #[source]
         source: io::Error,
     },
-    /// A record does not check out, and it is not a torn tail.
+    /// A record that is not part of a torn tail fails validation.
     #[error("{path}: damaged at byte {offset}: {reason}")]
     Damaged {
-        /// The file.
+        /// Path of the journal file.
         path: PathBuf,
-        /// Where the damaged record begins.
+        /// Offset of the damaged record.
         offset: u64,
-        /// What does not check out.
+        /// The check that failed.
         reason: &'static str,
     },
-    /// The file is no journal, or one of another format.
-    #[error("{path}: not a journal of this format")]
+    /// The file is not a journal or has an unsupported format.
+    #[error("{path}: not a journal file in a supported format")]
     NotAJournal {
-        /// The file.
+        /// Path of the journal file.
         path: PathBuf,
     },
-    /// A write or sync failed before: what the file holds is unknown until it is opened again.
-    #[error("{path}: given up after a failed write or sync")]
-    GivenUp {
-        /// The file.
+    /// An earlier write or sync failed. The content of the file is unknown until the journal is
+    /// opened again.
+    #[error("{path}: no longer writable after a failed write or sync")]
+    Failed {
+        /// Path of the journal file.
         path: PathBuf,
     },
 }
 
 impl JournalError {
-    /// What the file system answered.
-    pub(crate) fn of(path: &Path, source: io::Error) -> Self {
+    /// Classifies an I/O error on the file at `path`.
+    pub(crate) fn from_io(path: &Path, source: io::Error) -> Self {
         use io::ErrorKind::{FileTooLarge, QuotaExceeded, StorageFull};
         let path = path.to_owned();
         match source.kind() {
-            // A limit on the size of files or a quota is met like a full disk: it can be lifted.
+            // File size limits and quotas can be lifted, so they are treated like a full disk.
             StorageFull | QuotaExceeded | FileTooLarge => Self::Full { path, source },
             _ => Self::Io { path, source },
         }
     }
 
-    /// Whether the disk had no room, and nothing else is wrong.
+    /// Whether the disk is full.
     pub fn is_full(&self) -> bool {
         matches!(self, Self::Full { .. })
     }
--- a/components/journal/src/format.rs
+++ b/components/journal/src/format.rs
@@ -1,143 +1,158 @@
-//! Records as bytes.
+//! File format of the journal.
 //!
-//! A file is an eight-byte magic, then records and marks. A record is a twelve-byte head (length of
-//! the payload, CRC of the payload, CRC of the first eight bytes; little-endian), the payload, and an
-//! end byte that is not zero, so that a record cut short and filled with zeros by the file system
-//! never looks whole. A mark says that everything before it was synced; its bytes follow from its
-//! offset alone. Files of the first format have no marks.
+//! A file starts with an eight-byte magic, followed by records and sync markers. A record consists
+//! of a twelve-byte header (payload length, CRC of the payload, CRC of the first eight header
+//! bytes; little-endian), the payload, and a nonzero end byte, so that a truncated record that the
+//! file system fills with zeros is never valid. A sync marker states that all bytes before it were
+//! synced; its content is determined by its offset. Files of version 1 have no markers.
 
-/// The first bytes of every journal.
+/// Magic of the current version.
 pub(crate) const MAGIC: &[u8; 8] = b"dockjrn2";
-/// The first bytes of a journal of the first format.
-pub(crate) const FIRST_MAGIC: &[u8; 8] = b"dockjrn1";
-/// Bytes of a mark.
-pub(crate) const MARK: usize = 16;
-/// What a mark begins with. As the length of a record it would be far above any.
-const MARK_HEAD: [u8; 4] = [0xC3; 4];
-/// Set in every other byte of a mark: with two bits set, no flipped bit makes a byte zero, which is
-/// what a byte that never reached the disk reads as.
-const MARK_BITS: u8 = 0b1000_0001;
-/// Bytes of a mark that may differ for it to be taken for a spoilt one.
-const MARK_SPOILT: usize = 2;
-/// Bytes before a payload.
-const HEAD: usize = 12;
-/// The byte after a payload.
-const END: u8 = 0xA5;
+/// Magic of version 1.
+pub(crate) const V1_MAGIC: &[u8; 8] = b"dockjrn1";
+/// Length of a marker in bytes.
+pub(crate) const MARKER_LEN: usize = 16;
+/// Prefix of a marker. Interpreted as a record length it exceeds any real record.
+const MARKER_PREFIX: [u8; 4] = [0xC3; 4];
+/// Bits that are set in every byte of a marker after the prefix. With two bits set, a single
+/// flipped bit cannot make a byte zero, the value of a byte that never reached the disk.
+const MARKER_SET_BITS: u8 = 0b1000_0001;
+/// Maximum number of differing bytes for which a marker counts as corrupt.
+const MAX_CORRUPT_MARKER_BYTES: usize = 2;
+/// Length of a record header in bytes.
+const HEADER_LEN: usize = 12;
+/// Byte after the payload.
+const END_BYTE: u8 = 0xA5;
 
-/// How a file is laid out.
+/// Version of the file format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Format {
-    /// Records alone.
-    First,
-    /// Records, and marks of what was synced.
-    Marked,
+    /// Records without markers.
+    V1,
+    /// Records and sync markers.
+    V2,
 }
 
-/// What stands at an offset.
+/// Item at an offset of a file.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Parsed<'a> {
     /// The end of the file.
     End,
-    /// A record, and the offset behind it.
+    /// Payload of a record and the offset after the record.
     Record(&'a [u8], usize),
-    /// A mark, and the offset behind it.
-    Mark(usize),
-    /// What was being written when the process or host died.
+    /// Offset after a sync marker.
+    Marker(usize),
+    /// An incomplete write, interrupted by a crash or power loss.
     Torn,
-    /// Bytes that were synced once and do not check out.
+    /// Synced bytes that fail validation, with the reason.
     Damaged(&'static str),
 }
 
-/// The format that a file names.
-pub(crate) fn format(bytes: &[u8]) -> Option<Format> {
+/// Returns the format version, or `None` if the magic is unknown.
+pub(crate) fn detect_format(bytes: &[u8]) -> Option<Format> {
     match bytes {
-        _ if bytes.starts_with(MAGIC) => Some(Format::Marked),
-        _ if bytes.starts_with(FIRST_MAGIC) => Some(Format::First),
+        _ if bytes.starts_with(MAGIC) => Some(Format::V2),
+        _ if bytes.starts_with(V1_MAGIC) => Some(Format::V1),
         _ => None,
     }
 }
 
-/// Appends a record's bytes.
-pub(crate) fn write(payload: &[u8], out: &mut Vec<u8>) {
-    let length = u32::try_from(payload.len()).expect("records are far below 4 GiB");
-    let mut head = [0; 8];
-    head[..4].copy_from_slice(&length.to_le_bytes());
-    head[4..].copy_from_slice(&crc32fast::hash(payload).to_le_bytes());
-    out.extend_from_slice(&head);
-    out.extend_from_slice(&crc32fast::hash(&head).to_le_bytes());
+/// Appends an encoded record to `out`.
+pub(crate) fn encode_record(payload: &[u8], out: &mut Vec<u8>) {
+    let length = u32::try_from(payload.len()).expect("record payload is shorter than 4 GiB");
+    let mut header = [0; 8];
+    header[..4].copy_from_slice(&length.to_le_bytes());
+    header[4..].copy_from_slice(&crc32fast::hash(payload).to_le_bytes());
+    out.extend_from_slice(&header);
+    out.extend_from_slice(&crc32fast::hash(&header).to_le_bytes());
     out.extend_from_slice(payload);
-    out.push(END);
+    out.push(END_BYTE);
 }
 
-/// The mark that stands at an offset.
-pub(crate) fn mark(offset: u64) -> [u8; MARK] {
-    let mut mark = [0; MARK];
-    mark[..4].copy_from_slice(&MARK_HEAD);
-    mark[4..8].copy_from_slice(&crc32fast::hash(&offset.to_le_bytes()).to_le_bytes());
-    mark[8..].copy_from_slice(&offset.to_le_bytes());
-    mark[4..].iter_mut().for_each(|byte| *byte |= MARK_BITS);
-    mark
+/// Returns the marker for an offset.
+pub(crate) fn encode_marker(offset: u64) -> [u8; MARKER_LEN] {
+    let mut marker = [0; MARKER_LEN];
+    marker[..4].copy_from_slice(&MARKER_PREFIX);
+    marker[4..8].copy_from_slice(&crc32fast::hash(&offset.to_le_bytes()).to_le_bytes());
+    marker[8..].copy_from_slice(&offset.to_le_bytes());
+    marker[4..].iter_mut().for_each(|byte| *byte |= MARKER_SET_BITS);
+    marker
 }
 
-/// Reads what stands at an offset.
-pub(crate) fn parse(bytes: &[u8], offset: usize, format: Format) -> Parsed<'_> {
+/// Parses the item at an offset.
+pub(crate) fn parse_at(bytes: &[u8], offset: usize, format: Format) -> Parsed<'_> {
     let rest = &bytes[offset..];
     if rest.is_empty() {
         return Parsed::End;
     }
-    if format == Format::Marked && is_mark(bytes, offset) {
-        return Parsed::Mark(offset + MARK);
+    if format == Format::V2 && is_marker_at(bytes, offset) {
+        return Parsed::Marker(offset + MARKER_LEN);
     }
-    if rest.len() < HEAD {
+    if rest.len() < HEADER_LEN {
         return Parsed::Torn;
     }
-    let (head, body) = rest.split_at(HEAD);
-    if crc32fast::hash(&head[..8]) != number(&head[8..]) {
-        let reason = "the head of a record does not match its checksum";
-        return torn_or(reason, bytes, offset, format);
+    let (header, body) = rest.split_at(HEADER_LEN);
+    if crc32fast::hash(&header[..8]) != read_u32_le(&header[8..]) {
+        let reason = "record header does not match its checksum";
+        return torn_or_damaged(reason, bytes, offset, format);
     }
-    let length = number(&head[..4]) as usize;
+    let length = read_u32_le(&header[..4]) as usize;
     if body.len() < length + 1 {
         return Parsed::Torn;
     }
     let payload = &body[..length];
-    if body[length] != END || crc32fast::hash(payload) != number(&head[4..8]) {
-        return torn_or("a record does not match its checksum", bytes, offset, format);
+    if body[length] != END_BYTE || crc32fast::hash(payload) != read_u32_le(&header[4..8]) {
+        return torn_or_damaged(
+            "record does not match its checksum or end byte",
+            bytes,
+            offset,
+            format,
+        );
     }
-    Parsed::Record(payload, offset + HEAD + length + 1)
+    Parsed::Record(payload, offset + HEADER_LEN + length + 1)
 }
 
-/// Whether bytes that don't check out were being written, or had been synced.
-fn torn_or<'a>(reason: &'static str, bytes: &[u8], offset: usize, format: Format) -> Parsed<'a> {
+/// Classifies bytes that fail validation as torn or, if they had been synced, as damaged.
+fn torn_or_damaged<'a>(
+    reason: &'static str,
+    bytes: &[u8],
+    offset: usize,
+    format: Format,
+) -> Parsed<'a> {
     let torn = match format {
-        // A whole file never ends in a zero byte, a torn one may be filled up with them.
-        Format::First => bytes.last() == Some(&0),
-        Format::Marked => !is_spoilt_mark(bytes, offset) && !was_synced(bytes, offset),
+        // A complete file never ends in a zero byte, but a torn file may be padded with zeros.
+        Format::V1 => bytes.last() == Some(&0),
+        Format::V2 => !is_corrupt_marker(bytes, offset) && !has_later_marker(bytes, offset),
     };
     if torn { Parsed::Torn } else { Parsed::Damaged(reason) }
 }
 
-fn is_mark(bytes: &[u8], offset: usize) -> bool {
-    bytes[offset..].starts_with(&MARK_HEAD) && bytes[offset..].starts_with(&mark(offset as u64))
+fn is_marker_at(bytes: &[u8], offset: usize) -> bool {
+    bytes[offset..].starts_with(&MARKER_PREFIX)
+        && bytes[offset..].starts_with(&encode_marker(offset as u64))
 }
 
-/// Whether a mark stands anywhere behind an offset.
-fn was_synced(bytes: &[u8], offset: usize) -> bool {
-    (offset + 1..bytes.len()).any(|place| is_mark(bytes, place))
+/// Whether there is a marker anywhere after the offset.
+fn has_later_marker(bytes: &[u8], offset: usize) -> bool {
+    (offset + 1..bytes.len()).any(|candidate| is_marker_at(bytes, candidate))
 }
 
-/// Whether a mark stood here of which bits flipped. One that was torn lacks bytes, which are zero.
-fn is_spoilt_mark(bytes: &[u8], offset: usize) -> bool {
-    let expected = mark(offset as u64);
-    let found = &bytes[offset..];
-    if found.len() < MARK {
+/// Whether the bytes are a marker with flipped bits. A torn marker differs by zero bytes instead.
+fn is_corrupt_marker(bytes: &[u8], offset: usize) -> bool {
+    let expected = encode_marker(offset as u64);
+    let actual = &bytes[offset..];
+    if actual.len() < MARKER_LEN {
         return false;
     }
-    let differ: Vec<u8> =
-        found.iter().zip(expected).filter(|(a, b)| **a != *b).map(|(a, _)| *a).collect();
-    differ.len() <= MARK_SPOILT && !differ.contains(&0)
+    let different_bytes: Vec<u8> = actual
+        .iter()
+        .zip(expected)
+        .filter(|(actual_byte, expected_byte)| **actual_byte != *expected_byte)
+        .map(|(actual_byte, _)| *actual_byte)
+        .collect();
+    different_bytes.len() <= MAX_CORRUPT_MARKER_BYTES && !different_bytes.contains(&0)
 }
 
-fn number(bytes: &[u8]) -> u32 {
+fn read_u32_le(bytes: &[u8]) -> u32 {
     u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
--- a/components/journal/src/lib.rs
+++ b/components/journal/src/lib.rs
@@ -1,9 +1,8 @@
-//! A checked, synced, append-only file of records.
+//! Checksummed, append-only journal of records.
 //!
-//! Only synced records count. After a crash the file may end in a record that was being written:
-//! such a torn tail is cut off. Anything else that does not check out is damage, and the file is
-//! refused with the offset, rather than read past. What a full disk refuses stays with the journal,
-//! which writes it once there is room. The file's format stands in `docs/design/settings.md`.
+//! Only synced records count. A crash may leave an incomplete write at the end of the file; such a
+//! torn tail is discarded. Any other invalid bytes are damage: opening fails and reports the
+//! offset. Records that a full disk refuses stay pending and are written once there is free space.
 
 mod disk;
 mod error;
@@ -13,5 +12,5 @@
 
 pub use disk::Disk;
 pub use error::JournalError;
-pub use file::{Journal, Opened};
+pub use file::{Journal, OpenedJournal};
 pub use replace::replace_file;
--- a/components/journal/src/replace.rs
+++ b/components/journal/src/replace.rs
@@ -1,33 +1,36 @@
-//! Files that are replaced whole.
+//! Atomic replacement of files.
 
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Ending of the file that a replacement is prepared in.
-const ASIDE: &str = "new";
+/// Extension of the temporary file that holds the new content.
+const TEMPORARY_EXTENSION: &str = "new";
 
-/// Where the replacement of a file is prepared.
-pub(crate) fn aside(path: &Path) -> PathBuf {
-    path.with_extension(ASIDE)
+/// Returns the path of the temporary file for `path`.
+pub(crate) fn temporary_path(path: &Path) -> PathBuf {
+    path.with_extension(TEMPORARY_EXTENSION)
 }
 
-/// Puts what is written in the place of a file, or in none's: written aside, synced, renamed, folder synced, so that a
-/// crash leaves the old file or the new one. One that could not be written is removed, since it takes what room there is.
+/// Creates or atomically replaces a file with the content written by `write`.
+///
+/// The content is written to a temporary file, synced and renamed, and the directory is synced, so
+/// a crash leaves either the old or the new file. If writing fails, the temporary file is removed
+/// to free its space.
 pub fn replace_file(
     path: &Path,
     write: impl FnOnce(&mut File) -> io::Result<()>,
 ) -> io::Result<()> {
-    let aside = aside(path);
-    let written = write_synced(&aside, write);
+    let temporary_path = temporary_path(path);
+    let written = write_synced(&temporary_path, write);
     if written.is_err() {
-        // What can't be removed is written over by the next try.
-        let _ = fs::remove_file(&aside);
+        // If the temporary file cannot be removed, the next attempt overwrites it.
+        let _ = fs::remove_file(&temporary_path);
     }
     written?;
-    fs::rename(&aside, path)?;
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
-    File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
+    fs::rename(&temporary_path, path)?;
+    let directory = path.parent().filter(|directory| !directory.as_os_str().is_empty());
+    File::open(directory.unwrap_or(Path::new(".")))?.sync_all()
 }
 
 fn write_synced(path: &Path, write: impl FnOnce(&mut File) -> io::Result<()>) -> io::Result<()> {
--- a/components/journal/tests/full_disk.rs
+++ b/components/journal/tests/full_disk.rs
@@ -1,76 +1,85 @@
-//! Journals on a disk without room: at each byte, and again with room.
+//! Tests of journals on a full disk: writes fail at every byte and succeed once there is free
+//! space.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use journal::{Disk, Journal, Opened};
+use journal::{Disk, Journal, OpenedJournal};
 use tempfile::TempDir;
 
-const PLENTY: u64 = 1 << 20;
+const AMPLE_SPACE: u64 = 1 << 20;
 
-fn folder() -> (TempDir, PathBuf) {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
-    (folder, path)
+fn directory() -> (TempDir, PathBuf) {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("log");
+    (directory, path)
 }
 
 fn records(path: &Path) -> Vec<Vec<u8>> {
     Journal::open(path).unwrap().records
 }
 
-/// A journal with one record, on a disk of its own.
-fn with_first(path: &Path) -> (Journal, Disk) {
-    let disk = Disk::with_room(PLENTY);
+/// Creates a journal with one record on a disk with limited free space.
+fn journal_with_one_record(path: &Path) -> (Journal, Disk) {
+    let disk = Disk::with_free_bytes(AMPLE_SPACE);
     let mut journal = Journal::open_on_disk(path, disk.clone()).unwrap().journal;
     journal.append(b"first");
     journal.sync().unwrap();
     (journal, disk)
 }
 
-/// A keeper's disk had room for a part of a record: the journal was given up, and the keeper ended.
+/// Guards against giving up a journal after a partial write to a full disk.
 #[test]
-fn what_finds_no_room_is_written_once_there_is() {
-    for room in 0..60 {
-        let (_folder, path) = folder();
-        let (mut journal, disk) = with_first(&path);
-        disk.set_room(room);
+fn refused_records_are_written_once_there_is_space() {
+    for free_bytes in 0..60 {
+        let (_directory, path) = directory();
+        let (mut journal, disk) = journal_with_one_record(&path);
+        disk.set_free_bytes(free_bytes);
         journal.append(b"second, which is longer");
         let stored = journal.sync();
-        assert_eq!(stored.is_err(), room < 36, "room for {room}: a record of 23 bytes takes 36");
+        assert_eq!(
+            stored.is_err(),
+            free_bytes < 36,
+            "{free_bytes} bytes free: a record of 23 bytes takes 36"
+        );
         assert!(stored.err().is_none_or(|error| error.is_full()));
-        assert_eq!(journal.is_synced(), room >= 36);
+        assert_eq!(journal.is_synced(), free_bytes >= 36);
         journal.append(b"third");
-        disk.set_room(PLENTY);
+        disk.set_free_bytes(AMPLE_SPACE);
         journal.sync().unwrap();
         assert!(journal.is_synced());
-        assert_eq!(records(&path), [&b"first"[..], b"second, which is longer", b"third"], "{room}");
+        assert_eq!(
+            records(&path),
+            [&b"first"[..], b"second, which is longer", b"third"],
+            "{free_bytes}"
+        );
     }
 }
 
-/// What is on the disk while it is full is what was synced before: a host that dies then loses nothing of it.
+/// Guards against losing synced records in a crash while the disk is full.
 #[test]
-fn a_journal_whose_disk_is_full_opens_with_all_that_was_synced() {
-    for room in 0..36 {
-        let (_folder, path) = folder();
-        let (mut journal, disk) = with_first(&path);
-        disk.set_room(room);
+fn journal_on_a_full_disk_opens_with_all_synced_records() {
+    for free_bytes in 0..36 {
+        let (_directory, path) = directory();
+        let (mut journal, disk) = journal_with_one_record(&path);
+        disk.set_free_bytes(free_bytes);
         journal.append(b"second, which is longer");
         assert!(journal.sync().is_err());
         drop(journal);
-        // The disk is full still; what a power failure leaves of the refused bytes is any part of them.
+        // The disk is still full, and a power failure may leave any prefix of the refused bytes.
         let written = fs::read(&path).unwrap();
         let opened = Journal::open_on_disk(&path, disk.clone()).unwrap();
-        assert_eq!(opened.records, [b"first"], "room for {room}");
+        assert_eq!(opened.records, [b"first"], "{free_bytes} bytes free");
         drop(opened);
         for end in 45..=written.len() {
             fs::write(&path, &written[..end]).unwrap();
-            disk.set_room(0);
-            let Opened { mut journal, records: found, .. } =
+            disk.set_free_bytes(0);
+            let OpenedJournal { mut journal, records: found, .. } =
                 Journal::open_on_disk(&path, disk.clone()).unwrap();
-            assert_eq!(found, [b"first"], "room for {room}, {end} bytes left");
+            assert_eq!(found, [b"first"], "{free_bytes} bytes free, {end} bytes left");
             journal.append(b"after");
             assert!(journal.sync().is_err());
-            disk.set_room(PLENTY);
+            disk.set_free_bytes(AMPLE_SPACE);
             journal.sync().unwrap();
             assert_eq!(records(&path), [&b"first"[..], b"after"]);
         }
@@ -78,52 +87,52 @@
 }
 
 #[test]
-fn a_replacement_that_finds_no_room_leaves_what_there_was_and_comes_later() {
-    // Magic, record and mark.
-    for room in 0..8 + 22 + 16 {
-        let (_folder, path) = folder();
-        let (mut journal, disk) = with_first(&path);
-        disk.set_room(room);
+fn refused_replacement_keeps_old_records_and_is_retried() {
+    // Length of magic, record and marker.
+    for free_bytes in 0..8 + 22 + 16 {
+        let (_directory, path) = directory();
+        let (mut journal, disk) = journal_with_one_record(&path);
+        disk.set_free_bytes(free_bytes);
         journal.replace(&[b"compacted".to_vec()]);
-        assert!(journal.sync().unwrap_err().is_full(), "room for {room}");
-        assert_eq!(records(&path), [b"first"], "what was there is whole");
-        // Whoever opened it may have removed what was prepared.
+        assert!(journal.sync().unwrap_err().is_full(), "{free_bytes} bytes free");
+        assert_eq!(records(&path), [b"first"], "the old records are intact");
+        // Opening the journal above may have removed the temporary file.
         journal.append(b"behind it");
-        disk.set_room(PLENTY);
+        disk.set_free_bytes(AMPLE_SPACE);
         journal.sync().unwrap();
         assert_eq!(records(&path), [&b"compacted"[..], b"behind it"]);
     }
 }
 
-/// A full disk stopped a keeper at its opening: records that no mark named were to be written anew.
+/// Guards against failing to open a journal with unmarked records on a full disk.
 #[test]
-fn unmarked_records_are_read_on_a_full_disk_and_written_anew_later() {
-    let (_folder, path) = folder();
-    drop(with_first(&path));
+fn unmarked_records_are_read_on_a_full_disk_and_rewritten_later() {
+    let (_directory, path) = directory();
+    drop(journal_with_one_record(&path));
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, &bytes[..bytes.len() - 16]).unwrap();
-    let disk = Disk::with_room(0);
-    let Opened { mut journal, records: found, .. } =
+    let disk = Disk::with_free_bytes(0);
+    let OpenedJournal { mut journal, records: found, .. } =
         Journal::open_on_disk(&path, disk.clone()).unwrap();
     assert_eq!(found, [b"first"]);
-    assert!(!journal.is_synced(), "its records don't count yet");
+    assert!(!journal.is_synced(), "the records are not rewritten yet");
     assert!(journal.sync().is_err());
-    disk.set_room(PLENTY);
+    disk.set_free_bytes(AMPLE_SPACE);
     journal.sync().unwrap();
     assert!(journal.is_synced());
     assert_eq!(records(&path), [b"first"]);
 }
 
 #[test]
-fn a_new_journal_on_a_full_disk_is_made_later() {
-    let (_folder, path) = folder();
-    let disk = Disk::with_room(0);
+fn new_journal_on_a_full_disk_is_created_later() {
+    let (_directory, path) = directory();
+    let disk = Disk::with_free_bytes(0);
     let mut journal = Journal::open_on_disk(&path, disk.clone()).unwrap().journal;
     assert!(!journal.is_synced());
     journal.replace(&[b"blank".to_vec()]);
     journal.append(b"more");
     assert!(journal.sync().unwrap_err().is_full());
-    disk.set_room(PLENTY);
+    disk.set_free_bytes(AMPLE_SPACE);
     journal.sync().unwrap();
     assert_eq!(records(&path), [&b"blank"[..], b"more"]);
 }
--- a/components/journal/tests/journal.rs
+++ b/components/journal/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Journals cut at every byte, with flipped bits, on a broken disk.
+//! Tests of truncated, corrupt and failing journal files.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,22 +7,22 @@
 use proptest::prelude::*;
 use tempfile::TempDir;
 
-fn write(records: &[&[u8]]) -> (TempDir, PathBuf) {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
+fn write_journal(records: &[&[u8]]) -> (TempDir, PathBuf) {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("log");
     let mut journal = Journal::open(&path).unwrap().journal;
     for record in records {
         journal.append(record);
         journal.sync().unwrap();
     }
-    (folder, path)
+    (directory, path)
 }
 
 const RECORDS: [&[u8]; 3] = [b"first\0\0", b"", b"third"];
 
 #[test]
-fn records_read_back_and_more_can_follow() {
-    let (_folder, path) = write(&RECORDS);
+fn records_are_read_back_and_appending_continues() {
+    let (_directory, path) = write_journal(&RECORDS);
     let mut opened = Journal::open(&path).unwrap();
     assert_eq!(
         (opened.records.as_slice(), opened.truncated_bytes),
@@ -33,43 +33,51 @@
     assert_eq!(Journal::open(&path).unwrap().records.len(), 4);
 }
 
-/// Bytes of the mark that a file ends in.
-const MARK: usize = 16;
+/// Length of the sync marker at the end of a file.
+const MARKER_LEN: usize = 16;
 
 #[test]
-fn a_file_cut_anywhere_keeps_its_whole_records() {
-    let (_folder, path) = write(&RECORDS);
-    let whole = fs::read(&path).unwrap();
-    let mut seen = 0;
-    for length in 8..whole.len() {
-        for fill in [0, 5] {
-            let mut cut = whole[..length].to_vec();
-            cut.resize(length + fill, 0);
-            fs::write(&path, &cut).unwrap();
+fn truncated_file_keeps_its_complete_records() {
+    let (_directory, path) = write_journal(&RECORDS);
+    let complete = fs::read(&path).unwrap();
+    let mut max_count = 0;
+    for length in 8..complete.len() {
+        for padding in [0, 5] {
+            let mut truncated = complete[..length].to_vec();
+            truncated.resize(length + padding, 0);
+            fs::write(&path, &truncated).unwrap();
             let mut opened = Journal::open(&path).unwrap();
             let count = opened.records.len();
-            assert_eq!(opened.records, RECORDS.map(<[u8]>::to_vec)[..count], "cut at {length}");
-            assert!(count >= seen, "records lost at {length}");
-            assert_eq!(count == RECORDS.len(), length + MARK >= whole.len(), "cut at {length}");
-            seen = count;
+            assert_eq!(
+                opened.records,
+                RECORDS.map(<[u8]>::to_vec)[..count],
+                "truncated at {length}"
+            );
+            assert!(count >= max_count, "records lost at {length}");
+            assert_eq!(
+                count == RECORDS.len(),
+                length + MARKER_LEN >= complete.len(),
+                "truncated at {length}"
+            );
+            max_count = count;
             opened.journal.append(b"after");
             opened.journal.sync().unwrap();
             assert_eq!(Journal::open(&path).unwrap().records.len(), count + 1);
         }
     }
-    assert_eq!(seen, RECORDS.len());
+    assert_eq!(max_count, RECORDS.len());
 }
 
 #[test]
-fn every_flipped_bit_is_refused_with_file_and_offset() {
-    let (_folder, path) = write(&RECORDS);
-    let whole = fs::read(&path).unwrap();
-    for byte in 0..whole.len() {
+fn flipped_bits_are_refused_with_offset() {
+    let (_directory, path) = write_journal(&RECORDS);
+    let complete = fs::read(&path).unwrap();
+    for byte in 0..complete.len() {
         for bit in 0..8 {
-            let mut flipped = whole.clone();
+            let mut flipped = complete.clone();
             flipped[byte] ^= 1 << bit;
             fs::write(&path, &flipped).unwrap();
-            let error = Journal::open(&path).expect_err("a flipped bit went unseen");
+            let error = Journal::open(&path).expect_err("a flipped bit was not detected");
             match error {
                 JournalError::Damaged { offset, .. } => assert!(offset as usize <= byte),
                 JournalError::NotAJournal { .. } => assert!(byte < 8),
@@ -80,8 +88,8 @@
 }
 
 #[test]
-fn unsynced_records_do_not_count() {
-    let (_folder, path) = write(&RECORDS);
+fn unsynced_records_are_not_read_back() {
+    let (_directory, path) = write_journal(&RECORDS);
     let mut journal = Journal::open(&path).unwrap().journal;
     journal.append(b"never synced");
     drop(journal);
@@ -89,20 +97,20 @@
 }
 
 #[test]
-fn nothing_is_taken_after_a_failed_write() {
-    let (_folder, path) = write(&RECORDS);
+fn writes_are_refused_after_a_failed_write() {
+    let (_directory, path) = write_journal(&RECORDS);
     let mut journal = Journal::open(&path).unwrap().journal;
-    journal.break_for_test().unwrap();
+    journal.fail_writes_for_test().unwrap();
     journal.append(b"lost");
     assert!(matches!(journal.sync(), Err(JournalError::Io { .. })));
-    assert!(matches!(journal.sync(), Err(JournalError::GivenUp { .. })));
-    assert!(matches!(journal.rewrite(&[]), Err(JournalError::GivenUp { .. })));
+    assert!(matches!(journal.sync(), Err(JournalError::Failed { .. })));
+    assert!(matches!(journal.rewrite(&[]), Err(JournalError::Failed { .. })));
     assert_eq!(Journal::open(&path).unwrap().records.len(), 3);
 }
 
 #[test]
-fn a_rewrite_replaces_everything_and_a_half_made_one_nothing() {
-    let (_folder, path) = write(&RECORDS);
+fn rewrite_is_atomic() {
+    let (_directory, path) = write_journal(&RECORDS);
     let mut journal = Journal::open(&path).unwrap().journal;
     journal.rewrite(&[b"snapshot".to_vec()]).unwrap();
     journal.append(b"next");
@@ -116,9 +124,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("log");
+    fn arbitrary_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        let directory = tempfile::tempdir().unwrap();
+        let path = directory.path().join("log");
         let mut file = b"dockjrn1".to_vec();
         file.extend(bytes);
         fs::write(&path, &file).unwrap();
