--- a/components/journal/src/file.rs
+++ b/components/journal/src/file.rs
@@ -36,6 +36,7 @@
     replacement: Option<Vec<u8>>,
     /// Encoded records to be appended.
     pending: Vec<u8>,
+    /// Whether a write or sync failed for another reason than a full disk.
     failed: bool,
 }
 
--- a/components/membership/src/detector.rs
+++ b/components/membership/src/detector.rs
@@ -27,7 +27,7 @@
 /// Probe intervals and timeouts.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Interval between two probes of a node.
+    /// Interval between two probes sent by a node.
     pub period: Duration,
     /// Time without an acknowledgement after which indirect probes are requested.
     pub direct_timeout: Duration,
@@ -203,9 +203,7 @@
 
     /// Declares nodes dead whose suspicion timed out without a refutation.
     fn expire_suspicions(&mut self, now: Time, out: &mut Vec<Event>) {
-        let due = |(_, member): &(&NodeName, &Member)| {
-            member.dead_at.is_some_and(|dead_at| dead_at <= now)
-        };
+        let due = |(_, member): &(&NodeName, &Member)| member.dead_at.is_some_and(|at| at <= now);
         let dead: Vec<(NodeName, u64)> = self
             .members
             .iter()
--- a/components/membership/src/gossip.rs
+++ b/components/membership/src/gossip.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns up to `count` updates for a message. An update is dropped from the queue after
-    /// `times` transmissions.
+    /// `max_transmissions` transmissions.
     pub fn take(&mut self, count: usize, max_transmissions: u32) -> Vec<Update> {
         self.queue.sort_by_key(|(sent, _)| *sent);
         let taken: Vec<Update> =
--- a/components/membership/src/message.rs
+++ b/components/membership/src/message.rs
@@ -10,14 +10,14 @@
 pub enum Message {
     /// Requests an acknowledgement.
     Ping {
-        /// Sequence number of the sender's pings.
+        /// Sequence number of the ping, assigned by the sender.
         number: u64,
         /// Piggybacked updates.
         updates: Vec<Update>,
     },
     /// Requests an indirect probe: the receiver pings `target` on behalf of the sender.
     PingFor {
-        /// Sequence number of the sender's pings.
+        /// Sequence number of the ping, assigned by the sender.
         number: u64,
         /// The node to ping.
         target: NodeName,
--- a/components/placement/src/fair_queue.rs
+++ b/components/placement/src/fair_queue.rs
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Drops the state of an idle team that is not ahead of the current virtual time.
+    /// Drops the state of an idle team that is not ahead of the current virtual time, and of all
+    /// teams if no team has waiting jobs.
     fn drop_idle_team(&mut self, name: &Arc<str>) {
         if self.teams[name].virtual_time <= self.virtual_time {
             self.teams.remove(name);
--- a/components/placement/src/target_pool.rs
+++ b/components/placement/src/target_pool.rs
@@ -13,7 +13,8 @@
     pub remote: bool,
     /// Number of the rack, assigned by the entry.
     pub rack: u32,
-    /// Penalty of the target: 0 by default, higher if it is slow or overloaded. Lower is preferred.
+    /// Penalty of the target: 0 by default, higher for a straggling or suspected target. Lower is
+    /// preferred.
     pub penalty: u8,
 }
 
--- a/components/subset/src/subset.rs
+++ b/components/subset/src/subset.rs
@@ -25,15 +25,15 @@
 }
 
 /// Grace period for which an entry stays a candidate after the keepers stopped listing it. A
-/// restarted keeper lists only nodes that have registered since, and every node registers within a
-/// second.
+/// restarted keeper lists only nodes that have registered since; all nodes register again within
+/// this period.
 const ABSENCE_GRACE: Duration = Duration::from_secs(3);
 /// Time for which the required subset size has to stay above or below the current size before the
 /// current size changes. It is longer than all nodes take to register after a common start or a
 /// restart of the keepers.
 const SIZE_CHANGE_DELAY: Duration = Duration::from_secs(2);
 
-/// An entry that is registered with a keeper, or was during the grace period.
+/// An entry that is registered with a keeper, or was within the grace period.
 #[derive(Clone, Debug)]
 struct RegisteredEntry {
     name: NodeName,
@@ -43,7 +43,7 @@
 /// Selects the entries with which one agent keeps sessions.
 #[derive(Debug)]
 pub struct Subset {
-    own: NodeName,
+    agent: NodeName,
     sizes: SubsetSizes,
     entries: BTreeMap<SocketAddr, RegisteredEntry>,
     /// Registered agents of the same service, including this one.
@@ -52,10 +52,10 @@
 }
 
 impl Subset {
-    /// Creates the selection of the agent `own`, without any registered entries.
-    pub fn new(own: NodeName, sizes: SubsetSizes) -> Self {
+    /// Creates the selection of `agent`, without any registered entries.
+    pub fn new(agent: NodeName, sizes: SubsetSizes) -> Self {
         let count = DebouncedCount::new(sizes.entries_of_agent);
-        Self { own, sizes, entries: BTreeMap::new(), agents: 1, count }
+        Self { agent, sizes, entries: BTreeMap::new(), agents: 1, count }
     }
 
     /// Updates the registered entries and the number of registered agents of the service.
@@ -93,7 +93,7 @@
         selected
     }
 
-    /// Whether the entry is registered with a keeper, or was during the grace period.
+    /// Whether the entry is registered with a keeper, or was within the grace period.
     pub fn contains(&self, address: SocketAddr) -> bool {
         self.entries.contains_key(&address)
     }
@@ -107,7 +107,7 @@
     }
 
     fn hash_weight(&self, entry: &NodeName) -> u64 {
-        let seed = xxh3_64_with_seed(self.own.as_str().as_bytes(), 0);
+        let seed = xxh3_64_with_seed(self.agent.as_str().as_bytes(), 0);
         xxh3_64_with_seed(entry.as_str().as_bytes(), seed)
     }
 }
--- a/components/subset/tests/subset.rs
+++ b/components/subset/tests/subset.rs
@@ -28,7 +28,10 @@
 }
 
 /// The selections of all agents after the counts have settled.
-fn settled(entries: &[(NodeName, SocketAddr)], agents: usize) -> Vec<BTreeSet<SocketAddr>> {
+fn settled_selections(
+    entries: &[(NodeName, SocketAddr)],
+    agents: usize,
+) -> Vec<BTreeSet<SocketAddr>> {
     let select = |number| {
         let mut subset = agent(number);
         for second in 0..4 {
@@ -55,7 +58,7 @@
 fn large_site_has_small_subsets_and_enough_agents_per_entry() {
     for (entry_count, agent_count) in [(51, 240), (100, 470), (400, 1_875)] {
         let all_entries = entries(entry_count);
-        let selected = settled(&all_entries, agent_count);
+        let selected = settled_selections(&all_entries, agent_count);
         assert!(selected.iter().all(|entries| entries.len() == 6), "{entry_count}");
         let agent_counts = agents_per_entry(&selected);
         assert_eq!(agent_counts.len(), usize::from(entry_count), "no entry is left out");
@@ -67,7 +70,7 @@
 #[test]
 fn small_site_serves_every_entry_from_every_agent() {
     for (entry_count, agent_count) in [(1, 3), (3, 11), (4, 11), (5, 24), (6, 28)] {
-        let selected = settled(&entries(entry_count), agent_count);
+        let selected = settled_selections(&entries(entry_count), agent_count);
         assert!(selected.iter().all(|entries| entries.len() == usize::from(entry_count)));
     }
 }
@@ -75,12 +78,12 @@
 /// With few agents, the minimum subset size would leave entries with too few agents.
 #[test]
 fn few_agents_serve_larger_subsets() {
-    let selected = settled(&entries(60), 12);
+    let selected = settled_selections(&entries(60), 12);
     assert!(
         selected.iter().all(|entries| entries.len() == 60),
         "fewer agents than each entry requires"
     );
-    let selected = settled(&entries(60), 120);
+    let selected = settled_selections(&entries(60), 120);
     assert!(selected.iter().all(|entries| entries.len() == 14));
 }
 
