--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -1,7 +1,8 @@
-//! Whether a job can meet its deadline, from measured service times and what waits ahead of it.
+//! Admission control: estimates whether a job can meet its deadline from measured service times and
+//! the tasks queued ahead of it.
 
 mod estimate;
 mod service_times;
 
-pub use estimate::{Load, estimate};
+pub use estimate::{QueueLoad, estimate_completion};
 pub use service_times::ServiceTimes;
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! The routes of a fleet: which request belongs to which queue, and what holds for its jobs.
+//! Route table: maps requests to queues and services, and holds the execution policy of each route.
 
 mod error;
 mod table;
 
-pub use error::InvalidTable;
-pub use table::{Route, RouteTable, ServiceInfo, TransferLimits};
+pub use error::InvalidRouteTable;
+pub use table::{HttpLimits, Route, RouteTable, ServiceInfo};
