--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -184,8 +184,8 @@
     }
 
     /// The settings in force, as INI: what was written and the defaults.
-    pub fn in_force(&self) -> String {
-        self.sections.in_force(&self.node.roles)
+    pub fn effective_settings(&self) -> String {
+        self.sections.effective_settings(&self.node.roles)
     }
 }
 
--- a/daemon/src/config/keys.rs
+++ b/daemon/src/config/keys.rs
@@ -264,7 +264,7 @@
     }
 
     /// The settings in force of the sections that these roles use.
-    pub fn in_force(&self, roles: &[Role]) -> String {
+    pub fn effective_settings(&self, roles: &[Role]) -> String {
         let used = |section: &str| match section {
             ENTRY => roles.contains(&Role::Entry),
             AGENT => roles.contains(&Role::Agent),
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -37,7 +37,7 @@
         }
     };
     if arguments.get_flag("check") {
-        print!("{}", config.in_force());
+        print!("{}", config.effective_settings());
         return ExitCode::SUCCESS;
     }
     if arguments.get_flag("init-keeper") {
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -15,10 +15,10 @@
 #[test]
 fn a_checked_file_shows_what_is_in_force() {
     let config = Config::from_ini(AGENT).unwrap();
-    let text = config.in_force();
+    let text = config.effective_settings();
     assert!(text.contains("slots = 8\n") && text.contains("service = booking\n"), "{text}");
     assert!(!text.contains("[entry]") && !text.contains("[keeper]"), "{text}");
-    assert_eq!(Config::from_ini(&text).unwrap().in_force(), text);
+    assert_eq!(Config::from_ini(&text).unwrap().effective_settings(), text);
 }
 
 #[test]
