--- a/daemon/src/keeper_role/decide.rs
+++ b/daemon/src/keeper_role/decide.rs
@@ -13,7 +13,7 @@
 use spdlog::error;
 
 use super::news_lines;
-use super::peers::ToPeers;
+use super::peers::PeersInput;
 use super::storage::Storage;
 use crate::driver::Decider;
 use crate::event_log::EventLog;
@@ -102,7 +102,7 @@
     name: NodeName,
     keeper: Keeper,
     storage: Storage,
-    peers: Sender<ToPeers>,
+    peers: Sender<PeersInput>,
     waiting: HashMap<CallId, Sender<Reply>>,
     next_ticket: u64,
     actions: Vec<Action>,
@@ -119,7 +119,7 @@
         name: NodeName,
         keeper: Keeper,
         journal: Journal,
-        peers: Sender<ToPeers>,
+        peers: Sender<PeersInput>,
         log: Option<EventLog>,
         now: Time,
     ) -> Self {
@@ -250,7 +250,7 @@
                 Action::Store(_) | Action::Rewrite(_) => {}
                 Action::Send(to, message) => {
                     // A message that finds no room is as one that is lost.
-                    let _ = self.peers.try_send(ToPeers::Message(to, message));
+                    let _ = self.peers.try_send(PeersInput::Message(to, message));
                 }
                 Action::Respond(ticket, reply) => {
                     if let Some(waiting) = self.waiting.remove(&ticket) {
--- a/daemon/src/keeper_role/mod.rs
+++ b/daemon/src/keeper_role/mod.rs
@@ -33,7 +33,7 @@
 
 pub use decide::KeeperStatus;
 use decide::{Input, KeeperDecider, RosterLink};
-use peers::ToPeers;
+use peers::PeersInput;
 use storage::{read_journal, write_record};
 
 /// The journal's file in the data folder.
@@ -110,7 +110,7 @@
     address: SocketAddr,
     node_address: SocketAddr,
     ring: Sender<Input>,
-    peers: Sender<ToPeers>,
+    peers: Sender<PeersInput>,
     duties: Vec<Duty>,
 }
 
@@ -205,7 +205,9 @@
 
     pub(crate) fn list_subscriber(&self) -> ListSubscriber {
         let peers = self.peers.clone();
-        Box::new(move |list: &HostList| peers.send_blocking(ToPeers::Hosts(list.clone())).is_ok())
+        Box::new(move |list: &HostList| {
+            peers.send_blocking(PeersInput::Hosts(list.clone())).is_ok()
+        })
     }
 
     /// Ends after the batch in hand.
--- a/daemon/src/keeper_role/peers.rs
+++ b/daemon/src/keeper_role/peers.rs
@@ -34,7 +34,7 @@
 
 /// What reaches the thread.
 #[derive(Debug)]
-pub(crate) enum ToPeers {
+pub(crate) enum PeersInput {
     /// A message for another keeper.
     Message(NodeName, Message),
     /// The platform's list: a keeper that was replaced may have another address.
@@ -63,14 +63,14 @@
     own: NodeName,
     tasks: Tasks,
     addresses: HashMap<NodeName, SocketAddr>,
-    inputs: Receiver<ToPeers>,
+    inputs: Receiver<PeersInput>,
     notice: impl Notice,
 ) {
     let addresses: Addresses = Rc::new(RefCell::new(addresses));
     let mut lanes: HashMap<NodeName, Sender<Message>> = HashMap::new();
     while let Ok(input) = inputs.recv().await {
         match input {
-            ToPeers::Message(to, message) => {
+            PeersInput::Message(to, message) => {
                 let lane = lanes.entry(to.clone()).or_insert_with(|| {
                     let (lane, waiting) = async_channel::bounded(WAITING);
                     let lane_task =
@@ -81,7 +81,7 @@
                 // A message that finds no room is as one that is lost.
                 let _ = lane.try_send(message);
             }
-            ToPeers::Hosts(list) => set_addresses(&addresses, &list),
+            PeersInput::Hosts(list) => set_addresses(&addresses, &list),
         }
     }
 }
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -19,7 +19,7 @@
 use futures_lite::{AsyncReadExt, FutureExt};
 use model::{Incarnation, NodeName};
 use net::Tasks;
-use peers::ToPeers;
+use peers::PeersInput;
 use room_support::{Fleet, eventually};
 use session::SessionSender;
 use socket2::SockRef;
@@ -80,7 +80,7 @@
 }
 
 /// Runs a keeper's thread that sends to others, until the ring of its inputs is dropped.
-fn start_sender() -> async_channel::Sender<ToPeers> {
+fn start_sender() -> async_channel::Sender<PeersInput> {
     let (inputs, taken) = async_channel::bounded(64);
     thread::spawn(move || {
         net::block_on(|tasks| async move {
@@ -102,7 +102,7 @@
     let to = NodeName::new(&address.to_string());
     let inputs = start_sender();
     let send = || {
-        let message = ToPeers::Message(to.clone(), Message::Join);
+        let message = PeersInput::Message(to.clone(), Message::Join);
         inputs.send_blocking(message).expect("the sender runs");
     };
     send();
@@ -176,7 +176,7 @@
     let to = NodeName::new(&address.to_string());
     let inputs = start_sender();
     for number in 1..=3 {
-        let message = ToPeers::Message(to.clone(), Message::Join);
+        let message = PeersInput::Message(to.clone(), Message::Join);
         inputs.send_blocking(message).expect("the sender runs");
         assert!(told.recv_timeout(PATIENCE).is_ok(), "message {number} is lost");
     }
@@ -207,7 +207,7 @@
         sent: model::Time::default(),
         leader_confirmed: false,
     };
-    inputs.send_blocking(ToPeers::Message(to, append)).expect("the sender runs");
+    inputs.send_blocking(PeersInput::Message(to, append)).expect("the sender runs");
     let (mut stream, _) = listener.accept().expect("a connection");
     let mut taken = 0;
     let mut chunk = vec![0; SLOW_CHUNK];
