--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -77,7 +77,7 @@
 ) -> Result<(), CapacityNodeError> {
     let clock = context.clock;
     let node = &context.config.node;
-    let timing = Timing { max_lease: config.longest_lease, ..Timing::default() };
+    let timing = Timing { max_lease: config.max_lease, ..Timing::default() };
     let agent = Rc::new(Agent {
         log: context.log.clone(),
         clock,
@@ -87,7 +87,7 @@
         runner: RefCell::new(Runner::new(node.name.clone(), timing, clock.now())),
         sessions: RefCell::default(),
         message_counters: MessageCounters::default(),
-        subset: RefCell::new(Subset::new(node.name.clone(), config.sizes)),
+        subset: RefCell::new(Subset::new(node.name.clone(), config.subset_sizes)),
         contacts: RefCell::default(),
         last_session: Cell::new(0),
         stop_grace: Cell::new(node.stop_grace),
--- a/daemon/src/capacity/keeper.rs
+++ b/daemon/src/capacity/keeper.rs
@@ -18,9 +18,9 @@
     let handle = KeeperHandle::start(options)?;
     net::block_on(|tasks| async move {
         if let Some(address) = context.config.node.metrics {
-            let status = handle.status_source();
+            let status = handle.status_reader();
             metrics::serve(address, &tasks, move |page| {
-                let Some(status) = status.now() else { return };
+                let Some(status) = status.read() else { return };
                 page.value("keeper_leads", "", u64::from(status.leads));
                 page.value("keeper_term", "", status.term);
                 page.value("keeper_committed", "", status.committed);
@@ -34,7 +34,7 @@
             })
             .map_err(io_error(address.to_string()))?;
         }
-        let failed = handle.ended();
+        let failed = handle.wait_until_ended();
         let stopped = async {
             reload_until_stopped(&context, |config| handle.set_contacts(&config.node)).await;
             handle.resign();
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -110,9 +110,9 @@
     /// After this a task that the target does not answer is given up.
     pub stuck: Duration,
     /// With room: how many entries it serves.
-    pub sizes: Sizes,
+    pub subset_sizes: Sizes,
     /// With room: the longest lease that the target grants.
-    pub longest_lease: Duration,
+    pub max_lease: Duration,
 }
 
 /// The keeper's part.
@@ -257,8 +257,8 @@
 fn agent(sections: &Sections) -> Result<AgentConfig, SettingsError> {
     let slots = sections.value(AGENT, "slots")?.integer();
     let stuck = sections.value(AGENT, "stuck_ms")?.integer();
-    let longest_lease = sections.value(AGENT, "longest_lease_ms")?.integer();
-    let sizes = Sizes {
+    let max_lease = sections.value(AGENT, "longest_lease_ms")?.integer();
+    let subset_sizes = Sizes {
         entries_of_agent: sections.value(AGENT, "entries_served")?.integer() as usize,
         agents_of_entry: sections.value(AGENT, "agents_of_entry")?.integer() as usize,
     };
@@ -268,8 +268,8 @@
         service: sections.required(AGENT, "service")?.text().to_owned(),
         slots: u32::try_from(slots).unwrap_or(u32::MAX),
         stuck: Duration::from_millis(stuck),
-        sizes,
-        longest_lease: Duration::from_millis(longest_lease),
+        subset_sizes,
+        max_lease: Duration::from_millis(max_lease),
     })
 }
 
--- a/daemon/src/keeper_role/mod.rs
+++ b/daemon/src/keeper_role/mod.rs
@@ -193,14 +193,14 @@
     }
 
     /// Waits until the keeper has ended by itself: its disk failed.
-    pub(crate) fn ended(&self) -> impl Future<Output = ()> + use<> {
+    pub(crate) fn wait_until_ended(&self) -> impl Future<Output = ()> + use<> {
         let ring = self.ring.clone();
         async move { ring.closed().await }
     }
 
     /// Where its status is had from.
-    pub(crate) fn status_source(&self) -> StatusSource {
-        StatusSource(self.ring.clone())
+    pub(crate) fn status_reader(&self) -> StatusReader {
+        StatusReader(self.ring.clone())
     }
 
     pub(crate) fn list_subscriber(&self) -> ListSubscriber {
@@ -233,11 +233,11 @@
 }
 
 /// Asks a keeper for its status.
-pub(crate) struct StatusSource(Sender<Input>);
+pub(crate) struct StatusReader(Sender<Input>);
 
-impl StatusSource {
+impl StatusReader {
     /// Its status; none once it has stopped.
-    pub fn now(&self) -> Option<KeeperStatus> {
+    pub fn read(&self) -> Option<KeeperStatus> {
         let (reply, status) = async_channel::bounded(1);
         self.0.try_send(Input::Status(reply)).ok()?;
         status.recv_blocking().ok()
