--- a/daemon/src/agent_role/decide.rs
+++ b/daemon/src/agent_role/driver.rs
@@ -1,4 +1,4 @@
-//! The agent's deciding thread: the state machine, the calls that wait, the log.
+//! Drives the agent state machine: passes inputs to it, answers waiting calls and writes the log.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,64 +13,64 @@
 use spdlog::{error, info, warn};
 use telemetry::AgentCounters;
 
-use super::target::Run;
-use super::{AgentOptions, Shared};
+use super::target::TargetTask;
+use super::{AgentOptions, SharedState};
 use crate::clock::Clock;
-use crate::driver::Decider;
-use crate::settings_link::Update;
+use crate::event_loop::Driver;
+use crate::settings_client::SettingsUpdate;
 
-/// What reaches the deciding thread.
+/// An input of the state machine's thread.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// A call on a connection.
+    /// A call of an entry.
     Call {
-        /// The connection.
+        /// The connection that the call came over.
         session: Session,
-        /// Its content.
+        /// The content of the call.
         request: Request,
-        /// Where its reply goes.
+        /// Receives the reply.
         reply: oneshot::Sender<Reply>,
     },
-    /// A connection is gone.
+    /// A connection of an entry was closed.
     Closed(Session),
-    /// The target is done with a task.
+    /// A task at the target ended.
     Ended(TaskKey, TaskOutcome),
-    /// News of the settings.
-    Settings(Update),
-    /// Take no new work.
+    /// A change or confirmation of the settings.
+    Settings(SettingsUpdate),
+    /// Stop accepting new work.
     Leave,
-    /// A question for the counters.
+    /// A request for the counters.
     Counters(Sender<AgentCounters>),
 }
 
-/// The deciding thread's state.
-pub(crate) struct AgentDecider {
+/// The agent state machine with its waiting calls and outputs.
+pub(crate) struct AgentDriver {
     setup: Setup,
-    /// None before the first settings.
+    /// `None` until the first settings are received.
     agent: Option<Agent>,
-    /// Told to leave before the first settings.
-    leave_at_once: bool,
-    shared: Arc<Shared>,
-    runs: Sender<Run>,
-    /// Dropped when calls may be taken.
-    open: Option<Sender<()>>,
+    /// Whether the agent was asked to leave before the first settings were received.
+    leave_on_first_settings: bool,
+    shared: Arc<SharedState>,
+    target_tasks: Sender<TargetTask>,
+    /// Dropped on the first settings, so that the serving thread starts to accept calls.
+    hold_calls: Option<Sender<()>>,
     calls: HashMap<CallId, oneshot::Sender<Reply>>,
     next_call: u64,
     actions: Vec<Action>,
-    counters_every: Duration,
-    counters_logged: Time,
+    counters_interval: Duration,
+    last_counters_log: Time,
 }
 
-impl AgentDecider {
+impl AgentDriver {
     pub(crate) fn new(
         options: &AgentOptions,
-        shared: Arc<Shared>,
-        runs: Sender<Run>,
-        open: Sender<()>,
+        shared: Arc<SharedState>,
+        target_tasks: Sender<TargetTask>,
+        hold_calls: Sender<()>,
         clock: Clock,
     ) -> Self {
         let setup = Setup {
-            node: options.life.clone(),
+            node: options.node_ref.clone(),
             service: options.agent.service.clone(),
             hall: options.node.hall.clone(),
             rack: options.node.rack.clone(),
@@ -80,94 +80,101 @@
         Self {
             setup,
             agent: None,
-            leave_at_once: false,
+            leave_on_first_settings: false,
             shared,
-            runs,
-            open: Some(open),
+            target_tasks,
+            hold_calls: Some(hold_calls),
             calls: HashMap::new(),
             next_call: 0,
             actions: Vec::new(),
-            counters_every: options.node.counters_every,
-            counters_logged: Time::default(),
+            counters_interval: options.node.counters_interval,
+            last_counters_log: Time::default(),
         }
     }
 
-    fn event(&mut self, now: Time, event: Event) {
+    fn handle_event(&mut self, now: Time, event: Event) {
         let Some(agent) = &mut self.agent else { return };
         let mut actions = std::mem::take(&mut self.actions);
         agent.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.perform(action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Reply { call, reply } => {
                 if let Some(caller) = self.calls.remove(&call) {
-                    // The connection may be gone; the entry will settle what it lost.
+                    // Fails if the connection is closed; the entry then settles the tasks without a
+                    // reply.
                     let _ = caller.send(reply);
                 }
             }
-            // The target's thread only ever passes tasks on, so a full ring empties soon.
+            // The target's thread never waits for this thread here, so blocking on a full channel
+            // is short.
             Action::Run { key, task, deadline } => {
-                drop(self.runs.send_blocking(Run { key, task, deadline }));
+                drop(self.target_tasks.send_blocking(TargetTask { key, task, deadline }));
             }
-            Action::Log(news) => self.news(&news),
+            Action::Log(event) => self.log_event(&event),
         }
     }
 
-    fn news(&mut self, news: &LogEvent) {
+    fn log_event(&mut self, event: &LogEvent) {
         let name = &self.setup.node.name;
-        match news {
+        match event {
             LogEvent::SessionOpened(session, entry) => {
-                info!("agent {}: session {} of entry {}", name, session.0, entry);
+                info!("agent {}: session {} opened by entry {}", name, session.0, entry);
             }
             LogEvent::SessionClosed(session) => {
                 info!("agent {}: session {} closed", name, session.0)
             }
             LogEvent::LeaseEnded(session, tokens) => {
-                warn!("agent {}: took {} tokens of silent session {}", name, tokens, session.0);
+                warn!(
+                    "agent {}: lease expired: took back {} tokens of session {}",
+                    name, tokens, session.0
+                );
             }
-            LogEvent::TargetUnreachable => warn!("agent {}: its target can't be reached", name),
-            LogEvent::Leaving => info!("agent {}: leaving, no new work", name),
+            LogEvent::TargetUnreachable => warn!("agent {}: the target is unreachable", name),
+            LogEvent::Leaving => info!("agent {}: leaving, refusing new work", name),
             LogEvent::Drained => {
                 info!("agent {}: drained", name);
                 self.shared.drained.store(true, Ordering::Release);
             }
-            LogEvent::Settings(version) => info!("agent {}: settings {} in force", name, version),
+            LogEvent::Settings(version) => {
+                info!("agent {}: using settings version {}", name, version)
+            }
             LogEvent::Breach(breach) => error!("agent {}: BREACH: {}", name, breach),
         }
     }
 
-    fn settings(&mut self, now: Time, update: Update) {
-        let Update::Catalog(catalog) = update else { return };
+    fn settings(&mut self, now: Time, update: SettingsUpdate) {
+        let SettingsUpdate::Catalog(catalog) = update else { return };
         let (version, fleet) = (catalog.version(), Arc::new(catalog.fleet().clone()));
         if self.agent.is_some() {
-            return self.event(now, Event::Settings { version, fleet });
+            return self.handle_event(now, Event::Settings { version, fleet });
         }
         self.agent = Some(Agent::new(self.setup.clone(), version, fleet));
-        self.open.take();
-        if self.leave_at_once {
-            self.event(now, Event::Leave);
+        self.hold_calls.take();
+        if self.leave_on_first_settings {
+            self.handle_event(now, Event::Leave);
         }
     }
 
     fn leave(&mut self, now: Time) {
         if self.agent.is_none() {
-            self.leave_at_once = true;
+            self.leave_on_first_settings = true;
             self.shared.drained.store(true, Ordering::Release);
         }
-        self.event(now, Event::Leave);
+        self.handle_event(now, Event::Leave);
     }
 
     fn log_counters(&mut self, now: Time) {
         let Some(agent) = &self.agent else { return };
-        if now.since(self.counters_logged) < self.counters_every {
+        if now.since(self.last_counters_log) < self.counters_interval {
             return;
         }
-        self.counters_logged = now;
+        self.last_counters_log = now;
         let counters = agent.counters();
         info!(
             "agent {}: started={} ended={} refused={} repeated={} stale={} settled={} running={} \
@@ -190,33 +197,33 @@
     }
 }
 
-impl Decider for AgentDecider {
+impl Driver for AgentDriver {
     type Input = Input;
 
-    fn input(&mut self, now: Time, input: Input) {
+    fn handle_input(&mut self, now: Time, input: Input) {
         match input {
             Input::Call { session, request, reply } => {
                 self.next_call += 1;
                 let call = CallId(self.next_call);
                 self.calls.insert(call, reply);
-                self.event(now, Event::Call { session, call, request });
+                self.handle_event(now, Event::Call { session, call, request });
             }
-            Input::Closed(session) => self.event(now, Event::Closed { session }),
-            Input::Ended(key, outcome) => self.event(now, Event::Ended { key, outcome }),
+            Input::Closed(session) => self.handle_event(now, Event::Closed { session }),
+            Input::Ended(key, outcome) => self.handle_event(now, Event::Ended { key, outcome }),
             Input::Settings(update) => self.settings(now, update),
             Input::Leave => self.leave(now),
             Input::Counters(reply) => {
                 if let Some(agent) = &self.agent {
-                    // The one who asked may be gone.
+                    // Fails only if the requester has stopped waiting.
                     let _ = reply.try_send(agent.counters());
                 }
             }
         }
     }
 
-    fn tick(&mut self, now: Time) {
-        self.event(now, Event::Tick);
-        // Calls whose caller is gone are not answered any more.
+    fn handle_tick(&mut self, now: Time) {
+        self.handle_event(now, Event::Tick);
+        // Calls on closed connections need no reply.
         self.calls.retain(|_, caller| !caller.is_canceled());
         self.log_counters(now);
     }
--- a/daemon/src/agent_role/mod.rs
+++ b/daemon/src/agent_role/mod.rs
@@ -1,6 +1,7 @@
-//! An agent as threads: one serves entries, one decides, one talks to the target.
+//! The agent role: one thread serves entries, one drives the state machine, one sends tasks to the
+//! target.
 
-mod decide;
+mod driver;
 mod serve;
 mod target;
 
@@ -18,35 +19,35 @@
 
 use crate::clock::Clock;
 use crate::config::{AgentConfig, NodeConfig};
-use crate::driver::RING;
+use crate::event_loop::CHANNEL_CAPACITY;
 use crate::hosts::ListSubscriber;
-use crate::settings_link::{Subscriber, Update};
-use crate::threads::{Duty, join, spawn};
+use crate::settings_client::{SettingsSubscriber, SettingsUpdate};
+use crate::threads::{ThreadHandle, join, spawn};
 
-use decide::{AgentDecider, Input};
+use driver::{AgentDriver, Input};
 
-/// How often a draining agent looks whether it is done.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// Time for the last answers to reach the entries before the connections close.
-const DRAIN_LINGER: Duration = Duration::from_millis(300);
+/// How often a draining agent checks whether every call is answered.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay before the connections close, in which the last replies reach the entries.
+const CONNECTION_CLOSE_DELAY: Duration = Duration::from_millis(300);
 
-/// What an agent is started with.
+/// Options to start an agent.
 #[derive(Clone, Debug)]
 pub struct AgentOptions {
-    /// Who the node is.
+    /// The node's configuration.
     pub node: NodeConfig,
-    /// The agent's part of the configuration.
+    /// The configuration of the agent role.
     pub agent: AgentConfig,
-    /// Its life.
-    pub life: NodeRef,
+    /// The node's name and the incarnation of this process.
+    pub node_ref: NodeRef,
 }
 
-/// What the threads of an agent share.
+/// State shared by the threads of an agent.
 #[derive(Debug, Default)]
-pub(crate) struct Shared {
-    /// Nothing runs, and nothing new is taken.
+pub(crate) struct SharedState {
+    /// Whether no task is running and none is accepted any more.
     drained: AtomicBool,
-    /// Calls that are not answered yet, token exchanges left out.
+    /// The number of unanswered `start` and `settle` calls.
     calls: AtomicU64,
 }
 
@@ -54,89 +55,99 @@
 pub struct AgentHandle {
     address: SocketAddr,
     name: NodeName,
-    shared: Arc<Shared>,
-    ring: Sender<Input>,
-    duties: Vec<Duty>,
+    shared: Arc<SharedState>,
+    input_sender: Sender<Input>,
+    threads: Vec<ThreadHandle>,
 }
 
 impl AgentHandle {
-    /// Starts the threads. Calls are taken once the first settings have come.
+    /// Binds the listener and starts the threads. Calls are accepted once settings are received.
     pub fn start(options: AgentOptions) -> io::Result<Self> {
         let clock = Clock::start();
         let listener = Async::<TcpListener>::bind(options.agent.listen)?;
         let address = listener.get_ref().local_addr()?;
-        let shared = Arc::new(Shared::default());
-        let (ring, inputs) = async_channel::bounded(RING);
-        let (runs, to_run) = async_channel::bounded(RING);
-        let (open, opened) = async_channel::bounded(1);
-
-        let decider = AgentDecider::new(&options, shared.clone(), runs, open, clock);
-        let decide = spawn("agent-decide", move |_| crate::driver::drive(decider, inputs, clock))?;
-        let ended = ring.clone();
+        let shared = Arc::new(SharedState::default());
+        let (input_sender, inputs) = async_channel::bounded(CHANNEL_CAPACITY);
+        let (target_tasks, target_tasks_receiver) = async_channel::bounded(CHANNEL_CAPACITY);
+        let (hold_calls, calls_released) = async_channel::bounded(1);
+
+        let driver = AgentDriver::new(&options, shared.clone(), target_tasks, hold_calls, clock);
+        let driver_thread =
+            spawn("agent-decide", move |_| crate::event_loop::run(driver, inputs, clock))?;
+        let target_inputs = input_sender.clone();
         let target = options.agent.clone();
-        let run =
-            spawn("agent-target", move |tasks| target::run(tasks, target, to_run, ended, clock))?;
-        let calls = ring.clone();
+        let target_thread = spawn("agent-target", move |tasks| {
+            target::run(tasks, target, target_tasks_receiver, target_inputs, clock)
+        })?;
+        let calls = input_sender.clone();
         let serve_shared = shared.clone();
-        let serve = spawn("agent-serve", move |tasks| {
-            serve::run(tasks, listener, calls, serve_shared, opened)
+        let serve_thread = spawn("agent-serve", move |tasks| {
+            serve::run(tasks, listener, calls, serve_shared, calls_released)
         })?;
         let name = options.node.name;
-        Ok(Self { address, name, shared, ring, duties: vec![decide, run, serve] })
+        Ok(Self {
+            address,
+            name,
+            shared,
+            input_sender,
+            threads: vec![driver_thread, target_thread, serve_thread],
+        })
     }
 
-    /// Where entries reach it.
+    /// The address on which the agent listens for entries.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its counters; none before the first settings or once it has stopped.
+    /// The agent's counters; `None` before the first settings and once it has stopped.
     pub fn counters(&self) -> Option<AgentCounters> {
         let (reply, counters) = async_channel::bounded(1);
-        self.ring.send_blocking(Input::Counters(reply)).ok()?;
+        self.input_sender.send_blocking(Input::Counters(reply)).ok()?;
         counters.recv_blocking().ok()
     }
 
-    pub(crate) fn settings_subscriber(&self) -> Subscriber {
-        let ring = self.ring.clone();
-        Box::new(move |update: Update| ring.send_blocking(Input::Settings(update)).is_ok())
+    pub(crate) fn settings_subscriber(&self) -> SettingsSubscriber {
+        let input_sender = self.input_sender.clone();
+        Box::new(move |update: SettingsUpdate| {
+            input_sender.send_blocking(Input::Settings(update)).is_ok()
+        })
     }
 
-    /// Watches the list for the agent's own leaving.
+    /// Returns a subscriber that asks the agent to leave once the host list marks it as leaving.
     pub(crate) fn list_subscriber(&self) -> ListSubscriber {
-        let (ring, name) = (self.ring.clone(), self.name.clone());
+        let (input_sender, name) = (self.input_sender.clone(), self.name.clone());
         Box::new(move |list: &HostList| {
             let own = list.of_role(Role::Agent).find(|host| host.name == name);
             match own.map(|host| host.state) {
-                Some(HostState::Leaving) => ring.send_blocking(Input::Leave).is_ok(),
-                _ => !ring.is_closed(),
+                Some(HostState::Leaving) => input_sender.send_blocking(Input::Leave).is_ok(),
+                _ => !input_sender.is_closed(),
             }
         })
     }
 
-    /// Takes no new work from now on; what runs goes on.
+    /// Stops accepting new work; running tasks continue.
     pub fn leave(&self) {
-        // A stopped agent takes no work either.
-        let _ = self.ring.send_blocking(Input::Leave);
+        // Sending fails only once the agent has stopped.
+        let _ = self.input_sender.send_blocking(Input::Leave);
     }
 
-    /// A planned stop: takes no new work, finishes what runs, and ends.
+    /// Stops as planned: accepts no new work, finishes the running tasks and ends.
     pub fn drain(self) {
         self.leave();
         let drained = || self.shared.drained.load(Ordering::Acquire);
         while !(drained() && self.shared.calls.load(Ordering::Acquire) == 0) {
-            if self.ring.is_closed() {
+            if self.input_sender.is_closed() {
                 break;
             }
-            std::thread::sleep(DRAIN_LOOK);
+            std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
-        std::thread::sleep(DRAIN_LINGER);
+        std::thread::sleep(CONNECTION_CLOSE_DELAY);
         self.stop();
     }
 
-    /// Ends at once.
+    /// Stops at once; running tasks get no answer.
     pub fn stop(mut self) {
-        self.ring.close();
-        join(std::mem::take(&mut self.duties));
+        self.input_sender.close();
+        join(std::mem::take(&mut self.threads));
     }
 }
--- a/daemon/src/agent_role/serve.rs
+++ b/daemon/src/agent_role/serve.rs
@@ -1,4 +1,4 @@
-//! The agent's serving thread: tarpc from entries.
+//! The agent's serving thread: the tarpc service for entries.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -21,38 +21,46 @@
     StartRequest, SyncReply, SyncRequest,
 };
 
-use super::Shared;
-use super::decide::Input;
-use crate::driver::RING;
+use super::SharedState;
+use super::driver::Input;
+use crate::event_loop::CHANNEL_CAPACITY;
 
-/// Serves until the deciding thread ends.
+/// Accepts connections from the first settings until the state machine's thread ends.
 pub(crate) async fn run(
     tasks: Tasks,
     listener: Async<TcpListener>,
-    ring: Sender<Input>,
-    shared: Arc<Shared>,
-    opened: Receiver<()>,
+    input_sender: Sender<Input>,
+    shared: Arc<SharedState>,
+    calls_released: Receiver<()>,
 ) {
-    // Ends, with an error, once the first settings have come.
-    let _ = opened.recv().await;
+    // Fails once the sender is dropped on the first settings.
+    let _ = calls_released.recv().await;
     let sessions = AtomicU64::new(0);
-    let accept = async {
+    let accept_connections = async {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             net::tune(&stream);
             let session = Session(sessions.fetch_add(1, Ordering::Relaxed));
-            let server = Server { session, ring: ring.clone(), shared: shared.clone() };
-            tasks.spawn(serve(tasks.clone(), stream, server));
+            let server = ConnectionService {
+                session,
+                input_sender: input_sender.clone(),
+                shared: shared.clone(),
+            };
+            tasks.spawn(serve_connection(tasks.clone(), stream, server));
         }
     };
-    let stop = ring.closed();
-    future::or(accept, stop).await;
+    let stop = input_sender.closed();
+    future::or(accept_connections, stop).await;
 }
 
-/// Serves one connection to its end.
-async fn serve(tasks: Tasks, stream: Async<std::net::TcpStream>, server: Server) {
-    let (session, ring) = (server.session, server.ring.clone());
-    let config = Config { pending_response_buffer: RING };
+/// Serves one connection until it is closed.
+async fn serve_connection(
+    tasks: Tasks,
+    stream: Async<std::net::TcpStream>,
+    server: ConnectionService,
+) {
+    let (session, input_sender) = (server.session, server.input_sender.clone());
+    let config = Config { pending_response_buffer: CHANNEL_CAPACITY };
     let channel = BaseChannel::new(config, net::frames(stream));
     let runner = tasks.clone();
     let calls = async_compat::Compat::new(async move {
@@ -62,41 +70,41 @@
         }
     });
     calls.await;
-    // The deciding thread may have ended.
-    let _ = ring.send(Input::Closed(session)).await;
+    // Fails only if the state machine's thread has ended.
+    let _ = input_sender.send(Input::Closed(session)).await;
 }
 
-/// The service on one connection.
+/// The tarpc service on one connection.
 #[derive(Clone)]
-struct Server {
+struct ConnectionService {
     session: Session,
-    ring: Sender<Input>,
-    shared: Arc<Shared>,
+    input_sender: Sender<Input>,
+    shared: Arc<SharedState>,
 }
 
 /// Counts a call until it is answered.
-struct Answering(Arc<Shared>);
+struct UnansweredCallGuard(Arc<SharedState>);
 
-impl Answering {
-    fn new(shared: &Arc<Shared>) -> Self {
+impl UnansweredCallGuard {
+    fn new(shared: &Arc<SharedState>) -> Self {
         shared.calls.fetch_add(1, Ordering::AcqRel);
         Self(shared.clone())
     }
 }
 
-impl Drop for Answering {
+impl Drop for UnansweredCallGuard {
     fn drop(&mut self) {
         self.0.calls.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-impl Server {
-    /// Passes a call to the deciding thread. A call that it does not answer is never answered:
-    /// the entry learns of it when the connection ends.
-    async fn ask(&self, request: Request) -> Reply {
+impl ConnectionService {
+    /// Passes a call to the state machine and waits for the reply. If the state machine's thread
+    /// has ended, the call never returns, and the entry sees it fail once the connection is closed.
+    async fn call(&self, request: Request) -> Reply {
         let (reply, answer) = oneshot::channel();
         let input = Input::Call { session: self.session, request, reply };
-        if self.ring.send(input).await.is_err() {
+        if self.input_sender.send(input).await.is_err() {
             return future::pending().await;
         }
         match answer.await {
@@ -106,44 +114,44 @@
     }
 }
 
-/// Unwraps the reply that belongs to a request; the state machine gives no other.
+/// Unwraps the reply of the request's kind; the state machine returns no other kind.
 macro_rules! reply {
     ($reply:expr, $kind:ident) => {
         match $reply {
             Reply::$kind(reply) => reply,
-            other => unreachable!("a reply of another kind: {other:?}"),
+            other => unreachable!("reply of the wrong kind: {other:?}"),
         }
     };
 }
 
-impl AgentService for Server {
+impl AgentService for ConnectionService {
     async fn hello(self, _: Context, request: HelloRequest) -> AgentInfo {
-        reply!(self.ask(Request::Hello(request)).await, Hello)
+        reply!(self.call(Request::Hello(request)).await, Hello)
     }
 
     async fn claim(self, _: Context, request: ClaimRequest) -> ClaimReply {
-        reply!(self.ask(Request::Claim(request)).await, Claim)
+        reply!(self.call(Request::Claim(request)).await, Claim)
     }
 
     async fn lookup(self, _: Context, submission: SubmissionId) -> LookupReply {
-        reply!(self.ask(Request::Lookup(submission)).await, Lookup)
+        reply!(self.call(Request::Lookup(submission)).await, Lookup)
     }
 
     async fn start(self, _: Context, request: StartRequest) -> StartReply {
-        let _answering = Answering::new(&self.shared);
-        reply!(self.ask(Request::Start(request)).await, Start)
+        let _guard = UnansweredCallGuard::new(&self.shared);
+        reply!(self.call(Request::Start(request)).await, Start)
     }
 
     async fn settle(self, _: Context, request: SettleRequest) -> SettleReply {
-        let _answering = Answering::new(&self.shared);
-        reply!(self.ask(Request::Settle(request)).await, Settle)
+        let _guard = UnansweredCallGuard::new(&self.shared);
+        reply!(self.call(Request::Settle(request)).await, Settle)
     }
 
     async fn status(self, _: Context) -> AgentStatus {
-        *reply!(self.ask(Request::Status).await, Status)
+        *reply!(self.call(Request::Status).await, Status)
     }
 
     async fn sync(self, _: Context, request: SyncRequest) -> SyncReply {
-        reply!(self.ask(Request::Sync(request)).await, Sync)
+        reply!(self.call(Request::Sync(request)).await, Sync)
     }
 }
--- a/daemon/src/agent_role/target.rs
+++ b/daemon/src/agent_role/target.rs
@@ -1,4 +1,4 @@
-//! The agent's thread that talks to the target: one HTTP request a task.
+//! The agent's thread that sends tasks to the target, each as one HTTP request.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,80 +12,84 @@
 use model::{TaskKey, Time, Verdict};
 use net::{Client, ClientError, Reply, Tasks};
 
-use super::decide::Input;
+use super::driver::Input;
 use crate::clock::Clock;
 use crate::config::AgentConfig;
 
-/// Names the submission to the target.
+/// Request header with the submission's ID.
 const SUBMISSION_HEADER: &str = "dockpass-submission";
-/// Names the task's index to the target.
+/// Request header with the task's index in the submission.
 const TASK_HEADER: &str = "dockpass-task";
-/// Tells the target how much time is left, in milliseconds.
+/// Request header with the time left until the task's deadline, in milliseconds.
 const DEADLINE_HEADER: &str = "dockpass-deadline-ms";
 
-/// A task to be handed to the target.
+/// A task to send to the target.
 #[derive(Debug)]
-pub(crate) struct Run {
+pub(crate) struct TargetTask {
     pub key: TaskKey,
     pub task: Arc<str>,
     pub deadline: Time,
 }
 
-/// Hands tasks to the target until the ring is closed.
+/// Sends tasks to the target until the channel is closed.
 ///
-/// The agent has at most as many tasks at the target as it has slots, so the number of
-/// connections is bounded by the slots too.
+/// The state machine runs at most one task per slot, which also bounds the number of connections.
 pub(crate) async fn run(
     tasks: Tasks,
     config: AgentConfig,
-    runs: Receiver<Run>,
-    ended: Sender<Input>,
+    target_tasks: Receiver<TargetTask>,
+    inputs: Sender<Input>,
     clock: Clock,
 ) {
     let client = Rc::new(Client::new(config.target, tasks.clone()));
-    while let Ok(run) = runs.recv().await {
-        let (client, ended, stuck) = (client.clone(), ended.clone(), config.stuck);
+    while let Ok(target_task) = target_tasks.recv().await {
+        let (client, inputs, task_timeout) = (client.clone(), inputs.clone(), config.task_timeout);
         let task = async move {
-            let outcome = hand_over(&client, &run, stuck, clock).await;
-            // The deciding thread may have ended.
-            let _ = ended.send(Input::Ended(run.key, outcome)).await;
+            let outcome = send_task(&client, &target_task, task_timeout, clock).await;
+            // Fails only if the state machine's thread has ended.
+            let _ = inputs.send(Input::Ended(target_task.key, outcome)).await;
         };
         tasks.spawn(task);
     }
 }
 
-async fn hand_over(client: &Client, run: &Run, stuck: Duration, clock: Clock) -> TaskOutcome {
-    let left = run.deadline.since(clock.now());
-    let headers = headers(run, left);
-    let body = Bytes::from_owner(TaskText(run.task.clone()));
-    let sent = client.send(Method::POST, "/", headers, body, stuck).await;
-    match sent {
-        Ok(reply) => outcome(reply),
-        Err(error) => lost(&error),
+async fn send_task(
+    client: &Client,
+    target_task: &TargetTask,
+    task_timeout: Duration,
+    clock: Clock,
+) -> TaskOutcome {
+    let time_left = target_task.deadline.since(clock.now());
+    let headers = headers(target_task, time_left);
+    let body = Bytes::from_owner(TaskBody(target_task.task.clone()));
+    let result = client.send(Method::POST, "/", headers, body, task_timeout).await;
+    match result {
+        Ok(reply) => response_outcome(reply),
+        Err(error) => error_outcome(&error),
     }
 }
 
-/// A task's text as a body, without a copy.
-struct TaskText(Arc<str>);
+/// A request body that shares the task's text instead of copying it.
+struct TaskBody(Arc<str>);
 
-impl AsRef<[u8]> for TaskText {
+impl AsRef<[u8]> for TaskBody {
     fn as_ref(&self) -> &[u8] {
         self.0.as_bytes()
     }
 }
 
-fn headers(run: &Run, left: Duration) -> HeaderMap {
+fn headers(target_task: &TargetTask, time_left: Duration) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    let submission = HeaderValue::from_str(&run.key.submission.to_string());
+    let submission = HeaderValue::from_str(&target_task.key.submission.to_string());
     headers.insert(SUBMISSION_HEADER, submission.expect("a UUID is a header value"));
-    headers.insert(TASK_HEADER, HeaderValue::from(run.key.index));
-    let millis = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+    headers.insert(TASK_HEADER, HeaderValue::from(target_task.key.index));
+    let millis = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
     headers.insert(DEADLINE_HEADER, HeaderValue::from(millis));
     headers
 }
 
-/// Any 2xx is an answer; it has to be text.
-fn outcome(reply: Reply) -> TaskOutcome {
+/// Converts a response: status 2xx with a UTF-8 body is an answer, everything else a failure.
+fn response_outcome(reply: Reply) -> TaskOutcome {
     if !(200..300).contains(&reply.status) {
         return TaskOutcome::Failed(format!("the target answered with status {}", reply.status));
     }
@@ -95,7 +99,7 @@
     }
 }
 
-fn lost(error: &ClientError) -> TaskOutcome {
+fn error_outcome(error: &ClientError) -> TaskOutcome {
     match error.verdict() {
         Verdict::NotRun => TaskOutcome::NeverSent(format!("target: {error}")),
         Verdict::MayHaveRun | Verdict::Ran => TaskOutcome::Lost(format!("target: {error}")),
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -45,7 +45,7 @@
     /// Slots, all alike.
     Slots,
     /// Room of processor, memory and accelerators.
-    Room,
+    Capacity,
 }
 
 /// Who a node is.
@@ -64,7 +64,7 @@
     /// The platform's list: `file:PATH` or `http://IP:PORT/PATH`.
     pub platform: String,
     /// How often the list is read.
-    pub platform_poll: Duration,
+    pub platform_poll_interval: Duration,
     /// What targets have.
     pub scheduling: Scheduling,
     /// With room: the port at which keepers listen for nodes.
@@ -76,7 +76,7 @@
     /// Folder of the logs; standard error and no decision log where there is none.
     pub logs: Option<PathBuf>,
     /// How often the counters are logged.
-    pub counters_every: Duration,
+    pub counters_interval: Duration,
 }
 
 /// The entry's part.
@@ -108,7 +108,7 @@
     /// Tasks that the target takes at once.
     pub slots: u32,
     /// After this a task that the target does not answer is given up.
-    pub stuck: Duration,
+    pub task_timeout: Duration,
     /// With room: how many entries it serves.
     pub subset_sizes: Sizes,
     /// With room: the longest lease that the target grants.
@@ -127,7 +127,7 @@
     /// The tree that a new cluster begins with.
     pub initial: Option<PathBuf>,
     /// With room: begins a new cluster on an empty disk.
-    pub found: bool,
+    pub create_cluster: bool,
     /// With room: keepers that may be lost at once.
     pub tolerated_losses: usize,
     /// Every keeper of the cluster with its address for nodes; none for a single keeper.
@@ -170,12 +170,12 @@
     /// Reads and checks INI text.
     pub fn from_ini(text: &str) -> Result<Self, SettingsError> {
         let sections = Sections::read(parse_ini(text)?)?;
-        let node = node(&sections)?;
-        let plays = |role| node.roles.contains(&role);
+        let node = read_node(&sections)?;
+        let has_role = |role| node.roles.contains(&role);
         let config = Self {
-            entry: plays(Role::Entry).then(|| entry(&sections)).transpose()?,
-            agent: plays(Role::Agent).then(|| agent(&sections)).transpose()?,
-            keeper: plays(Role::Keeper).then(|| keeper(&sections)).transpose()?,
+            entry: has_role(Role::Entry).then(|| read_entry(&sections)).transpose()?,
+            agent: has_role(Role::Agent).then(|| read_agent(&sections)).transpose()?,
+            keeper: has_role(Role::Keeper).then(|| read_keeper(&sections)).transpose()?,
             node,
             sections,
         };
@@ -189,13 +189,14 @@
     }
 }
 
-fn node(sections: &Sections) -> Result<NodeConfig, SettingsError> {
+fn read_node(sections: &Sections) -> Result<NodeConfig, SettingsError> {
     let text = |key| sections.value(NODE, key).map(|value| value.text().to_owned());
-    let millis = |key| sections.value(NODE, key).map(|v| Duration::from_millis(v.integer()));
+    let duration =
+        |key| sections.value(NODE, key).map(|value| Duration::from_millis(value.integer()));
     let name = sections.required(NODE, "name")?;
     let mut roles = Vec::new();
     for word in sections.required(NODE, "roles")?.text().split_whitespace() {
-        roles.push(role(word)?);
+        roles.push(read_role(word)?);
     }
     let logs = text("logs")?;
     Ok(NodeConfig {
@@ -205,20 +206,20 @@
         rack: text("rack")?,
         keepers: sections.value(NODE, "keepers")?.addresses().to_vec(),
         platform: text("platform")?,
-        platform_poll: millis("platform_poll_ms")?,
+        platform_poll_interval: duration("platform_poll_ms")?,
         scheduling: match sections.value(NODE, "scheduling")?.text() {
-            "room" => Scheduling::Room,
+            "room" => Scheduling::Capacity,
             _ => Scheduling::Slots,
         },
         node_port: u16::try_from(sections.value(NODE, "node_port")?.integer()).unwrap_or(0),
-        metrics: optional_address(sections, NODE, "metrics")?,
+        metrics: read_optional_address(sections, NODE, "metrics")?,
         stop_grace: sections.value(NODE, "stop_grace_s")?.time(),
         logs: (!logs.is_empty()).then(|| PathBuf::from(logs)),
-        counters_every: millis("counters_every_ms")?,
+        counters_interval: duration("counters_every_ms")?,
     })
 }
 
-fn role(word: &str) -> Result<Role, SettingsError> {
+fn read_role(word: &str) -> Result<Role, SettingsError> {
     match word {
         "entry" => Ok(Role::Entry),
         "agent" => Ok(Role::Agent),
@@ -230,20 +231,20 @@
     }
 }
 
-fn entry(sections: &Sections) -> Result<EntryConfig, SettingsError> {
+fn read_entry(sections: &Sections) -> Result<EntryConfig, SettingsError> {
     let notice = sections.value(ENTRY, "drain_notice_ms")?.integer();
     Ok(EntryConfig {
-        listen: address(sections, ENTRY, "listen")?,
-        ready_listen: optional_address(sections, ENTRY, "ready_listen")?,
-        peer_listen: address(sections, ENTRY, "peer_listen")?,
-        peer_address: optional_address(sections, ENTRY, "peer_address")?,
+        listen: read_address(sections, ENTRY, "listen")?,
+        ready_listen: read_optional_address(sections, ENTRY, "ready_listen")?,
+        peer_listen: read_address(sections, ENTRY, "peer_listen")?,
+        peer_address: read_optional_address(sections, ENTRY, "peer_address")?,
         drain_notice: Duration::from_millis(notice),
-        policy: policy(sections)?,
+        policy: read_policy(sections)?,
     })
 }
 
 /// The policy, less the parts that an experiment switches off.
-fn policy(sections: &Sections) -> Result<dispatch::Policy, SettingsError> {
+fn read_policy(sections: &Sections) -> Result<dispatch::Policy, SettingsError> {
     let mut policy = dispatch::Policy::default();
     for part in sections.value(EXPERIMENT, "without")?.text().split_whitespace() {
         if !policy.disable(part) {
@@ -254,40 +255,40 @@
     Ok(policy)
 }
 
-fn agent(sections: &Sections) -> Result<AgentConfig, SettingsError> {
+fn read_agent(sections: &Sections) -> Result<AgentConfig, SettingsError> {
     let slots = sections.value(AGENT, "slots")?.integer();
-    let stuck = sections.value(AGENT, "stuck_ms")?.integer();
+    let task_timeout = sections.value(AGENT, "stuck_ms")?.integer();
     let max_lease = sections.value(AGENT, "longest_lease_ms")?.integer();
     let subset_sizes = Sizes {
         entries_of_agent: sections.value(AGENT, "entries_served")?.integer() as usize,
         agents_of_entry: sections.value(AGENT, "agents_of_entry")?.integer() as usize,
     };
     Ok(AgentConfig {
-        listen: address(sections, AGENT, "listen")?,
-        target: address(sections, AGENT, "target")?,
+        listen: read_address(sections, AGENT, "listen")?,
+        target: read_address(sections, AGENT, "target")?,
         service: sections.required(AGENT, "service")?.text().to_owned(),
         slots: u32::try_from(slots).unwrap_or(u32::MAX),
-        stuck: Duration::from_millis(stuck),
+        task_timeout: Duration::from_millis(task_timeout),
         subset_sizes,
         max_lease: Duration::from_millis(max_lease),
     })
 }
 
-fn keeper(sections: &Sections) -> Result<KeeperConfig, SettingsError> {
+fn read_keeper(sections: &Sections) -> Result<KeeperConfig, SettingsError> {
     let initial = sections.value(KEEPER, "initial")?.text().to_owned();
     Ok(KeeperConfig {
-        listen: address(sections, KEEPER, "listen")?,
-        node_listen: address(sections, KEEPER, "node_listen")?,
+        listen: read_address(sections, KEEPER, "listen")?,
+        node_listen: read_address(sections, KEEPER, "node_listen")?,
         data: PathBuf::from(sections.required(KEEPER, "data")?.text()),
         initial: (!initial.is_empty()).then(|| PathBuf::from(initial)),
-        found: sections.value(KEEPER, "found")?.flag(),
+        create_cluster: sections.value(KEEPER, "found")?.flag(),
         tolerated_losses: sections.value(KEEPER, "tolerated_losses")?.integer() as usize,
-        peers: peers(sections)?,
+        peers: read_peers(sections)?,
     })
 }
 
 /// Reads keepers as `NAME@IP:PORT`.
-fn peers(sections: &Sections) -> Result<Vec<(NodeName, SocketAddr)>, SettingsError> {
+fn read_peers(sections: &Sections) -> Result<Vec<(NodeName, SocketAddr)>, SettingsError> {
     let mut peers = Vec::new();
     for word in sections.value(KEEPER, "peers")?.list() {
         let parsed = word.split_once('@').and_then(|(name, address)| {
@@ -306,7 +307,7 @@
 }
 
 /// Reads `IP:PORT` where it is written.
-fn optional_address(
+fn read_optional_address(
     sections: &Sections,
     section: &str,
     key: &str,
@@ -322,7 +323,11 @@
     }
 }
 
-fn address(sections: &Sections, section: &str, key: &str) -> Result<SocketAddr, SettingsError> {
+fn read_address(
+    sections: &Sections,
+    section: &str,
+    key: &str,
+) -> Result<SocketAddr, SettingsError> {
     match sections.required(section, key)? {
         Value::Address(address) => Ok(address),
         _ => Err(SettingsError::key(section, key, "not an address")),
--- a/daemon/src/config/check.rs
+++ b/daemon/src/config/check.rs
@@ -14,8 +14,8 @@
         return Err(SettingsError::key(NODE, "roles", "has to be written"));
     }
     check_platform(&config.node.platform)?;
-    if config.node.scheduling == Scheduling::Room {
-        return check_room(config);
+    if config.node.scheduling == Scheduling::Capacity {
+        return check_capacity_scheduling(config);
     }
     let needs_settings = config.entry.is_some() || config.agent.is_some();
     if needs_settings && config.node.keepers.is_empty() {
@@ -29,14 +29,14 @@
         check_writable(NODE, "logs", logs)?;
     }
     if let Some(keeper) = &config.keeper {
-        check_peers(config, keeper)?;
+        check_keeper_peers(config, keeper)?;
         check_writable(KEEPER, "data", &keeper.data)?;
     }
     Ok(())
 }
 
 /// With room a node plays one role, and finds all others through the keepers.
-fn check_room(config: &Config) -> Result<(), SettingsError> {
+fn check_capacity_scheduling(config: &Config) -> Result<(), SettingsError> {
     let missing = |section, key| Err(SettingsError::key(section, key, "has to be written"));
     if config.node.roles.len() != 1 {
         return Err(SettingsError::key(NODE, "roles", "with room a node plays one role"));
@@ -58,15 +58,15 @@
 }
 
 /// A cluster of keepers has an odd number of them, this one among them.
-fn check_peers(config: &Config, keeper: &KeeperConfig) -> Result<(), SettingsError> {
-    let refuse = |reason: &str| Err(SettingsError::key(KEEPER, "peers", reason));
+fn check_keeper_peers(config: &Config, keeper: &KeeperConfig) -> Result<(), SettingsError> {
+    let invalid = |reason: &str| Err(SettingsError::key(KEEPER, "peers", reason));
     match keeper.peers.len() {
         0 => return Ok(()),
         1 | 3 | 5 => {}
-        _ => return refuse("1, 3 or 5 keepers"),
+        _ => return invalid("1, 3 or 5 keepers"),
     }
     if !keeper.peers.iter().any(|(name, _)| *name == config.node.name) {
-        return refuse("this node is not among them");
+        return invalid("this node is not among them");
     }
     Ok(())
 }
@@ -82,37 +82,38 @@
 }
 
 fn check_ports(config: &Config) -> Result<(), SettingsError> {
-    let mut taken: Vec<(SocketAddr, &str, &str)> = Vec::new();
-    let mut take = |address: SocketAddr, section, key| {
+    let mut addresses: Vec<(SocketAddr, &str, &str)> = Vec::new();
+    let mut add_address = |address: SocketAddr, section, key| {
         // Port 0 asks for any free port.
-        let clash = taken.iter().find(|(other, _, _)| address.port() != 0 && *other == address);
-        if let Some((_, other_section, other_key)) = clash {
+        let duplicate =
+            addresses.iter().find(|(other, _, _)| address.port() != 0 && *other == address);
+        if let Some((_, other_section, other_key)) = duplicate {
             let reason = format!("{address} clashes with [{other_section}] {other_key}");
             return Err(SettingsError::key(section, key, reason));
         }
-        taken.push((address, section, key));
+        addresses.push((address, section, key));
         Ok(())
     };
     if let Some(entry) = &config.entry {
-        take(entry.listen, ENTRY, "listen")?;
-        take(entry.peer_listen, ENTRY, "peer_listen")?;
+        add_address(entry.listen, ENTRY, "listen")?;
+        add_address(entry.peer_listen, ENTRY, "peer_listen")?;
     }
     if let Some(agent) = &config.agent {
-        take(agent.listen, AGENT, "listen")?;
-        take(agent.target, AGENT, "target")?;
+        add_address(agent.listen, AGENT, "listen")?;
+        add_address(agent.target, AGENT, "target")?;
     }
     if let Some(keeper) = &config.keeper {
-        take(keeper.listen, KEEPER, "listen")?;
-        take(keeper.node_listen, KEEPER, "node_listen")?;
+        add_address(keeper.listen, KEEPER, "listen")?;
+        add_address(keeper.node_listen, KEEPER, "node_listen")?;
     }
     Ok(())
 }
 
 /// Tries to write in a folder.
 fn check_writable(section: &str, key: &str, folder: &Path) -> Result<(), SettingsError> {
-    let probe = folder.join(".dockpass-probe");
-    let tried = std::fs::write(&probe, b"").and_then(|()| std::fs::remove_file(&probe));
-    tried.map_err(|error| {
+    let file = folder.join(".dockpass-probe");
+    let result = std::fs::write(&file, b"").and_then(|()| std::fs::remove_file(&file));
+    result.map_err(|error| {
         let reason = format!("can't write in {}: {error}", folder.display());
         SettingsError::key(section, key, reason)
     })
--- a/daemon/src/decisions.rs
+++ b/daemon/src/decisions.rs
@@ -14,36 +14,36 @@
 use telemetry::Decision;
 
 /// Decisions that wait to be written.
-const RING: usize = 65_536;
+const CHANNEL_CAPACITY: usize = 65_536;
 
 /// Where decisions go.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
-    ring: Option<Sender<Decision>>,
+    sender: Option<Sender<Decision>>,
     left_out: Arc<AtomicU64>,
 }
 
 impl DecisionLog {
     /// A log that takes nothing.
     pub fn none() -> Self {
-        Self { ring: None, left_out: Arc::default() }
+        Self { sender: None, left_out: Arc::default() }
     }
 
     /// A log to a file, appended to. The thread ends when every clone is dropped.
     pub fn to_file(path: &Path) -> io::Result<(Self, JoinHandle<()>)> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
-        let (ring, decisions) = async_channel::bounded(RING);
+        let (sender, decisions) = async_channel::bounded(CHANNEL_CAPACITY);
         let left_out = Arc::new(AtomicU64::new(0));
         let count = left_out.clone();
         let write = move || write_all(file, &decisions, &count);
         let thread = thread::Builder::new().name("decisions".to_owned()).spawn(write)?;
-        Ok((Self { ring: Some(ring), left_out }, thread))
+        Ok((Self { sender: Some(sender), left_out }, thread))
     }
 
     /// Adds a decision, or counts it where there is no room.
     pub fn add(&self, decision: Decision) {
-        let Some(ring) = &self.ring else { return };
-        if ring.try_send(decision).is_err() {
+        let Some(sender) = &self.sender else { return };
+        if sender.try_send(decision).is_err() {
             self.left_out.fetch_add(1, Ordering::Relaxed);
         }
     }
--- a/daemon/src/entry_role/links.rs
+++ b/daemon/src/entry_role/agent_links.rs
@@ -1,4 +1,4 @@
-//! The entry's talking thread: a connection to every agent, and calls on it.
+//! The entry's connections to agents: one to each listed agent, with the calls on it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,190 +18,193 @@
 use tarpc::client::{Config, NewClient};
 use wire::{AgentInfo, AgentServiceClient, HelloRequest};
 
-use super::decide::Input;
+use super::driver::Input;
 use super::peers::Peers;
-use crate::driver::RING;
+use crate::event_loop::CHANNEL_CAPACITY;
 
-/// Pause before an agent is tried again.
+/// Delay between two attempts to connect to an agent.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Time for the calls of a connection that is given up to fail.
-const GIVE_UP_TIME: Duration = Duration::from_millis(50);
+/// Delay between closing the connection to a dead agent and reporting the agent as dead, in which
+/// the calls in progress fail.
+const CALL_FAILURE_DELAY: Duration = Duration::from_millis(50);
 
-/// What reaches the talking thread.
+/// An input of the links' thread.
 #[derive(Debug)]
-pub(crate) enum LinkInput {
-    /// Something to say.
+pub(crate) enum AgentLinkInput {
+    /// An action of the state machine that calls an agent or another entry.
     Action(Action),
-    /// The platform's list.
+    /// A new version of the platform's host list.
     Hosts(HostList),
-    /// The failure detector says that an agent's host is dead.
+    /// The failure detector reports an agent as dead.
     Dead(NodeName),
 }
 
 /// An open connection to an agent.
 #[derive(Clone)]
-struct Open {
+struct OpenConnection {
     connection: Connection,
     client: AgentServiceClient,
-    /// Closed to give the connection up.
-    keep: Sender<()>,
+    /// Closing this channel closes the connection.
+    close_sender: Sender<()>,
 }
 
-/// The talking thread's state, shared by its tasks.
-struct Links {
-    life: NodeRef,
+/// The state of the links' thread, shared by its tasks.
+struct AgentLinks {
+    node_ref: NodeRef,
     tasks: Tasks,
     events: Sender<Input>,
     hosts: RefCell<HashMap<NodeName, Host>>,
-    open: RefCell<HashMap<NodeName, Open>>,
-    kept: RefCell<Vec<NodeName>>,
-    next_connection: Cell<u64>,
+    open_connections: RefCell<HashMap<NodeName, OpenConnection>>,
+    maintained: RefCell<Vec<NodeName>>,
+    last_connection: Cell<u64>,
     peers: Peers,
 }
 
-/// Runs until the ring is closed.
+/// Performs actions and maintains connections until the input channel is closed.
 pub(crate) async fn run(
-    life: NodeRef,
+    node_ref: NodeRef,
     tasks: Tasks,
-    inputs: Receiver<LinkInput>,
+    inputs: Receiver<AgentLinkInput>,
     events: Sender<Input>,
 ) {
-    let links = Rc::new(Links {
-        life,
+    let links = Rc::new(AgentLinks {
+        node_ref,
         tasks: tasks.clone(),
         events,
         hosts: RefCell::default(),
-        open: RefCell::default(),
-        kept: RefCell::default(),
-        next_connection: Cell::new(0),
+        open_connections: RefCell::default(),
+        maintained: RefCell::default(),
+        last_connection: Cell::new(0),
         peers: Peers::new(tasks),
     });
     while let Ok(input) = inputs.recv().await {
         match input {
-            LinkInput::Action(action) => links.act(action),
-            LinkInput::Hosts(list) => links.set_hosts(list),
-            LinkInput::Dead(agent) => links.give_up(agent),
+            AgentLinkInput::Action(action) => links.perform(action),
+            AgentLinkInput::Hosts(list) => links.set_hosts(list),
+            AgentLinkInput::Dead(agent) => links.drop_connection(agent),
         }
     }
 }
 
-impl Links {
+impl AgentLinks {
     fn spawn(self: &Rc<Self>, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn(task);
     }
 
-    async fn tell(&self, event: Event) {
-        // The deciding thread has ended: nothing is left to tell.
+    async fn send_event(&self, event: Event) {
+        // Fails only if the state machine's thread has ended.
         let _ = self.events.send(Input::Event(event)).await;
     }
 
-    /// Keeps a connection to every agent on the list.
+    /// Starts a connection task for every newly listed agent.
     fn set_hosts(self: &Rc<Self>, list: HostList) {
         self.peers.set_hosts(&list);
         let agents: HashMap<NodeName, Host> =
             list.of_role(Role::Agent).map(|host| (host.name.clone(), host.clone())).collect();
         for name in agents.keys() {
-            if !self.kept.borrow().contains(name) {
-                self.kept.borrow_mut().push(name.clone());
-                self.spawn(self.clone().keep(name.clone()));
+            if !self.maintained.borrow().contains(name) {
+                self.maintained.borrow_mut().push(name.clone());
+                self.spawn(self.clone().maintain_connection(name.clone()));
             }
         }
         *self.hosts.borrow_mut() = agents;
     }
 
-    /// Keeps a connection to one agent while it is on the list.
-    async fn keep(self: Rc<Self>, agent: NodeName) {
-        // The list is set right after this task was made.
+    /// Reconnects to one agent until it leaves the host list.
+    async fn maintain_connection(self: Rc<Self>, agent: NodeName) {
+        // `set_hosts` stores the list after it spawns this task.
         futures_lite::future::yield_now().await;
         loop {
             let Some(address) = self.hosts.borrow().get(&agent).map(|host| host.address) else {
                 break;
             };
             match net::connect(address).await {
-                Ok(stream) => self.session(&agent, stream).await,
+                Ok(stream) => self.run_connection(&agent, stream).await,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                    // Nobody listens there: the process is gone.
-                    self.tell(Event::AgentDead { agent: agent.clone() }).await;
+                    // Nothing listens on the port: the agent's process has ended.
+                    self.send_event(Event::AgentDead { agent: agent.clone() }).await;
                 }
                 Err(_) => {}
             }
             Timer::after(RETRY_PAUSE).await;
         }
-        self.kept.borrow_mut().retain(|kept| *kept != agent);
-        self.tell(Event::AgentDead { agent }).await;
+        self.maintained.borrow_mut().retain(|maintained| *maintained != agent);
+        self.send_event(Event::AgentDead { agent }).await;
     }
 
-    /// One connection from its first call to its end.
-    async fn session(&self, agent: &NodeName, stream: Async<TcpStream>) {
+    /// Runs one connection from the `hello` call until it is closed.
+    async fn run_connection(&self, agent: &NodeName, stream: Async<TcpStream>) {
         let mut config = Config::default();
-        config.max_in_flight_requests = RING;
-        config.pending_request_buffer = RING;
+        config.max_in_flight_requests = CHANNEL_CAPACITY;
+        config.pending_request_buffer = CHANNEL_CAPACITY;
         let NewClient { client, dispatch } = AgentServiceClient::new(config, net::frames(stream));
-        let (done, ended) = async_channel::bounded::<()>(1);
-        let (keep, kept) = async_channel::bounded::<()>(1);
+        let (finished, dispatch_ended) = async_channel::bounded::<()>(1);
+        let (close_sender, close_receiver) = async_channel::bounded::<()>(1);
         self.tasks.spawn_rpc(async move {
-            // The calls see why it ended.
+            // Pending calls fail with the cause, so the result is not needed here.
             let dispatch = async {
                 let _ = dispatch.await;
             };
-            let given_up = async {
-                // Ends, with an error, when the connection is given up.
-                let _ = kept.recv().await;
+            let dropped = async {
+                // Fails once `drop_connection` closes the channel.
+                let _ = close_receiver.recv().await;
             };
-            dispatch.or(given_up).await;
-            drop(done);
+            dispatch.or(dropped).await;
+            drop(finished);
         });
-        let hello = HelloRequest { entry: self.life.clone() };
+        let hello = HelloRequest { entry: self.node_ref.clone() };
         let Ok(info) = client.hello(net::call_context(), hello).await else { return };
-        let connection = self.opened(agent, client, keep, &info);
-        self.tell(Event::Connected { connection, info }).await;
-        // Ends, with an error, when the dispatch does.
-        let _ = ended.recv().await;
-        self.open.borrow_mut().remove(agent);
-        self.tell(Event::Disconnected { agent: agent.clone(), connection }).await;
+        let connection = self.register_connection(agent, client, close_sender, &info);
+        self.send_event(Event::Connected { connection, info }).await;
+        // Fails once the dispatch task ends and drops the sender.
+        let _ = dispatch_ended.recv().await;
+        self.open_connections.borrow_mut().remove(agent);
+        self.send_event(Event::Disconnected { agent: agent.clone(), connection }).await;
     }
 
-    fn opened(
+    fn register_connection(
         &self,
         agent: &NodeName,
         client: AgentServiceClient,
-        keep: Sender<()>,
+        close_sender: Sender<()>,
         info: &AgentInfo,
     ) -> Connection {
         debug_assert_eq!(*agent, info.agent.name, "the list and the agent agree on its name");
-        let connection = Connection(self.next_connection.get() + 1);
-        self.next_connection.set(connection.0);
-        self.open.borrow_mut().insert(agent.clone(), Open { connection, client, keep });
+        let connection = Connection(self.last_connection.get() + 1);
+        self.last_connection.set(connection.0);
+        self.open_connections
+            .borrow_mut()
+            .insert(agent.clone(), OpenConnection { connection, client, close_sender });
         connection
     }
 
-    /// Gives up the connection to an agent whose host is dead.
-    fn give_up(self: &Rc<Self>, agent: NodeName) {
-        if let Some(open) = self.open.borrow_mut().remove(&agent) {
-            open.keep.close();
+    /// Closes the connection to a dead agent and reports the agent as dead.
+    fn drop_connection(self: &Rc<Self>, agent: NodeName) {
+        if let Some(open) = self.open_connections.borrow_mut().remove(&agent) {
+            open.close_sender.close();
         }
         let links = self.clone();
         self.spawn(async move {
-            // What the connection had under way fails first.
-            net::pause(GIVE_UP_TIME).await;
-            links.tell(Event::AgentDead { agent }).await;
+            // Calls in progress fail before the agent is reported as dead.
+            net::pause(CALL_FAILURE_DELAY).await;
+            links.send_event(Event::AgentDead { agent }).await;
         });
     }
 
-    /// The client of the open connection to an agent.
+    /// Returns the client of the open connection to an agent.
     fn client(&self, agent: &NodeName) -> Option<AgentServiceClient> {
-        self.open.borrow().get(agent).map(|open| open.client.clone())
+        self.open_connections.borrow().get(agent).map(|open| open.client.clone())
     }
 
-    /// The client, where the connection is still this one.
+    /// Returns the client if the agent's open connection is still `connection`.
     fn client_on(&self, agent: &NodeName, connection: Connection) -> Option<AgentServiceClient> {
-        let open = self.open.borrow();
+        let open = self.open_connections.borrow();
         open.get(agent).filter(|open| open.connection == connection).map(|open| open.client.clone())
     }
 
-    /// Says something, and tells what came back.
-    fn act(self: &Rc<Self>, action: Action) {
+    /// Calls an agent or another entry and sends the reply to the state machine as an event.
+    fn perform(self: &Rc<Self>, action: Action) {
         let links = self.clone();
         match action {
             Action::Start { agent, connection, request } => {
@@ -212,7 +215,7 @@
                         Some(client) => client.start(net::call_context(), request).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::StartReplied { agent, connection, key, reply }).await;
+                    links.send_event(Event::StartReplied { agent, connection, key, reply }).await;
                 });
             }
             Action::Sync { agent, connection, request } => {
@@ -222,7 +225,7 @@
                         Some(client) => client.sync(net::call_context(), request).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::SyncReplied { agent, connection, reply }).await;
+                    links.send_event(Event::SyncReplied { agent, connection, reply }).await;
                 });
             }
             Action::Claim { holder, request } => {
@@ -233,7 +236,7 @@
                         Some(client) => client.claim(net::call_context(), request).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::ClaimReplied { holder, submission, reply }).await;
+                    links.send_event(Event::ClaimReplied { holder, submission, reply }).await;
                 });
             }
             Action::Lookup { holder, submission } => {
@@ -243,7 +246,7 @@
                         Some(client) => client.lookup(net::call_context(), submission).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::LookupReplied { holder, submission, reply }).await;
+                    links.send_event(Event::LookupReplied { holder, submission, reply }).await;
                 });
             }
             Action::Settle { agent, request } => {
@@ -254,17 +257,17 @@
                         Some(client) => client.settle(net::call_context(), request).await.ok(),
                         None => None,
                     };
-                    links.tell(Event::SettleReplied { agent, key, reply }).await;
+                    links.send_event(Event::SettleReplied { agent, key, reply }).await;
                 });
             }
             Action::Relay { call, owner, request } => self.spawn(async move {
                 let submission = request.submission;
                 let reply = links.peers.relay(&owner.name, request).await;
-                links.tell(Event::OwnerReplied { call, submission, reply }).await;
+                links.send_event(Event::OwnerReplied { call, submission, reply }).await;
             }),
             Action::Fetch { call, owner, submission } => self.spawn(async move {
                 let reply = links.peers.fetch(&owner.name, submission).await;
-                links.tell(Event::OwnerReplied { call, submission, reply }).await;
+                links.send_event(Event::OwnerReplied { call, submission, reply }).await;
             }),
             Action::Respond { .. } | Action::LogDecision(_) | Action::Log(_) => {}
         }
--- a/daemon/src/entry_role/listen.rs
+++ b/daemon/src/entry_role/listen.rs
@@ -1,4 +1,4 @@
-//! The entry's listening thread: HTTP from callers, tarpc from other entries.
+//! The entry's listening thread: HTTP for callers, tarpc for other entries.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -21,59 +21,65 @@
 use tarpc::server::{BaseChannel, Channel};
 use wire::{EntryService, RelayReply, RelayRequest};
 
-use super::decide::{Ask, Input};
-use super::{DRAIN_LOOK, Shared};
+use super::driver::{EntryRequest, Input};
+use super::{DRAIN_POLL_INTERVAL, SharedState};
 
-/// Limits of callers' connections.
-const LIMITS: Limits = Limits {
+/// Limits on the connections of callers.
+const CALLER_LIMITS: Limits = Limits {
     header_bytes: net::HEADER_BYTES,
     body_bytes: BODY_BYTES_MAX,
     read_time: Duration::from_secs(10),
     connections: 20_000,
 };
 
-/// Listens until told to stop; connections that are open then go on.
+/// Accepts connections until the other side of `stopped` is dropped, then counts the callers that
+/// still wait for a response until the state machine's thread ends.
 pub(crate) async fn run(
     tasks: Tasks,
     listener: Async<TcpListener>,
     peer_listener: Async<TcpListener>,
-    ring: Sender<Input>,
-    shared: Arc<Shared>,
+    input_sender: Sender<Input>,
+    shared: Arc<SharedState>,
     stopped: Receiver<()>,
 ) {
-    let server = Server { ring: ring.clone(), shared: shared.clone() };
+    let server = CallerService { input_sender: input_sender.clone(), shared: shared.clone() };
     let handler = move |request| {
         let server = server.clone();
-        async move { server.answer(request).await }
+        async move { server.handle(request).await }
     };
     let callers = Rc::new(Connections::default());
-    let serve =
-        net::serve_until_closed(listener, tasks.clone(), callers.clone(), || LIMITS, handler);
+    let serve = net::serve_until_closed(
+        listener,
+        tasks.clone(),
+        callers.clone(),
+        || CALLER_LIMITS,
+        handler,
+    );
     let close = async {
-        // Ends when the handle is dropped.
+        // Fails once the handle drops the sender.
         let _ = stopped.recv().await;
         callers.close();
         future::pending().await
     };
-    let peers = serve_peers(peer_listener, tasks.clone(), ring.clone());
+    let peers = serve_peers(peer_listener, tasks.clone(), input_sender.clone());
     serve.or(close).or(peers).await;
-    // Requests that have come are answered until the deciding thread ends.
-    let count = async {
+    // Received requests are answered until the state machine's thread ends.
+    let count_unfinished = async {
         loop {
             shared.unfinished.store(callers.unfinished() as u64, Ordering::Release);
             shared.closed.store(true, Ordering::Release);
-            Timer::after(DRAIN_LOOK).await;
+            Timer::after(DRAIN_POLL_INTERVAL).await;
         }
     };
-    count.or(ring.closed()).await;
+    count_unfinished.or(input_sender.closed()).await;
 }
 
-async fn serve_peers(listener: Async<TcpListener>, tasks: Tasks, ring: Sender<Input>) {
+async fn serve_peers(listener: Async<TcpListener>, tasks: Tasks, input_sender: Sender<Input>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         net::tune(&stream);
         let channel = BaseChannel::with_defaults(net::frames(stream));
-        let peer = Peer { ring: ring.clone() };
+        let peer = PeerService { input_sender: input_sender.clone() };
         let runner = tasks.clone();
         tasks.spawn_rpc(async move {
             let mut calls = std::pin::pin!(channel.execute(peer.serve()));
@@ -84,49 +90,53 @@
     }
 }
 
-/// Asks the deciding thread and waits for the outcome.
-async fn ask(ring: &Sender<Input>, ask: Ask, relayed: bool) -> RelayReply {
-    let gone = || Failure::new(Code::NotReady, Verdict::MayHaveRun, "the entry is stopping");
+/// Sends a request to the state machine and waits for the outcome.
+async fn request_outcome(
+    input_sender: &Sender<Input>,
+    request: EntryRequest,
+    relayed: bool,
+) -> RelayReply {
+    let stopping = || Failure::new(Code::NotReady, Verdict::MayHaveRun, "the entry is stopping");
     let (reply, outcome) = oneshot::channel();
-    // A full ring holds the caller back.
-    if ring.send(Input::Call { ask, relayed, reply }).await.is_err() {
-        return Err(gone());
+    // A full channel applies back-pressure to the caller.
+    if input_sender.send(Input::Call { request, relayed, reply }).await.is_err() {
+        return Err(stopping());
     }
-    outcome.await.unwrap_or_else(|_| Err(gone()))
+    outcome.await.unwrap_or_else(|_| Err(stopping()))
 }
 
-/// The service for other entries.
+/// The tarpc service for other entries.
 #[derive(Clone)]
-struct Peer {
-    ring: Sender<Input>,
+struct PeerService {
+    input_sender: Sender<Input>,
 }
 
-impl EntryService for Peer {
+impl EntryService for PeerService {
     async fn relay(self, _: Context, request: RelayRequest) -> RelayReply {
-        ask(&self.ring, Ask::Submit(request), true).await
+        request_outcome(&self.input_sender, EntryRequest::Submit(request), true).await
     }
 
     async fn fetch(self, _: Context, submission: SubmissionId) -> RelayReply {
-        ask(&self.ring, Ask::Fetch(submission), true).await
+        request_outcome(&self.input_sender, EntryRequest::Fetch(submission), true).await
     }
 }
 
-/// The service for callers.
+/// The HTTP service for callers.
 #[derive(Clone)]
-struct Server {
-    ring: Sender<Input>,
-    shared: Arc<Shared>,
+struct CallerService {
+    input_sender: Sender<Input>,
+    shared: Arc<SharedState>,
 }
 
-impl Server {
-    async fn answer(&self, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
+impl CallerService {
+    async fn handle(&self, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
         let (head, body) = request.into_parts();
         let route = api::read_route(head.method.as_str(), head.uri.path());
         match route {
-            Err(failure) => failed(None, failure),
+            Err(failure) => failure_response(None, failure),
             Ok(Route::Ready) => self.ready(),
             Ok(Route::Status) => self.status().await,
-            Ok(Route::Fetch(id)) => self.outcome(id, Ask::Fetch(id)).await,
+            Ok(Route::Fetch(id)) => self.outcome_response(id, EntryRequest::Fetch(id)).await,
             Ok(Route::SubmitJob(id)) => self.submit(id, body, api::read_job).await,
             Ok(Route::SubmitRequest(id)) => self.submit(id, body, api::read_request).await,
         }
@@ -138,9 +148,9 @@
         body: Result<Bytes, BodyError>,
         read: fn(&[u8]) -> Result<Work, Failure>,
     ) -> Response<Body> {
-        let work = body.map_err(bad_body).and_then(|body| read(&body));
+        let work = body.map_err(body_failure).and_then(|body| read(&body));
         match work {
-            Err(failure) => failed(Some(id), failure),
+            Err(failure) => failure_response(Some(id), failure),
             Ok(work) => {
                 let request = RelayRequest {
                     submission: id,
@@ -150,36 +160,36 @@
                     deadline_ms: work.deadline_ms,
                     repeatable: work.repeatable,
                 };
-                self.outcome(id, Ask::Submit(request)).await
+                self.outcome_response(id, EntryRequest::Submit(request)).await
             }
         }
     }
 
-    async fn outcome(&self, id: SubmissionId, what: Ask) -> Response<Body> {
-        let outcome = ask(&self.ring, what, false).await;
-        write(api::write_outcome(Some(id), &outcome))
+    async fn outcome_response(&self, id: SubmissionId, request: EntryRequest) -> Response<Body> {
+        let outcome = request_outcome(&self.input_sender, request, false).await;
+        answer_response(api::write_outcome(Some(id), &outcome))
     }
 
     fn ready(&self) -> Response<Body> {
         let ready = self.shared.ready.load(Ordering::Acquire);
         let (status, body) = if ready { (200, "ready\n") } else { (503, "not ready\n") };
-        plain(status, "text/plain", body.to_owned())
+        text_response(status, "text/plain", body.to_owned())
     }
 
     async fn status(&self) -> Response<Body> {
         let (reply, status) = async_channel::bounded(1);
-        if self.ring.send(Input::Status(reply)).await.is_err() {
-            return plain(503, "text/plain", "stopping\n".to_owned());
+        if self.input_sender.send(Input::Status(reply)).await.is_err() {
+            return text_response(503, "text/plain", "stopping\n".to_owned());
         }
         let Ok(status) = status.recv().await else {
-            return plain(503, "text/plain", "stopping\n".to_owned());
+            return text_response(503, "text/plain", "stopping\n".to_owned());
         };
         let body = serde_json::to_string(&status).expect("plain structs become JSON");
-        plain(200, "application/json", body)
+        text_response(200, "application/json", body)
     }
 }
 
-fn bad_body(error: BodyError) -> Failure {
+fn body_failure(error: BodyError) -> Failure {
     let code = match error {
         BodyError::TooLong => Code::TooLarge,
         BodyError::TooSlow | BodyError::Broken => Code::BadBody,
@@ -187,12 +197,12 @@
     Failure::new(code, Verdict::NotRun, error.to_string())
 }
 
-fn failed(id: Option<SubmissionId>, failure: Failure) -> Response<Body> {
-    write(api::write_outcome(id, &Err(failure)))
+fn failure_response(id: Option<SubmissionId>, failure: Failure) -> Response<Body> {
+    answer_response(api::write_outcome(id, &Err(failure)))
 }
 
-fn write(answer: Answer) -> Response<Body> {
-    let mut response = plain(answer.status, "application/json", answer.body);
+fn answer_response(answer: Answer) -> Response<Body> {
+    let mut response = text_response(answer.status, "application/json", answer.body);
     let headers = response.headers_mut();
     if let Some(verdict) = answer.verdict {
         headers.insert(VERDICT_HEADER, HeaderValue::from_static(verdict.as_str()));
@@ -203,7 +213,7 @@
     response
 }
 
-fn plain(status: u16, content_type: &'static str, body: String) -> Response<Body> {
+fn text_response(status: u16, content_type: &'static str, body: String) -> Response<Body> {
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = StatusCode::from_u16(status).expect("statuses are constants");
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
--- a/daemon/src/entry_role/mod.rs
+++ b/daemon/src/entry_role/mod.rs
@@ -1,8 +1,8 @@
-//! An entry as threads: one listens to callers and other entries, one decides, one talks to
-//! agents.
+//! The entry role: one thread listens to callers and other entries, one drives the state machine,
+//! one holds the connections to agents.
 
-mod decide;
-mod links;
+mod agent_links;
+mod driver;
 mod listen;
 mod peers;
 
@@ -21,48 +21,48 @@
 use crate::clock::Clock;
 use crate::config::{EntryConfig, NodeConfig};
 use crate::decisions::DecisionLog;
-use crate::driver::RING;
+use crate::event_loop::CHANNEL_CAPACITY;
+use crate::failure_detector::LivenessSubscriber;
 use crate::hosts::ListSubscriber;
-use crate::probe::LivenessSubscriber;
-use crate::settings_link::{Subscriber, Update};
-use crate::threads::{Duty, join, spawn};
+use crate::settings_client::{SettingsSubscriber, SettingsUpdate};
+use crate::threads::{ThreadHandle, join, spawn};
 
-use decide::{EntryDecider, Input};
-use links::LinkInput;
+use agent_links::AgentLinkInput;
+use driver::{EntryDriver, Input};
 
-/// How often a draining entry looks whether it is idle.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+/// How often a draining entry checks whether it is idle.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What an entry is started with.
+/// Options to start an entry.
 #[derive(Clone, Debug)]
 pub struct EntryOptions {
-    /// Who the node is.
+    /// The node's configuration.
     pub node: NodeConfig,
-    /// The entry's part of the configuration.
+    /// The configuration of the entry role.
     pub entry: EntryConfig,
-    /// Its life.
-    pub life: NodeRef,
-    /// Where decisions go.
+    /// The node's name and the incarnation of this process.
+    pub node_ref: NodeRef,
+    /// The log of routing and placement decisions.
     pub decisions: DecisionLog,
 }
 
-/// What the threads of an entry share.
+/// State shared by the threads of an entry.
 #[derive(Debug, Default)]
-pub(crate) struct Shared {
-    /// Whether the balancer may send work.
+pub(crate) struct SharedState {
+    /// Whether the load balancer may send work.
     ready: AtomicBool,
-    /// Whether it is leaving.
+    /// Whether a planned stop is in progress.
     draining: AtomicBool,
-    /// Set once no more connections of callers are accepted.
+    /// Whether the listener for callers is closed.
     closed: AtomicBool,
-    /// From then on: connections over which a request may still have to be answered.
+    /// The number of connections with an unanswered request; updated once `closed` is set.
     unfinished: AtomicU64,
 }
 
-impl Shared {
-    /// Whether it has closed and every request that had come is answered. A job exists only from the
-    /// moment when its request is read whole, so that to look at jobs would not do.
-    fn has_answered(&self) -> bool {
+impl SharedState {
+    /// Returns whether the listener is closed and every received request is answered. The number of
+    /// active jobs is no substitute: a job exists only once its request is read completely.
+    fn has_answered_all(&self) -> bool {
         self.closed.load(Ordering::Acquire) && self.unfinished.load(Ordering::Acquire) == 0
     }
 }
@@ -72,34 +72,37 @@
     address: SocketAddr,
     peer_address: SocketAddr,
     drain_notice: Duration,
-    shared: Arc<Shared>,
-    ring: Sender<Input>,
-    links: Sender<LinkInput>,
+    shared: Arc<SharedState>,
+    input_sender: Sender<Input>,
+    agent_links: Sender<AgentLinkInput>,
     stop_listening: Option<Sender<()>>,
-    duties: Vec<Duty>,
+    threads: Vec<ThreadHandle>,
 }
 
 impl EntryHandle {
-    /// Starts the threads.
+    /// Binds the listeners and starts the threads.
     pub fn start(options: EntryOptions) -> io::Result<Self> {
         let clock = Clock::start();
         let listener = Async::<TcpListener>::bind(options.entry.listen)?;
         let peer_listener = Async::<TcpListener>::bind(options.entry.peer_listen)?;
         let address = listener.get_ref().local_addr()?;
         let peer_address = peer_listener.get_ref().local_addr()?;
-        let shared = Arc::new(Shared::default());
-        let (ring, inputs) = async_channel::bounded(RING);
-        let (links, link_inputs) = async_channel::bounded(RING);
+        let shared = Arc::new(SharedState::default());
+        let (input_sender, inputs) = async_channel::bounded(CHANNEL_CAPACITY);
+        let (agent_links, link_inputs) = async_channel::bounded(CHANNEL_CAPACITY);
         let (stop_listening, stopped) = async_channel::bounded(1);
 
-        let decider = EntryDecider::new(&options, shared.clone(), links.clone());
-        let decide = spawn("entry-decide", move |_| crate::driver::drive(decider, inputs, clock))?;
-        let life = options.life.clone();
-        let events = ring.clone();
-        let talk = spawn("entry-links", move |tasks| links::run(life, tasks, link_inputs, events))?;
-        let callers = ring.clone();
+        let driver = EntryDriver::new(&options, shared.clone(), agent_links.clone());
+        let driver_thread =
+            spawn("entry-decide", move |_| crate::event_loop::run(driver, inputs, clock))?;
+        let node_ref = options.node_ref.clone();
+        let events = input_sender.clone();
+        let links_thread = spawn("entry-links", move |tasks| {
+            agent_links::run(node_ref, tasks, link_inputs, events)
+        })?;
+        let callers = input_sender.clone();
         let listen_shared = shared.clone();
-        let listen = spawn("entry-listen", move |tasks| {
+        let listen_thread = spawn("entry-listen", move |tasks| {
             listen::run(tasks, listener, peer_listener, callers, listen_shared, stopped)
         })?;
         Ok(Self {
@@ -107,42 +110,44 @@
             peer_address,
             drain_notice: options.entry.drain_notice,
             shared,
-            ring,
-            links,
+            input_sender,
+            agent_links,
             stop_listening: Some(stop_listening),
-            duties: vec![decide, talk, listen],
+            threads: vec![driver_thread, links_thread, listen_thread],
         })
     }
 
-    /// Where callers reach it.
+    /// The address on which the entry listens for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where other entries reach it.
+    /// The address on which the entry listens for other entries.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Whether the balancer may send work.
+    /// Whether the load balancer may send work.
     pub fn is_ready(&self) -> bool {
         self.shared.ready.load(Ordering::Acquire)
     }
 
-    /// Its counters; none once it has stopped.
+    /// The entry's counters; `None` once it has stopped.
     pub fn counters(&self) -> Option<EntryCounters> {
         let (reply, status) = async_channel::bounded(1);
-        self.ring.send_blocking(Input::Status(reply)).ok()?;
+        self.input_sender.send_blocking(Input::Status(reply)).ok()?;
         status.recv_blocking().ok().map(|status| status.counters)
     }
 
-    pub(crate) fn settings_subscriber(&self) -> Subscriber {
-        let ring = self.ring.clone();
-        Box::new(move |update: Update| ring.send_blocking(Input::Settings(update)).is_ok())
+    pub(crate) fn settings_subscriber(&self) -> SettingsSubscriber {
+        let input_sender = self.input_sender.clone();
+        Box::new(move |update: SettingsUpdate| {
+            input_sender.send_blocking(Input::Settings(update)).is_ok()
+        })
     }
 
     pub(crate) fn list_subscriber(&self) -> ListSubscriber {
-        let (ring, links) = (self.ring.clone(), self.links.clone());
+        let (input_sender, agent_links) = (self.input_sender.clone(), self.agent_links.clone());
         Box::new(move |list: &HostList| {
             let leaving = list
                 .of_role(Role::Agent)
@@ -151,33 +156,35 @@
             let live = list.of_role(Role::Entry).filter(|host| host.state == HostState::Live);
             let count = u32::try_from(live.count()).unwrap_or(u32::MAX);
             let mut events = leaving.chain([entry::Event::EntryCount { count }]);
-            let all_told = events.all(|event| ring.send_blocking(Input::Event(event)).is_ok());
-            all_told && links.send_blocking(LinkInput::Hosts(list.clone())).is_ok()
+            let all_sent =
+                events.all(|event| input_sender.send_blocking(Input::Event(event)).is_ok());
+            all_sent && agent_links.send_blocking(AgentLinkInput::Hosts(list.clone())).is_ok()
         })
     }
 
     pub(crate) fn liveness_subscriber(&self) -> LivenessSubscriber {
-        let (ring, links) = (self.ring.clone(), self.links.clone());
+        let (input_sender, agent_links) = (self.input_sender.clone(), self.agent_links.clone());
         Box::new(move |node: &NodeName, liveness: Liveness| {
             let agent = node.clone();
             let suspected = liveness != Liveness::Alive;
-            // An entry that has stopped takes no news.
-            let _ = ring.send_blocking(Input::Event(entry::Event::Suspected { agent, suspected }));
+            // Sending fails only once the entry has stopped.
+            let _ = input_sender
+                .send_blocking(Input::Event(entry::Event::Suspected { agent, suspected }));
             if liveness == Liveness::Dead {
-                let _ = links.send_blocking(LinkInput::Dead(node.clone()));
+                let _ = agent_links.send_blocking(AgentLinkInput::Dead(node.clone()));
             }
         })
     }
 
-    /// A planned stop: says that it is not ready, goes on taking requests for the notice time,
-    /// then takes no more, finishes what it has and ends.
+    /// Stops as planned: reports that it is not ready, accepts requests for the notice time, then
+    /// closes the listener, answers every received request and ends.
     pub fn drain(mut self) {
         self.shared.draining.store(true, Ordering::Release);
         self.shared.ready.store(false, Ordering::Release);
         std::thread::sleep(self.drain_notice);
         self.stop_listening.take();
-        while !self.shared.has_answered() || !self.is_idle() {
-            std::thread::sleep(DRAIN_LOOK);
+        while !self.shared.has_answered_all() || !self.is_idle() {
+            std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
         self.stop();
     }
@@ -186,11 +193,11 @@
         self.counters().is_none_or(|counters| counters.active == 0)
     }
 
-    /// Ends at once: callers that wait get no answer.
+    /// Stops at once; waiting callers get no answer.
     pub fn stop(mut self) {
         self.stop_listening.take();
-        self.ring.close();
-        self.links.close();
-        join(std::mem::take(&mut self.duties));
+        self.input_sender.close();
+        self.agent_links.close();
+        join(std::mem::take(&mut self.threads));
     }
 }
--- a/daemon/src/entry_role/peers.rs
+++ b/daemon/src/entry_role/peers.rs
@@ -1,4 +1,4 @@
-//! Calls to other entries, each over a connection kept for later ones.
+//! Calls to other entries over reused connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 use tarpc::client::{Config, NewClient};
 use wire::{EntryServiceClient, RelayReply, RelayRequest};
 
-/// The other entries.
+/// The addresses of the other entries and the open connections to them.
 pub(super) struct Peers {
     tasks: Tasks,
     addresses: RefCell<HashMap<NodeName, SocketAddr>>,
@@ -22,29 +22,30 @@
         Self { tasks, addresses: RefCell::default(), clients: RefCell::default() }
     }
 
-    /// Takes the addresses of entries from the platform's list.
+    /// Replaces the addresses with those of the entries on the platform's list.
     pub fn set_hosts(&self, list: &HostList) {
         let entries = list.of_role(Role::Entry);
         *self.addresses.borrow_mut() =
             entries.map(|host| (host.name.clone(), host.address)).collect();
     }
 
-    /// Hands a submission to its owner; `None` when the owner can't be reached.
+    /// Relays a submission to the entry that owns it; `None` if the owner is unreachable.
     pub async fn relay(&self, owner: &NodeName, request: RelayRequest) -> Option<RelayReply> {
         let client = self.client(owner).await?;
         let reply = client.relay(net::call_context(), request).await;
-        self.checked(owner, reply)
+        self.forget_failed(owner, reply)
     }
 
-    /// Asks the owner for an outcome; `None` when the owner can't be reached.
+    /// Fetches an outcome from the entry that owns the submission; `None` if the owner is
+    /// unreachable.
     pub async fn fetch(&self, owner: &NodeName, submission: SubmissionId) -> Option<RelayReply> {
         let client = self.client(owner).await?;
         let reply = client.fetch(net::call_context(), submission).await;
-        self.checked(owner, reply)
+        self.forget_failed(owner, reply)
     }
 
-    /// Forgets a connection that failed.
-    fn checked<T, E>(&self, owner: &NodeName, reply: Result<T, E>) -> Option<T> {
+    /// Removes the connection if the call failed.
+    fn forget_failed<T, E>(&self, owner: &NodeName, reply: Result<T, E>) -> Option<T> {
         if reply.is_err() {
             self.clients.borrow_mut().remove(owner);
         }
@@ -60,7 +61,7 @@
         let NewClient { client, dispatch } =
             EntryServiceClient::new(Config::default(), net::frames(stream));
         self.tasks.spawn_rpc(async move {
-            // The calls see why it ended.
+            // Pending calls fail with the cause, so the result is not needed here.
             let _ = dispatch.await;
         });
         self.clients.borrow_mut().insert(owner.clone(), client.clone());
--- a/daemon/src/event_log.rs
+++ b/daemon/src/event_log.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 
 /// Lines that wait to be written.
-const RING: usize = 4_096;
+const CHANNEL_CAPACITY: usize = 4_096;
 /// The writer gathers lines for so long: it wakes seldom.
 const GATHER: Duration = Duration::from_millis(40);
 /// The span that budgets hold for.
@@ -56,7 +56,7 @@
 struct Inner {
     node: String,
     clock: Clock,
-    ring: Sender<String>,
+    sender: Sender<String>,
     spent: HashMap<&'static str, Spent>,
     span_began: BootInstant,
     omitted: u64,
@@ -71,7 +71,7 @@
 impl EventLog {
     /// A log to standard output.
     pub fn to_stdout(node: &str, clock: Clock) -> io::Result<Self> {
-        let (ring, lines) = async_channel::bounded(RING);
+        let (sender, lines) = async_channel::bounded(CHANNEL_CAPACITY);
         let (running, writer) = mpsc::channel();
         thread::Builder::new().name("log".to_owned()).spawn(move || {
             write(&lines);
@@ -80,7 +80,7 @@
         let inner = Inner {
             node: node.to_owned(),
             clock,
-            ring,
+            sender,
             spent: HashMap::new(),
             span_began: BootInstant::now(),
             omitted: 0,
@@ -117,7 +117,7 @@
     /// Takes no more lines and waits until those before are written, but not for long.
     pub fn flush(&self) {
         let inner = self.lock();
-        inner.ring.close();
+        inner.sender.close();
         // Nothing is ever sent: it ends with the writer, or with the time.
         let _ = inner.writer.recv_timeout(FLUSH_TIME);
     }
@@ -154,7 +154,7 @@
             line.push('}');
         }
         line.push('\n');
-        if let Err(TrySendError::Full(_)) = self.ring.try_send(line) {
+        if let Err(TrySendError::Full(_)) = self.sender.try_send(line) {
             self.omitted += 1;
         }
     }
--- a/daemon/src/probe.rs
+++ b/daemon/src/failure_detector.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::Clock;
 use crate::hosts::ListSubscriber;
-use crate::threads::{Duty, spawn_until};
+use crate::threads::{ThreadHandle, spawn_until};
 
 /// Longest datagram taken, in bytes.
 const DATAGRAM: usize = 2_048;
@@ -51,14 +51,14 @@
 
 /// Starts the detector at an address; returns how it gets the platform's list.
 pub(crate) fn start(
-    life: &NodeRef,
+    node_ref: &NodeRef,
     address: SocketAddr,
     subscribers: Vec<LivenessSubscriber>,
     stopped: Receiver<()>,
-) -> io::Result<(ListSubscriber, Duty)> {
+) -> io::Result<(ListSubscriber, ThreadHandle)> {
     let clock = Clock::start();
     let socket = Async::<UdpSocket>::bind(address)?;
-    let (name, seed) = (life.name.clone(), life.incarnation.0);
+    let (name, seed) = (node_ref.name.clone(), node_ref.incarnation.0);
     // Later lives start later, so that the time of the start counts them up.
     let generation = clock.now().as_micros();
     let detector = Detector::new(name.clone(), generation, seed, Timing::default(), clock.now());
@@ -72,9 +72,9 @@
         clock,
         buffer: vec![0; DATAGRAM],
     };
-    let duty = spawn_until("probe", stopped, move |_| prober.run(to_take))?;
+    let thread = spawn_until("probe", stopped, move |_| prober.run(to_take))?;
     let subscriber = move |list: &HostList| send_list(&lists, list);
-    Ok((Box::new(subscriber), duty))
+    Ok((Box::new(subscriber), thread))
 }
 
 /// A list that finds no room is left out: a newer one follows.
--- a/daemon/src/hosts.rs
+++ b/daemon/src/hosts.rs
@@ -14,7 +14,7 @@
 use net::Tasks;
 use spdlog::warn;
 
-use crate::threads::{Duty, spawn_until};
+use crate::threads::{ThreadHandle, spawn_until};
 
 /// Longest time for the platform to answer.
 const ANSWER_TIME: Duration = Duration::from_secs(5);
@@ -81,7 +81,7 @@
     every: Duration,
     mut subscribers: Vec<ListSubscriber>,
     stopped: Receiver<()>,
-) -> io::Result<Duty> {
+) -> io::Result<ThreadHandle> {
     spawn_until("platform", stopped, move |tasks| async move {
         let mut last: Option<HostList> = None;
         let mut failing = false;
--- a/daemon/src/keeper_role/listen.rs
+++ b/daemon/src/keeper_role/listen.rs
@@ -1,4 +1,4 @@
-//! The keeper's listening thread: HTTP from operators, tarpc from nodes.
+//! The keeper's listening thread: HTTP for operators, tarpc for nodes and other keepers.
 
 use std::net::{SocketAddr, TcpListener};
 use std::pin::pin;
@@ -24,120 +24,129 @@
     PeerMessage, PullReply, PullRequest, WatchReply, WatchRequest,
 };
 
-use super::decide::{Ask, Input};
+use super::driver::{Input, KeeperRequest};
 
-/// Limits of operators' connections.
-const LIMITS: Limits = Limits {
+/// Limits on the connections of operators.
+const OPERATOR_LIMITS: Limits = Limits {
     header_bytes: net::HEADER_BYTES,
     body_bytes: 4 * 1024 * 1024,
     read_time: Duration::from_secs(10),
     connections: 1_000,
 };
 
-/// A connection of a node or another keeper over which nothing was asked for so long is closed: it may
-/// have gone silent for good, and its other side have connected anew. Who waits for news asks again
-/// after 2 s at most, and whoever has nothing to say for longer connects when there is something.
-const ASKS_WITHIN: Duration = Duration::from_secs(5);
+/// Idle time after which a connection of a node or another keeper is closed, as it may be
+/// half-open. Longer than the interval of a watching node's requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Once the keeper stops, the deciding thread ends after the batch in hand: some milliseconds, but seconds where
-/// its disk stalls. It is not waited for longer, so that operators still hear that they have to ask elsewhere.
-const HELD_UP: Duration = Duration::from_millis(200);
-/// How long the last answers to operators may take: a thread that has just ended leaves little to do.
-const LAST_ANSWERS: Duration = Duration::from_millis(400);
-/// Where orders for halls are sent: the hall and what becomes of it follow.
+/// How long a request waits for its reply while the keeper stops. The last batch may take longer on
+/// a stalled disk; the operator is then answered without it.
+const STATE_MACHINE_GRACE: Duration = Duration::from_millis(200);
+/// How long the responses to operators that are still outstanding at the stop may take.
+const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_millis(400);
+/// Prefix of the paths of hall commands, followed by the hall and the action.
 const HALLS_PATH: &str = "/v1/halls/";
-/// How often it is looked whether they have left.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often a stopping keeper checks for outstanding responses.
+const RESPONSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A problem told to an operator.
+/// The JSON body of an error response.
 #[derive(Serialize)]
-struct Problem<'a> {
+struct ErrorBody<'a> {
     code: &'a str,
     message: &'a str,
 }
 
-/// What the operators' side needs.
+/// What the HTTP handlers need to answer operators.
 #[derive(Clone)]
-pub(crate) struct Operators {
-    /// The deciding thread's ring.
-    pub ring: Sender<Input>,
-    /// Where operators reach this keeper; other keepers have the same port.
+pub(crate) struct OperatorContext {
+    /// Sends inputs to the state machine's thread.
+    pub input_sender: Sender<Input>,
+    /// The address on which this keeper listens for operators; other keepers use the same port.
     pub address: SocketAddr,
-    /// Whether operators speak the users' platform's way.
-    pub room: bool,
+    /// Whether the calls of the users' platform are served, as nodes schedule by capacity.
+    pub capacity_scheduling: bool,
 }
 
-/// Listens until the deciding thread ends.
+/// Accepts connections until the state machine's thread ends.
 pub(crate) async fn run(
     tasks: Tasks,
     listener: Async<TcpListener>,
     node_listener: Async<TcpListener>,
-    operators: Operators,
+    context: OperatorContext,
 ) {
-    let ring = operators.ring.clone();
+    let input_sender = context.input_sender.clone();
     let handler = move |request| {
-        let operators = operators.clone();
-        async move { answer(&operators, request).await }
+        let context = context.clone();
+        async move { handle_request(&context, request).await }
     };
-    let calls = Rc::new(Connections::default());
-    let serve = net::serve_until_closed(listener, tasks.clone(), calls.clone(), || LIMITS, handler);
+    let connections = Rc::new(Connections::default());
+    let serve = net::serve_until_closed(
+        listener,
+        tasks.clone(),
+        connections.clone(),
+        || OPERATOR_LIMITS,
+        handler,
+    );
     let mut serve = pin!(serve);
-    let nodes = serve_nodes(node_listener, tasks.clone(), ring.clone());
-    future::or(future::or(serve.as_mut(), nodes), ring.closed()).await;
-    calls.close();
-    // What waits to be accepted is accepted.
+    let nodes = serve_node_connections(node_listener, tasks.clone(), input_sender.clone());
+    future::or(future::or(serve.as_mut(), nodes), input_sender.closed()).await;
+    connections.close();
+    // Accepts the connections that are already in the backlog.
     serve.await;
-    until_answered(&calls).await;
+    wait_for_responses(&connections).await;
 }
 
-/// Waits until operators' calls are answered, for a while. Once the deciding thread has ended, what it has
-/// not answered is told to go to another keeper; a connection that ends instead tells an operator nothing.
-async fn until_answered(calls: &Connections) {
-    let answered = async {
-        while calls.unfinished() > 0 {
-            Timer::after(LOOK).await;
+/// Waits, up to a timeout, until outstanding requests are answered, so that operators get an error
+/// response and not only a closed connection.
+async fn wait_for_responses(connections: &Connections) {
+    let handled = async {
+        while connections.unfinished() > 0 {
+            Timer::after(RESPONSE_POLL_INTERVAL).await;
         }
     };
-    let late = async {
-        Timer::after(LAST_ANSWERS).await;
+    let timed_out = async {
+        Timer::after(LAST_RESPONSES_TIMEOUT).await;
     };
-    future::or(answered, late).await;
+    future::or(handled, timed_out).await;
 }
 
-async fn serve_nodes(listener: Async<TcpListener>, tasks: Tasks, ring: Sender<Input>) {
+async fn serve_node_connections(
+    listener: Async<TcpListener>,
+    tasks: Tasks,
+    input_sender: Sender<Input>,
+) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         net::tune(&stream);
         let channel = BaseChannel::with_defaults(net::frames(stream));
-        let node = Node { ring: ring.clone() };
+        let node = NodeService { input_sender: input_sender.clone() };
         let runner = tasks.clone();
         tasks.spawn_rpc(async move {
             let mut calls = std::pin::pin!(channel.execute(node.serve()));
-            let silent = async || {
-                Timer::after(ASKS_WITHIN).await;
+            let idle_timeout = async || {
+                Timer::after(IDLE_TIMEOUT).await;
                 None
             };
-            while let Some(call) = future::or(calls.next(), silent()).await {
+            while let Some(call) = future::or(calls.next(), idle_timeout()).await {
                 runner.spawn_rpc(call);
             }
         });
     }
 }
 
-/// The service for nodes.
+/// The tarpc service for nodes and other keepers.
 #[derive(Clone)]
-struct Node {
-    ring: Sender<Input>,
+struct NodeService {
+    input_sender: Sender<Input>,
 }
 
-impl KeeperService for Node {
+impl KeeperService for NodeService {
     async fn peer(self, _: Context, message: PeerMessage) {
-        // Lost where the deciding thread has ended.
-        let _ = self.ring.send(Input::Peer(message.from, message.message)).await;
+        // Fails only if the state machine's thread has ended.
+        let _ = self.input_sender.send(Input::Peer(message.from, message.message)).await;
     }
 
     async fn pull(self, _: Context, request: PullRequest) -> PullReply {
-        match ask(&self.ring, Ask::Pull(request)).await {
+        match submit(&self.input_sender, KeeperRequest::Pull(request)).await {
             Some(Reply::Pull(reply)) => reply,
             Some(Reply::NotLeader(leader)) => PullReply::Unsure { leader },
             _ => PullReply::Unsure { leader: None },
@@ -145,149 +154,163 @@
     }
 
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
-        match ask(&self.ring, Ask::Watch(request)).await {
+        match submit(&self.input_sender, KeeperRequest::Watch(request)).await {
             Some(Reply::Watch(reply)) => reply,
-            // The keeper is ending; the connection ends with it.
+            // The keeper is stopping, and the connection is closed with it.
             _ => WatchReply { version: 0, nodes: None, halls: None, peers: 0, keepers: None },
         }
     }
 
     async fn document(self, _: Context, request: PartRequest) -> Option<DocumentPart> {
-        match ask(&self.ring, Ask::Part(request)).await {
+        match submit(&self.input_sender, KeeperRequest::FetchPart(request)).await {
             Some(Reply::Part(part)) => part,
-            // The keeper is ending; another has it.
+            // The keeper is stopping; the node fetches the part from another keeper.
             _ => None,
         }
     }
 }
 
-/// Asks the deciding thread; `None` where it has ended, or is about to and is held up.
-async fn ask(ring: &Sender<Input>, what: Ask) -> Option<Reply> {
-    let (reply, answer) = async_channel::bounded(1);
-    let answered = async {
-        ring.send(Input::Ask(what, reply)).await.ok()?;
-        answer.recv().await.ok()
+/// Sends a request to the state machine and waits for the reply; `None` if its thread has ended, or
+/// does not reply in time while it ends.
+async fn submit(input_sender: &Sender<Input>, request: KeeperRequest) -> Option<Reply> {
+    let (reply, replies) = async_channel::bounded(1);
+    let handled = async {
+        input_sender.send(Input::Request(request, reply)).await.ok()?;
+        replies.recv().await.ok()
     };
-    let given_up = async {
-        ring.closed().await;
-        Timer::after(HELD_UP).await;
+    let timed_out = async {
+        input_sender.closed().await;
+        Timer::after(STATE_MACHINE_GRACE).await;
         None
     };
-    future::or(answered, given_up).await
+    future::or(handled, timed_out).await
 }
 
-async fn answer(
-    operators: &Operators,
+async fn handle_request(
+    context: &OperatorContext,
     request: Request<Result<Bytes, BodyError>>,
 ) -> Response<Body> {
-    let ring = &operators.ring;
+    let input_sender = &context.input_sender;
     let (head, body) = request.into_parts();
-    if operators.room
+    if context.capacity_scheduling
         && let Some(call) = OperatorCall::read(&head.method, head.uri.path())
     {
-        return platform_call(operators, call, head.uri.path(), body).await;
+        return handle_platform_call(context, call, head.uri.path(), body).await;
     }
     match (head.method.as_str(), head.uri.path()) {
-        ("GET", "/v1/settings") => respond(ask(ring, Ask::Read).await),
-        ("GET", "/v1/history") => respond(ask(ring, Ask::History).await),
-        ("GET", "/v1/status") => own_status(ring).await,
-        ("GET", "/v1/halls") => respond(ask(ring, Ask::ReadHalls).await),
-        ("POST", path) if path.starts_with(HALLS_PATH) => order_hall(operators, path).await,
+        ("GET", "/v1/settings") => {
+            reply_response(submit(input_sender, KeeperRequest::ReadTree).await)
+        }
+        ("GET", "/v1/history") => {
+            reply_response(submit(input_sender, KeeperRequest::ReadHistory).await)
+        }
+        ("GET", "/v1/status") => status_response(input_sender).await,
+        ("GET", "/v1/halls") => {
+            reply_response(submit(input_sender, KeeperRequest::ReadHalls).await)
+        }
+        ("POST", path) if path.starts_with(HALLS_PATH) => command_hall(context, path).await,
         ("POST", "/v1/changes") => match body {
-            Ok(body) => change(ring, &body).await,
-            Err(error) => problem(400, "bad-body", &error.to_string()),
+            Ok(body) => handle_change(input_sender, &body).await,
+            Err(error) => error_response(400, "bad-body", &error.to_string()),
         },
-        _ => problem(404, "no-such-path", "see the operators' pages"),
+        _ => error_response(404, "no-such-path", "see the operators' pages"),
     }
 }
 
-/// An order of the product's own interface for a hall.
-async fn order_hall(operators: &Operators, path: &str) -> Response<Body> {
-    let Some((hall, what)) = path.strip_prefix(HALLS_PATH).and_then(|rest| rest.split_once('/'))
+/// Handles a request to empty or refill a hall.
+async fn command_hall(context: &OperatorContext, path: &str) -> Response<Body> {
+    let Some((hall, action)) = path.strip_prefix(HALLS_PATH).and_then(|rest| rest.split_once('/'))
     else {
-        return problem(404, "no-such-path", "see the operators' pages");
+        return error_response(404, "no-such-path", "see the operators' pages");
     };
-    let takes_work = match what {
+    let takes_work = match action {
         "empty" => false,
         "refill" => true,
-        _ => return problem(404, "no-such-path", "a hall is emptied or refilled"),
+        _ => {
+            return error_response(404, "no-such-path", "the action for a hall is empty or refill");
+        }
     };
-    if !operators.room {
-        let message = "halls are emptied by order only where nodes schedule by room";
-        return problem(409, "not-supported", message);
+    if !context.capacity_scheduling {
+        let message = "halls can be emptied and refilled only with scheduling = room";
+        return error_response(409, "not-supported", message);
     }
     match hall.parse() {
-        Ok(hall) => {
-            respond(ask(&operators.ring, Ask::OrderHall(HallOrder { hall, takes_work })).await)
-        }
-        Err(error) => bad_hall(error),
+        Ok(hall) => reply_response(
+            submit(
+                &context.input_sender,
+                KeeperRequest::HallCommand(HallOrder { hall, takes_work }),
+            )
+            .await,
+        ),
+        Err(error) => invalid_hall_response(error),
     }
 }
 
-fn bad_hall(error: BadHallName) -> Response<Body> {
-    problem(400, "bad-hall", &error.to_string())
+fn invalid_hall_response(error: BadHallName) -> Response<Body> {
+    error_response(400, "bad-hall", &error.to_string())
 }
 
-/// A call of the platform's operators; one that only the leader can answer is sent on to it.
-async fn platform_call(
-    operators: &Operators,
+/// Handles a call of the platform's operators. Redirects to the leader if only the leader can
+/// answer.
+async fn handle_platform_call(
+    context: &OperatorContext,
     call: OperatorCall,
     path: &str,
     body: Result<Bytes, BodyError>,
 ) -> Response<Body> {
-    let asked = match (call, body) {
-        (OperatorCall::Fetch, _) => Ask::Fetch,
-        (OperatorCall::OrderHall(Ok(order)), _) => Ask::OrderHall(order),
-        (OperatorCall::OrderHall(Err(error)), _) => return bad_hall(error),
+    let request = match (call, body) {
+        (OperatorCall::Fetch, _) => KeeperRequest::ReadDocument,
+        (OperatorCall::OrderHall(Ok(command)), _) => KeeperRequest::HallCommand(command),
+        (OperatorCall::OrderHall(Err(error)), _) => return invalid_hall_response(error),
         (OperatorCall::Replace, Ok(body)) => match platform::read_document(&body) {
-            Ok(document) => Ask::Replace(document),
-            Err(error) => return problem(400, "invalid", &error.to_string()),
+            Ok(document) => KeeperRequest::ReplaceDocument(document),
+            Err(error) => return error_response(400, "invalid", &error.to_string()),
         },
         (OperatorCall::Replace, Err(error)) => {
             let status = if error == BodyError::TooLong { 413 } else { 400 };
-            return problem(status, "bad-body", &error.to_string());
+            return error_response(status, "bad-body", &error.to_string());
         }
     };
-    match ask(&operators.ring, asked).await {
-        Some(Reply::Replaced | Reply::Halls(_)) => json(200, &serde_json::json!({})),
-        Some(Reply::Document(Some(document))) => whole(&document.body),
-        Some(Reply::Document(None)) => problem(503, "no-document", "there never was one"),
-        Some(Reply::NotLeader(Some(leader))) => send_on(operators.address, &leader, path),
-        _ => unsure(None),
+    match submit(&context.input_sender, request).await {
+        Some(Reply::Replaced | Reply::Halls(_)) => json_response(200, &serde_json::json!({})),
+        Some(Reply::Document(Some(document))) => document_response(&document.body),
+        Some(Reply::Document(None)) => error_response(503, "no-document", "no document is stored"),
+        Some(Reply::NotLeader(Some(leader))) => redirect_to_leader(context.address, &leader, path),
+        _ => not_leader_response(None),
     }
 }
 
-/// The document as it was sent.
-fn whole(body: &str) -> Response<Body> {
+/// Returns the stored document unchanged.
+fn document_response(body: &str) -> Response<Body> {
     let mut response = Response::new(Body::from(body.to_owned()));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// Sends a caller on to the leader.
-fn send_on(own: SocketAddr, leader: &NodeName, path: &str) -> Response<Body> {
+/// Redirects a caller to the leader's address for operators.
+fn redirect_to_leader(own: SocketAddr, leader: &NodeName, path: &str) -> Response<Body> {
     let address = leader.as_str().parse::<SocketAddr>().ok();
     let Some(address) = address.filter(|address| address.ip() != own.ip()) else {
-        return unsure(None);
+        return not_leader_response(None);
     };
-    let place = format!("http://{}{path}", SocketAddr::new(address.ip(), own.port()));
-    let mut response = problem(307, "not-leader", "ask the leader");
-    match HeaderValue::from_str(&place) {
-        Ok(place) => {
-            response.headers_mut().insert(LOCATION, place);
+    let location = format!("http://{}{path}", SocketAddr::new(address.ip(), own.port()));
+    let mut response = error_response(307, "not-leader", "retry at the leader");
+    match HeaderValue::from_str(&location) {
+        Ok(location) => {
+            response.headers_mut().insert(LOCATION, location);
             response
         }
-        Err(_) => unsure(None),
+        Err(_) => not_leader_response(None),
     }
 }
 
-fn respond(reply: Option<Reply>) -> Response<Body> {
+fn reply_response(reply: Option<Reply>) -> Response<Body> {
     match reply {
-        Some(Reply::Tree(tree)) => json(200, &tree),
-        Some(Reply::History(versions)) => json(200, &versions),
-        Some(Reply::Change(result)) => json(status(&result), &result),
-        Some(Reply::Halls(halls)) => json(200, &halls),
-        Some(Reply::NotLeader(leader)) => unsure(leader),
+        Some(Reply::Tree(tree)) => json_response(200, &tree),
+        Some(Reply::History(versions)) => json_response(200, &versions),
+        Some(Reply::Change(result)) => json_response(change_status(&result), &result),
+        Some(Reply::Halls(halls)) => json_response(200, &halls),
+        Some(Reply::NotLeader(leader)) => not_leader_response(leader),
         Some(
             Reply::Pull(_)
             | Reply::Replaced
@@ -295,35 +318,35 @@
             | Reply::Watch(_)
             | Reply::Part(_),
         )
-        | None => problem(503, "not-ready", "the keeper is stopping"),
+        | None => error_response(503, "not-ready", "the keeper is stopping"),
     }
 }
 
-fn unsure(leader: Option<model::NodeName>) -> Response<Body> {
+fn not_leader_response(leader: Option<model::NodeName>) -> Response<Body> {
     let message = match leader {
-        Some(leader) => format!("ask {leader}, which may lead"),
+        Some(leader) => format!("retry at {leader}, the last known leader"),
         None => "no leader is known".to_owned(),
     };
-    problem(503, "not-leader", &message)
+    error_response(503, "not-leader", &message)
 }
 
-async fn own_status(ring: &Sender<Input>) -> Response<Body> {
-    let (reply, answer) = async_channel::bounded(1);
-    let sent = ring.send(Input::Status(reply)).await.is_ok();
-    match answer.recv().await {
-        Ok(status) if sent => json(200, &status),
-        _ => problem(503, "not-ready", "the keeper is stopping"),
+async fn status_response(input_sender: &Sender<Input>) -> Response<Body> {
+    let (reply, replies) = async_channel::bounded(1);
+    let sent = input_sender.send(Input::Status(reply)).await.is_ok();
+    match replies.recv().await {
+        Ok(status) if sent => json_response(200, &status),
+        _ => error_response(503, "not-ready", "the keeper is stopping"),
     }
 }
 
-async fn change(ring: &Sender<Input>, body: &[u8]) -> Response<Body> {
+async fn handle_change(input_sender: &Sender<Input>, body: &[u8]) -> Response<Body> {
     match serde_json::from_slice::<ChangeRequest>(body) {
-        Ok(request) => respond(ask(ring, Ask::Change(request)).await),
-        Err(error) => problem(400, "bad-body", &error.to_string()),
+        Ok(request) => reply_response(submit(input_sender, KeeperRequest::Change(request)).await),
+        Err(error) => error_response(400, "bad-body", &error.to_string()),
     }
 }
 
-fn status(result: &ChangeResult) -> u16 {
+fn change_status(result: &ChangeResult) -> u16 {
     match result {
         ChangeResult::Accepted { .. } => 200,
         ChangeResult::Conflict { .. } => 409,
@@ -331,12 +354,12 @@
     }
 }
 
-fn problem(status: u16, code: &str, message: &str) -> Response<Body> {
-    json(status, &Problem { code, message })
+fn error_response(status: u16, code: &str, message: &str) -> Response<Body> {
+    json_response(status, &ErrorBody { code, message })
 }
 
-fn json<T: Serialize>(status: u16, value: &T) -> Response<Body> {
-    let body = serde_json::to_string(value).expect("plain structs become JSON");
+fn json_response<T: Serialize>(status: u16, value: &T) -> Response<Body> {
+    let body = serde_json::to_string(value).expect("response bodies serialize to JSON");
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = StatusCode::from_u16(status).expect("statuses are constants");
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/daemon/src/keeper_role/news_lines.rs
+++ b/daemon/src/keeper_role/log_lines.rs
@@ -1,4 +1,5 @@
-//! The keeper's changes of state as lines of the log.
+//! Log lines of the keeper: JSON in the event log if there is one, otherwise text in the daemon's
+//! log.
 
 use std::io;
 use std::time::Duration;
@@ -8,51 +9,58 @@
 use serde_json::json;
 use spdlog::{error, info, warn};
 
-use super::peers::{Answers, Notice};
+use super::peers::{PeerStatus, PeerStatusLogger};
 use crate::event_log::{Budget, EventLog};
 
-/// Writes which other keepers leave messages unanswered: to the log of lines where there is one.
-pub(super) fn of_peers(own: NodeName, log: Option<EventLog>) -> impl Notice + Send {
-    move |keeper: &NodeName, answers: Answers| match (&log, answers) {
-        (Some(log), Answers::No) => peer_line(log, "keeper-silent", keeper),
-        (Some(log), Answers::Again) => peer_line(log, "keeper-answers", keeper),
-        (None, Answers::No) => warn!("keeper {}: {} does not answer", own, keeper),
-        (None, Answers::Again) => info!("keeper {}: {} answers again", own, keeper),
+/// Returns a callback that logs when another keeper stops or resumes acknowledging messages.
+pub(super) fn peer_status_logger(
+    name: NodeName,
+    log: Option<EventLog>,
+) -> impl PeerStatusLogger + Send {
+    move |keeper: &NodeName, status: PeerStatus| match (&log, status) {
+        (Some(log), PeerStatus::Silent) => log_peer_status(log, "keeper-silent", keeper),
+        (Some(log), PeerStatus::Answering) => log_peer_status(log, "keeper-answers", keeper),
+        (None, PeerStatus::Silent) => {
+            warn!("keeper {}: {} does not acknowledge messages", name, keeper)
+        }
+        (None, PeerStatus::Answering) => {
+            info!("keeper {}: {} acknowledges messages again", name, keeper)
+        }
     }
 }
 
-fn peer_line(log: &EventLog, what: &'static str, keeper: &NodeName) {
-    log.line(what, Budget::Full, || json!({"keeper": keeper.as_str()}));
+fn log_peer_status(log: &EventLog, kind: &'static str, keeper: &NodeName) {
+    log.line(kind, Budget::Full, || json!({"keeper": keeper.as_str()}));
 }
 
-/// Writes that the disk has no room, so that the keeper takes no changes and does not vote.
-pub(super) fn disk_full(log: Option<&EventLog>, own: &NodeName) {
+/// Logs that the disk is full, so that the keeper neither accepts changes nor votes.
+pub(super) fn log_disk_full(log: Option<&EventLog>, name: &NodeName) {
     match log {
         Some(log) => log.line("disk-full", Budget::Full, || json!({})),
-        None => warn!("keeper {}: the disk has no room: takes no changes, does not vote", own),
+        None => warn!("keeper {}: the disk is full: accepting no changes, not voting", name),
     }
 }
 
-/// Writes that the disk has room again.
-pub(super) fn disk_has_room(log: Option<&EventLog>, own: &NodeName, after: Duration) {
-    let after = after.as_millis() as u64;
+/// Logs that the disk is writable again.
+pub(super) fn log_disk_has_room(log: Option<&EventLog>, name: &NodeName, full_for: Duration) {
+    let full_for = full_for.as_millis() as u64;
     match log {
-        Some(log) => log.line("disk-has-room", Budget::Full, || json!({"full_ms": after})),
-        None => info!("keeper {}: the disk has room again after {} ms", own, after),
+        Some(log) => log.line("disk-has-room", Budget::Full, || json!({"full_ms": full_for})),
+        None => info!("keeper {}: the disk is writable again after {} ms", name, full_for),
     }
 }
 
-/// Writes that the nodes which a keeper remembers can't be read, stored or called.
-pub(super) fn nodes_problem(log: Option<&EventLog>, what: &'static str, error: &io::Error) {
+/// Logs that the stored nodes can't be read, written or notified.
+pub(super) fn log_roster_error(log: Option<&EventLog>, kind: &'static str, error: &io::Error) {
     let reason = error.to_string();
     match log {
-        Some(log) => log.line(what, Budget::Full, || json!({"reason": reason})),
-        None => warn!("keeper: {}: {}", what, reason),
+        Some(log) => log.line(kind, Budget::Full, || json!({"reason": reason})),
+        None => warn!("keeper: {}: {}", kind, reason),
     }
 }
 
-/// Writes what a keeper begins with.
-pub(super) fn recovered(log: Option<&EventLog>, own: &NodeName, keeper: &Keeper, bytes: u64) {
+/// Logs the state that the keeper recovered from its journal.
+pub(super) fn log_recovery(log: Option<&EventLog>, name: &NodeName, keeper: &Keeper, bytes: u64) {
     match log {
         Some(log) => log.line("recovered", Budget::Full, || {
             let replica = keeper.replica();
@@ -61,21 +69,21 @@
             json!({"document": document, "term": term, "committed": committed,
                 "blank": replica.is_blank(), "journal_bytes": bytes})
         }),
-        None => info!("keeper {}: settings {} recovered", own, keeper.version()),
+        None => info!("keeper {}: recovered settings version {}", name, keeper.version()),
     }
 }
 
-/// Writes a change of state.
-pub(super) fn write(log: Option<&EventLog>, own: &NodeName, news: &LogEvent) {
+/// Logs an event of the keeper.
+pub(super) fn log_event(log: Option<&EventLog>, name: &NodeName, event: &LogEvent) {
     match log {
-        Some(log) => write_line(log, news),
-        None => write_plain(own, news),
+        Some(log) => write_json(log, event),
+        None => write_text(name, event),
     }
 }
 
-fn write_line(log: &EventLog, news: &LogEvent) {
+fn write_json(log: &EventLog, event: &LogEvent) {
     use consensus::LogEvent as Log;
-    match news {
+    match event {
         LogEvent::Replica(Log::BecameLeader(term)) => {
             log.line("leads", Budget::Full, || json!({"term": term}))
         }
@@ -117,29 +125,29 @@
     }
 }
 
-fn write_plain(name: &NodeName, news: &LogEvent) {
+fn write_text(name: &NodeName, event: &LogEvent) {
     use consensus::LogEvent as Log;
-    match news {
+    match event {
         LogEvent::Replica(Log::BecameLeader(term)) => {
-            info!("keeper {}: leads in term {}", name, term)
+            info!("keeper {}: became leader in term {}", name, term)
         }
         LogEvent::Replica(Log::SteppedDown(term)) => {
-            warn!("keeper {}: steps down in term {}", name, term);
+            warn!("keeper {}: stepped down in term {}", name, term);
         }
         LogEvent::Replica(Log::FollowsLeader(leader, term)) => {
-            info!("keeper {}: follows {} in term {}", name, leader, term);
+            info!("keeper {}: following {} in term {}", name, leader, term);
         }
         LogEvent::Replica(Log::CaughtUp(index)) => {
-            info!("keeper {}: caught up to entry {}, votes from now on", name, index);
+            info!("keeper {}: caught up to entry {}, voting from now on", name, index);
         }
         LogEvent::Replica(Log::Violation(violation)) => {
             error!("keeper {}: BREACH: {}", name, violation);
         }
         LogEvent::Replica(Log::MembersChanged(members)) => {
-            info!("keeper {}: {} keepers vote", name, members.len());
+            info!("keeper {}: the cluster has {} voting keepers", name, members.len());
         }
         LogEvent::DocumentVersion(version) => {
-            info!("keeper {}: document {} accepted", name, version)
+            info!("keeper {}: accepted document version {}", name, version)
         }
         LogEvent::EmptiedHalls(halls) => {
             let revision = halls.revision;
@@ -149,10 +157,10 @@
             info!("keeper {}: {} nodes are registered", name, count)
         }
         LogEvent::SettingsVersion(version) => {
-            info!("keeper {}: settings {} accepted", name, version)
+            info!("keeper {}: accepted settings version {}", name, version)
         }
         LogEvent::UnreadableEntry(index) => {
-            error!("keeper {}: entry {} can't be read", name, index);
+            error!("keeper {}: log entry {} can't be decoded", name, index);
         }
     }
 }
--- a/daemon/src/keeper_role/mod.rs
+++ b/daemon/src/keeper_role/mod.rs
@@ -1,9 +1,9 @@
-//! A keeper as threads: one listens to operators, nodes and other keepers, one decides and writes
-//! its journal, one talks to the other keepers.
+//! The keeper role: one thread listens to operators, nodes and other keepers, one drives the state
+//! machine and writes the journal, one sends messages to the other keepers.
 
-mod decide;
+mod driver;
 mod listen;
-mod news_lines;
+mod log_lines;
 mod peers;
 mod roster;
 mod storage;
@@ -26,81 +26,81 @@
 
 use crate::clock::Clock;
 use crate::config::{KeeperConfig, NodeConfig, Scheduling};
-use crate::driver::RING;
 use crate::event_log::EventLog;
+use crate::event_loop::CHANNEL_CAPACITY;
 use crate::hosts::ListSubscriber;
-use crate::threads::{Duty, join, spawn};
+use crate::threads::{ThreadHandle, join, spawn};
 
-pub use decide::KeeperStatus;
-use decide::{Input, KeeperDecider, RosterLink};
+pub use driver::KeeperStatus;
+use driver::{Input, KeeperDriver, RosterLink};
 use peers::PeersInput;
-use storage::{read_journal, write_record};
+use storage::{encode_record, open_journal};
 
-/// The journal's file in the data folder.
-const JOURNAL: &str = "settings.journal";
+/// File name of the journal in the data folder.
+const JOURNAL_FILE: &str = "settings.journal";
 
-/// What a keeper is started with.
+/// Options to start a keeper.
 #[derive(Clone, Debug)]
 pub struct KeeperOptions {
-    /// Who the node is.
+    /// The node's configuration.
     pub node: NodeConfig,
-    /// The keeper's part of the configuration.
+    /// The configuration of the keeper role.
     pub keeper: KeeperConfig,
-    /// Where lines of changes of state go; those of the daemon's plain log otherwise.
+    /// The event log; without it, events go to the daemon's text log.
     pub(crate) log: Option<EventLog>,
-    /// What takes the journal's bytes.
+    /// The disk that the journal is written to.
     pub disk: Disk,
 }
 
 impl KeeperOptions {
-    /// Options without a log of lines.
+    /// Returns options without an event log.
     pub fn new(node: NodeConfig, keeper: KeeperConfig) -> Self {
         Self { node, keeper, log: None, disk: Disk::default() }
     }
 }
 
-/// Why a keeper can't start.
+/// Why a keeper can't be initialized or started.
 #[derive(Debug, Error)]
 pub enum KeeperError {
-    /// The journal can't be used.
+    /// The journal can't be opened or written.
     #[error("keeper: {0}")]
     Journal(#[from] JournalError),
-    /// A socket or thread can't be had.
+    /// A file, socket or thread is unavailable.
     #[error("keeper: {0}")]
     Io(#[from] io::Error),
-    /// A record of the journal can't be read.
-    #[error("keeper: record {0} of the journal can't be read")]
-    BadRecord(usize),
-    /// The journal's records make no sense.
+    /// A record of the journal can't be decoded; holds its index.
+    #[error("keeper: record {0} of the journal can't be decoded")]
+    InvalidRecord(usize),
+    /// The journal's records are inconsistent.
     #[error("keeper: {0}")]
-    BadState(#[from] keeper::KeeperError),
-    /// The initial tree is refused.
+    InvalidState(#[from] keeper::KeeperError),
+    /// The initial settings tree is invalid.
     #[error("keeper: {path}: {reason}")]
-    BadTree {
-        /// The file.
+    InvalidTree {
+        /// The path of the tree's file.
         path: String,
-        /// Why.
+        /// Why the tree is invalid.
         reason: String,
     },
-    /// The data folder holds a journal already.
-    #[error("keeper: {0} exists already: a cluster is begun once")]
-    Begun(String),
-    /// The data folder is empty, and there is nobody to catch up from.
-    #[error("keeper: {0} does not exist: begin the cluster with dockpassd --init-keeper")]
-    NotBegun(String),
+    /// The journal already exists; holds its path.
+    #[error("keeper: {0} already exists: a cluster is created only once")]
+    AlreadyInitialized(String),
+    /// There is no journal, and no other keeper to catch up from; holds the journal's path.
+    #[error("keeper: {0} does not exist: create the cluster with dockpassd --init-keeper")]
+    NotInitialized(String),
 }
 
-/// Writes the journal of a keeper of a new cluster, with the tree that it begins with. Done once,
-/// on each keeper, with the same tree and the same keepers.
+/// Writes the journal of a keeper of a new cluster, with the initial settings tree. Has to run once
+/// on every keeper, with the same tree and the same list of keepers.
 pub fn init_keeper(node: &NodeConfig, config: &KeeperConfig) -> Result<(), KeeperError> {
-    let path = config.data.join(JOURNAL);
+    let path = config.data.join(JOURNAL_FILE);
     if path.exists() {
-        return Err(KeeperError::Begun(path.display().to_string()));
+        return Err(KeeperError::AlreadyInitialized(path.display().to_string()));
     }
-    let tree = initial_tree(config.initial.as_deref())?;
+    let tree = read_initial_tree(config.initial.as_deref())?;
     let records = keeper::initial_records(config.members(&node.name), tree);
     let mut journal = Journal::open(&path)?.journal;
-    let records: Vec<Vec<u8>> = records.iter().map(write_record).collect();
+    let records: Vec<Vec<u8>> = records.iter().map(encode_record).collect();
     journal.rewrite(&records)?;
     Ok(())
 }
@@ -109,18 +109,18 @@
 pub struct KeeperHandle {
     address: SocketAddr,
     node_address: SocketAddr,
-    ring: Sender<Input>,
+    input_sender: Sender<Input>,
     peers: Sender<PeersInput>,
-    duties: Vec<Duty>,
+    threads: Vec<ThreadHandle>,
 }
 
 impl KeeperHandle {
     /// Recovers the state and starts the threads.
     pub fn start(options: KeeperOptions) -> Result<Self, KeeperError> {
         let KeeperOptions { mut node, keeper: config, log, disk } = options;
-        let room = node.scheduling == Scheduling::Room;
-        if room {
-            // Keepers find each other by address, so that is what they are named by.
+        let capacity_scheduling = node.scheduling == Scheduling::Capacity;
+        if capacity_scheduling {
+            // Keepers find each other by address, so the address is also their name.
             node.name = NodeName::new(&config.node_listen.to_string());
         }
         let contacts = contacts(&node);
@@ -129,78 +129,82 @@
         let node_listener = Async::<TcpListener>::bind(config.node_listen)?;
         let address = listener.get_ref().local_addr()?;
         let node_address = node_listener.get_ref().local_addr()?;
-        let (mut journal, records) = journal_or_blank(&node.name, &config, &contacts, disk)?;
+        let (mut journal, records) = open_or_create_journal(&node.name, &config, &contacts, disk)?;
         let seed = uuid::Uuid::new_v4().as_u128() as u64;
-        let voters = room.then(|| config.tolerated_losses * 2 + 1);
+        let voters = capacity_scheduling.then(|| config.tolerated_losses * 2 + 1);
         let timing = Timing { voters, ..Timing::default() };
         let now = clock.now();
         let mut keeper = Keeper::recover(node.name.clone(), records, timing, seed, now)?;
         keeper.set_contacts(contacts);
         if keeper.is_only_voter() {
-            // Without its disk it could take nothing, and no other keeper goes on.
+            // A single keeper with a full disk can't accept changes, and no other keeper replaces
+            // it.
             journal.sync()?;
         }
-        let (ring, inputs) = async_channel::bounded(RING);
-        let (peers, to_peers) = async_channel::bounded(RING);
-        let notice = news_lines::of_peers(node.name.clone(), log.clone());
-        let roster = room.then(|| start_roster(now, &config, node_address, log.clone()));
-        let (roster, remember) = roster.transpose()?.unzip();
-        let decider =
-            KeeperDecider::new(node.name.clone(), keeper, journal, peers.clone(), log, now)
-                .with_roster(roster);
-        let decide = spawn("keeper-decide", move |_| crate::driver::drive(decider, inputs, clock))?;
-        let calls = ring.clone();
-        let operators = listen::Operators { ring: calls, address, room };
-        let listen = spawn("keeper-listen", move |tasks| {
-            listen::run(tasks, listener, node_listener, operators)
+        let (input_sender, inputs) = async_channel::bounded(CHANNEL_CAPACITY);
+        let (peers, peers_inputs) = async_channel::bounded(CHANNEL_CAPACITY);
+        let status_logger = log_lines::peer_status_logger(node.name.clone(), log.clone());
+        let roster =
+            capacity_scheduling.then(|| start_roster(now, &config, node_address, log.clone()));
+        let (roster, roster_thread) = roster.transpose()?.unzip();
+        let driver = KeeperDriver::new(node.name.clone(), keeper, journal, peers.clone(), log, now)
+            .with_roster(roster);
+        let driver_thread =
+            spawn("keeper-decide", move |_| crate::event_loop::run(driver, inputs, clock))?;
+        let calls = input_sender.clone();
+        let context = listen::OperatorContext { input_sender: calls, address, capacity_scheduling };
+        let listen_thread = spawn("keeper-listen", move |tasks| {
+            listen::run(tasks, listener, node_listener, context)
         })?;
         let others: HashMap<NodeName, SocketAddr> =
             config.peers.iter().filter(|(name, _)| *name != node.name).cloned().collect();
         let name = node.name;
-        let talk =
-            spawn("keeper-peers", move |tasks| peers::run(name, tasks, others, to_peers, notice))?;
-        let duties = [decide, listen, talk].into_iter().chain(remember).collect();
-        Ok(Self { address, node_address, ring, peers, duties })
+        let peers_thread = spawn("keeper-peers", move |tasks| {
+            peers::run(name, tasks, others, peers_inputs, status_logger)
+        })?;
+        let threads =
+            [driver_thread, listen_thread, peers_thread].into_iter().chain(roster_thread).collect();
+        Ok(Self { address, node_address, input_sender, peers, threads })
     }
 
-    /// Where operators reach it.
+    /// The address on which the keeper listens for operators.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where nodes and other keepers reach it.
+    /// The address on which the keeper listens for nodes and other keepers.
     pub fn node_address(&self) -> SocketAddr {
         self.node_address
     }
 
-    /// What it tells of itself; none once it has stopped.
+    /// The keeper's status; `None` once it has stopped.
     pub fn status(&self) -> Option<KeeperStatus> {
         let (reply, status) = async_channel::bounded(1);
-        self.ring.send_blocking(Input::Status(reply)).ok()?;
+        self.input_sender.send_blocking(Input::Status(reply)).ok()?;
         status.recv_blocking().ok()
     }
 
-    /// Asks a leader to hand over, before a planned stop.
+    /// Asks the keeper to transfer leadership, if it leads, before a planned stop.
     pub(crate) fn resign(&self) {
-        // A keeper that has ended leads no more.
-        let _ = self.ring.try_send(Input::Resign);
+        // Fails if the keeper has ended, which then no longer leads.
+        let _ = self.input_sender.try_send(Input::Resign);
     }
 
-    /// The configuration names other keepers.
+    /// Passes the changed list of configured keepers to the keeper.
     pub(crate) fn set_contacts(&self, node: &NodeConfig) {
-        // A keeper that has ended asks nobody.
-        let _ = self.ring.try_send(Input::Contacts(contacts(node)));
+        // Fails if the keeper has ended.
+        let _ = self.input_sender.try_send(Input::Contacts(contacts(node)));
     }
 
-    /// Waits until the keeper has ended by itself: its disk failed.
+    /// Waits until the keeper's state machine has ended, as it does after a journal error.
     pub(crate) fn wait_until_ended(&self) -> impl Future<Output = ()> + use<> {
-        let ring = self.ring.clone();
-        async move { ring.closed().await }
+        let input_sender = self.input_sender.clone();
+        async move { input_sender.closed().await }
     }
 
-    /// Where its status is had from.
+    /// Returns a reader of the keeper's status.
     pub(crate) fn status_reader(&self) -> StatusReader {
-        StatusReader(self.ring.clone())
+        StatusReader(self.input_sender.clone())
     }
 
     pub(crate) fn list_subscriber(&self) -> ListSubscriber {
@@ -210,33 +214,33 @@
         })
     }
 
-    /// Ends after the batch in hand.
+    /// Stops the keeper after the current batch of inputs.
     pub fn stop(mut self) {
-        self.ring.close();
+        self.input_sender.close();
         self.peers.close();
-        join(std::mem::take(&mut self.duties));
+        join(std::mem::take(&mut self.threads));
     }
 }
 
-/// The roster of nodes with what was remembered, and the thread that remembers and calls them.
+/// Reads the stored nodes into a roster and starts the roster thread.
 fn start_roster(
     now: Time,
     config: &KeeperConfig,
     own: SocketAddr,
     log: Option<EventLog>,
-) -> io::Result<(RosterLink, Duty)> {
-    let roster = Roster::new(now, roster::read(&config.data, log.as_ref()));
-    let (work, to_do) = async_channel::bounded(RING);
+) -> io::Result<(RosterLink, ThreadHandle)> {
+    let roster = Roster::new(now, roster::read_stored_nodes(&config.data, log.as_ref()));
+    let (work, work_receiver) = async_channel::bounded(CHANNEL_CAPACITY);
     let data = config.data.clone();
-    let duty = spawn("keeper-roster", move |_| roster::run(data, own, log, to_do))?;
-    Ok((RosterLink { roster, work }, duty))
+    let thread = spawn("keeper-roster", move |_| roster::run(data, own, log, work_receiver))?;
+    Ok((RosterLink { roster, work }, thread))
 }
 
-/// Asks a keeper for its status.
+/// Reads the status of a running keeper.
 pub(crate) struct StatusReader(Sender<Input>);
 
 impl StatusReader {
-    /// Its status; none once it has stopped.
+    /// Returns the keeper's status; `None` once it has stopped or its input channel is full.
     pub fn read(&self) -> Option<KeeperStatus> {
         let (reply, status) = async_channel::bounded(1);
         self.0.try_send(Input::Status(reply)).ok()?;
@@ -244,9 +248,9 @@
     }
 }
 
-/// With room: the keepers that the configuration names, by the addresses that they go by.
+/// With capacity scheduling: the names of the configured keepers, which are their addresses.
 fn contacts(node: &NodeConfig) -> Vec<NodeName> {
-    if node.scheduling != Scheduling::Room {
+    if node.scheduling != Scheduling::Capacity {
         return Vec::new();
     }
     let name =
@@ -254,75 +258,76 @@
     node.keepers.iter().map(name).collect()
 }
 
-/// The journal's records; those of an empty disk where there is no journal, and others to catch
-/// up from.
-fn journal_or_blank(
+/// Opens the journal. If it is empty, writes the records of a replica that catches up from the
+/// other keepers before it votes.
+fn open_or_create_journal(
     name: &NodeName,
     config: &KeeperConfig,
     contacts: &[NodeName],
     disk: Disk,
 ) -> Result<(Journal, Vec<Record>), KeeperError> {
-    let path = config.data.join(JOURNAL);
+    let path = config.data.join(JOURNAL_FILE);
     if !contacts.is_empty() {
-        return founded_or_blank(name, config.found, contacts, &path, disk);
+        return open_journal_with_contacts(name, config.create_cluster, contacts, &path, disk);
     }
     let members = config.members(name);
     if !path.exists() && members.len() == 1 {
-        return Err(KeeperError::NotBegun(path.display().to_string()));
+        return Err(KeeperError::NotInitialized(path.display().to_string()));
     }
-    let (mut journal, records, cut) = read_journal(&path, disk)?;
+    let (mut journal, records, cut) = open_journal(&path, disk)?;
     if cut > 0 {
-        warn!("keeper {}: cut a torn record of {} bytes", name, cut);
+        warn!("keeper {}: cut a torn record of {} bytes off the journal", name, cut);
     }
     if !records.is_empty() {
         return Ok((journal, records));
     }
-    warn!("keeper {}: an empty disk: does not vote until it has caught up", name);
+    warn!("keeper {}: the journal is empty: not voting until caught up", name);
     let records = Replica::blank_records(members);
-    begin(&mut journal, &records)?;
+    write_initial_records(&mut journal, &records)?;
     Ok((journal, records))
 }
 
-/// Writes the first records of a journal, or leaves them to be written once the disk has room.
-fn begin(journal: &mut Journal, records: &[Record]) -> Result<(), JournalError> {
-    let bytes: Vec<Vec<u8>> = records.iter().map(write_record).collect();
+/// Writes the first records of a journal. On a full disk they remain to be written by a retry.
+fn write_initial_records(journal: &mut Journal, records: &[Record]) -> Result<(), JournalError> {
+    let bytes: Vec<Vec<u8>> = records.iter().map(encode_record).collect();
     match journal.rewrite(&bytes) {
         Err(error) if !error.is_full() => Err(error),
         _ => Ok(()),
     }
 }
 
-/// With room: the journal's records; on an empty disk those of a new cluster, where this keeper is
-/// one of its founders, or else of a replica that asks to join.
-fn founded_or_blank(
+/// Opens the journal with capacity scheduling. If it is empty, writes the records of a new cluster
+/// where the configuration asks for one and lists this keeper, otherwise those of a replica that
+/// joins the cluster.
+fn open_journal_with_contacts(
     name: &NodeName,
-    found: bool,
+    create_cluster: bool,
     contacts: &[NodeName],
     path: &Path,
     disk: Disk,
 ) -> Result<(Journal, Vec<Record>), KeeperError> {
-    let (mut journal, records, cut) = read_journal(path, disk)?;
+    let (mut journal, records, cut) = open_journal(path, disk)?;
     if cut > 0 {
-        warn!("keeper {}: cut a torn record of {} bytes", name, cut);
+        warn!("keeper {}: cut a torn record of {} bytes off the journal", name, cut);
     }
     if !records.is_empty() {
         return Ok((journal, records));
     }
-    let records = if found && contacts.contains(name) {
+    let records = if create_cluster && contacts.contains(name) {
         let mut members = contacts.to_vec();
         members.sort();
         keeper::initial_records(members, Tree::default())
     } else {
         Replica::blank_records(Vec::new())
     };
-    begin(&mut journal, &records)?;
+    write_initial_records(&mut journal, &records)?;
     Ok((journal, records))
 }
 
-fn initial_tree(path: Option<&Path>) -> Result<Tree, KeeperError> {
+fn read_initial_tree(path: Option<&Path>) -> Result<Tree, KeeperError> {
     let Some(path) = path else { return Ok(Tree::default()) };
     let text = std::fs::read_to_string(path)?;
-    Tree::from_ini(&text).map_err(|error| KeeperError::BadTree {
+    Tree::from_ini(&text).map_err(|error| KeeperError::InvalidTree {
         path: path.display().to_string(),
         reason: error.to_string(),
     })
--- a/daemon/src/keeper_role/peers.rs
+++ b/daemon/src/keeper_role/peers.rs
@@ -1,9 +1,8 @@
 //! The keeper's thread that sends messages to the other keepers.
 //!
-//! A connection may go silent for good while new ones work, and the other kernel go on acknowledging
-//! what is sent. So each message has a time within which the other keeper has to say that it has it;
-//! after that the connection is given up, and the next message goes over a new one. The message itself
-//! counts as lost: the replicas' protocol repeats what matters.
+//! A connection may become half-open while new connections work. So every message has to be
+//! acknowledged within a timeout; otherwise its connection is closed, and the next message opens a
+//! new one. The unacknowledged message counts as lost: the consensus protocol tolerates losses.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,66 +19,72 @@
 use tarpc::client::{Config, NewClient};
 use wire::{KeeperServiceClient, PeerMessage};
 
-/// Messages that wait for one keeper; more are dropped, as if lost.
-const WAITING: usize = 256;
-/// Pause before a keeper is tried again.
+/// Capacity of the queue for one keeper; further messages are dropped.
+const QUEUE_CAPACITY: usize = 256;
+/// Delay between two attempts to connect to a keeper.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How long a keeper may take to say that it has a message, besides the time that the message takes on
-/// the link. Above the kernel's first repetition of a lost packet (200 ms), below the shortest wait for
-/// a leader (400 ms): a follower whose connection goes silent need not stand.
-const SILENCE: Duration = Duration::from_millis(300);
-/// What a link carries at least, in bytes a millisecond: a third of the narrowest of ours (25 Mbit/s),
-/// which are shared.
-const SLOWEST_LINK: u64 = 1_000;
+/// How long a keeper may take to acknowledge a message, in addition to the message's transfer time.
+/// Longer than TCP's minimum retransmission timeout, shorter than the shortest election timeout, so
+/// that a half-open connection to a follower does not cause an election.
+const ACK_TIMEOUT: Duration = Duration::from_millis(300);
+/// The lowest throughput assumed for a link, in bytes per millisecond.
+const MIN_LINK_BYTES_PER_MS: u64 = 1_000;
 
-/// What reaches the thread.
+/// An input of the thread.
 #[derive(Debug)]
 pub(crate) enum PeersInput {
     /// A message for another keeper.
     Message(NodeName, Message),
-    /// The platform's list: a keeper that was replaced may have another address.
+    /// A new version of the platform's host list; a replaced keeper may have another address.
     Hosts(HostList),
 }
 
-/// Takes note that a keeper leaves messages unanswered, or answers again.
-pub(crate) trait Notice: Fn(&NodeName, Answers) + Clone + 'static {}
+/// A callback for a keeper that stops or resumes acknowledging messages.
+pub(crate) trait PeerStatusLogger: Fn(&NodeName, PeerStatus) + Clone + 'static {}
 
-impl<F: Fn(&NodeName, Answers) + Clone + 'static> Notice for F {}
+impl<F: Fn(&NodeName, PeerStatus) + Clone + 'static> PeerStatusLogger for F {}
 
-/// Whether a keeper answers.
+/// Whether a keeper acknowledges messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Answers {
-    /// Not within the time for it.
-    No,
-    /// It does again.
-    Again,
+pub(crate) enum PeerStatus {
+    /// A message was not acknowledged within its timeout.
+    Silent,
+    /// A message was acknowledged after an unacknowledged one.
+    Answering,
 }
 
-/// Where the other keepers listen.
+/// The addresses of the other keepers.
 type Addresses = Rc<RefCell<HashMap<NodeName, SocketAddr>>>;
 
-/// Sends until the ring is closed. A keeper that is slow or gone holds up no other.
+/// Sends messages until the input channel is closed. Each keeper has a queue and a task of its own,
+/// so that a slow or unreachable keeper does not delay the others.
 pub(crate) async fn run(
-    own: NodeName,
+    own_name: NodeName,
     tasks: Tasks,
     addresses: HashMap<NodeName, SocketAddr>,
     inputs: Receiver<PeersInput>,
-    notice: impl Notice,
+    status_logger: impl PeerStatusLogger,
 ) {
     let addresses: Addresses = Rc::new(RefCell::new(addresses));
-    let mut lanes: HashMap<NodeName, Sender<Message>> = HashMap::new();
+    let mut queues: HashMap<NodeName, Sender<Message>> = HashMap::new();
     while let Ok(input) = inputs.recv().await {
         match input {
             PeersInput::Message(to, message) => {
-                let lane = lanes.entry(to.clone()).or_insert_with(|| {
-                    let (lane, waiting) = async_channel::bounded(WAITING);
-                    let lane_task =
-                        send_to(own.clone(), to, addresses.clone(), waiting, notice.clone());
-                    tasks.spawn_rpc(lane_task);
-                    lane
+                let queue = queues.entry(to.clone()).or_insert_with(|| {
+                    let (queue, messages) = async_channel::bounded(QUEUE_CAPACITY);
+                    let queue_task = send_to_peer(
+                        own_name.clone(),
+                        to,
+                        addresses.clone(),
+                        messages,
+                        status_logger.clone(),
+                    );
+                    tasks.spawn_rpc(queue_task);
+                    queue
                 });
-                // A message that finds no room is as one that is lost.
-                let _ = lane.try_send(message);
+                // Messages that do not fit into the queue are dropped; the protocol tolerates
+                // losses.
+                let _ = queue.try_send(message);
             }
             PeersInput::Hosts(list) => set_addresses(&addresses, &list),
         }
@@ -95,72 +100,72 @@
     }
 }
 
-/// Sends to one keeper, over a connection kept for later messages. It is opened for a message, so that
-/// one which its other side closed for want of any costs none.
-async fn send_to(
-    own: NodeName,
+/// Sends messages to one keeper over a reused connection. The connection is opened only when there
+/// is a message to send, as the other side closes idle connections.
+async fn send_to_peer(
+    own_name: NodeName,
     to: NodeName,
     addresses: Addresses,
-    waiting: Receiver<Message>,
-    notice: impl Notice,
+    messages: Receiver<Message>,
+    status_logger: impl PeerStatusLogger,
 ) {
-    let silent = Cell::new(false);
-    let answers = |now: Answers| {
-        if silent.replace(now == Answers::No) != (now == Answers::No) {
-            notice(&to, now);
+    let is_silent = Cell::new(false);
+    let report = |status: PeerStatus| {
+        if is_silent.replace(status == PeerStatus::Silent) != (status == PeerStatus::Silent) {
+            status_logger(&to, status);
         }
     };
-    while let Ok(first) = waiting.recv().await {
-        let known = addresses.borrow().get(&to).copied();
-        // A keeper that is in no list goes by its address.
-        let Some(address) = known.or_else(|| to.as_str().parse().ok()) else { return };
+    while let Ok(first) = messages.recv().await {
+        let listed_address = addresses.borrow().get(&to).copied();
+        // The name of a keeper that is not listed is its address.
+        let Some(address) = listed_address.or_else(|| to.as_str().parse().ok()) else { return };
         let Ok(stream) = net::connect(address).await else {
-            // What waited for a keeper that is gone is of no more use.
-            while waiting.try_recv().is_ok() {}
+            // Messages queued for an unreachable keeper are outdated.
+            while messages.try_recv().is_ok() {}
             net::pause(RETRY_PAUSE).await;
             continue;
         };
         let NewClient { client, dispatch } =
             KeeperServiceClient::new(Config::default(), net::frames(stream));
-        let ended = async move {
-            // The calls see why it ended.
+        let dispatch_ended = async move {
+            // Pending calls fail with the cause, so the result is not needed here.
             let _ = dispatch.await;
         };
-        // Both end together, so that the connection is closed also where it takes no more bytes.
-        talk(&own, &client, first, &waiting, answers).or(ended).await;
+        // Ending both together closes the connection even if its send buffer is full.
+        send_messages(&own_name, &client, first, &messages, report).or(dispatch_ended).await;
     }
 }
 
-/// Sends one message after the other, each once the one before it was taken, until one is not.
-async fn talk(
-    own: &NodeName,
+/// Sends messages in order, each after the previous one is acknowledged, until one is not.
+async fn send_messages(
+    own_name: &NodeName,
     client: &KeeperServiceClient,
     first: Message,
-    waiting: &Receiver<Message>,
-    answers: impl Fn(Answers),
+    messages: &Receiver<Message>,
+    report: impl Fn(PeerStatus),
 ) {
     let mut next = Ok(first);
     while let Ok(message) = next {
-        let message = PeerMessage { from: own.clone(), message };
-        let time = answer_time(&message);
-        let taken = async { Some(client.peer(net::call_context(), message).await) };
-        let late = async {
-            net::pause(time).await;
+        let message = PeerMessage { from: own_name.clone(), message };
+        let timeout = ack_timeout(&message);
+        let acknowledged = async { Some(client.peer(net::call_context(), message).await) };
+        let timed_out = async {
+            net::pause(timeout).await;
             None
         };
-        match taken.or(late).await {
-            Some(Ok(())) => answers(Answers::Again),
-            // The connection is gone.
+        match acknowledged.or(timed_out).await {
+            Some(Ok(())) => report(PeerStatus::Answering),
+            // The connection is closed.
             Some(Err(_)) => return,
-            None => return answers(Answers::No),
+            None => return report(PeerStatus::Silent),
         }
-        next = waiting.recv().await;
+        next = messages.recv().await;
     }
 }
 
-/// How long a keeper may take to say that it has a message.
-fn answer_time(message: &PeerMessage) -> Duration {
-    // One that can't be written makes the call fail at once, whatever the time for it.
+/// Returns how long a keeper may take to acknowledge a message of this size.
+fn ack_timeout(message: &PeerMessage) -> Duration {
+    // A message that can't be encoded fails its call at once, whatever the timeout.
     let bytes = bincode::serialized_size(message).unwrap_or(0);
-    SILENCE + Duration::from_millis(bytes / SLOWEST_LINK)
+    ACK_TIMEOUT + Duration::from_millis(bytes / MIN_LINK_BYTES_PER_MS)
 }
--- a/daemon/src/keeper_role/roster.rs
+++ b/daemon/src/keeper_role/roster.rs
@@ -1,6 +1,6 @@
-//! The keeper's thread that remembers nodes on the disk and calls them.
+//! The keeper's thread that stores the known nodes and notifies their hosts of this keeper.
 //!
-//! Apart from the deciding thread, as its disk may be slow: no change waits for it.
+//! A thread of its own keeps slow writes of the node file from delaying the state machine.
 
 use std::fs;
 use std::io::{self, ErrorKind, Write};
@@ -12,63 +12,64 @@
 use keeper::{RosterWork, StoredNode};
 use wire::KeeperIsUp;
 
-use super::news_lines;
+use super::log_lines;
 use crate::event_log::EventLog;
 
-/// The file in the data folder.
-const FILE: &str = "nodes.json";
+/// File name in the data folder.
+const NODES_FILE: &str = "nodes.json";
 
-/// Reads the nodes that were remembered. They are a hint: none where they can't be read.
-pub(super) fn read(data: &Path, log: Option<&EventLog>) -> Vec<StoredNode> {
-    let nodes = fs::read(data.join(FILE))
+/// Reads the stored nodes. They are only a hint, so an unreadable file counts as empty.
+pub(super) fn read_stored_nodes(data: &Path, log: Option<&EventLog>) -> Vec<StoredNode> {
+    let nodes = fs::read(data.join(NODES_FILE))
         .and_then(|bytes| serde_json::from_slice(&bytes).map_err(io::Error::other));
     match nodes {
         Ok(nodes) => nodes,
         Err(error) if error.kind() == ErrorKind::NotFound => Vec::new(),
         Err(error) => {
-            news_lines::nodes_problem(log, "nodes-unreadable", &error);
+            log_lines::log_roster_error(log, "nodes-unreadable", &error);
             Vec::new()
         }
     }
 }
 
-/// Stores and calls until the ring is closed.
+/// Writes nodes and notifies hosts until the channel is closed.
 pub(super) async fn run(
     data: PathBuf,
-    own: SocketAddr,
+    own_address: SocketAddr,
     log: Option<EventLog>,
     inputs: Receiver<RosterWork>,
 ) {
-    let socket = match Async::<UdpSocket>::bind((own.ip(), 0)) {
+    let socket = match Async::<UdpSocket>::bind((own_address.ip(), 0)) {
         Ok(socket) => Some(socket),
         Err(error) => {
-            news_lines::nodes_problem(log.as_ref(), "nodes-not-called", &error);
+            log_lines::log_roster_error(log.as_ref(), "nodes-not-called", &error);
             None
         }
     };
     while let Ok(work) = inputs.recv().await {
         if let Some(socket) = &socket {
-            call(socket, own, &work.call).await;
+            notify_hosts(socket, own_address, &work.call).await;
         }
         if let Some(nodes) = &work.store
-            && let Err(error) = store(&data, nodes)
+            && let Err(error) = write_nodes(&data, nodes)
         {
-            news_lines::nodes_problem(log.as_ref(), "nodes-not-stored", &error);
+            log_lines::log_roster_error(log.as_ref(), "nodes-not-stored", &error);
         }
     }
 }
 
-/// Tells hosts that this keeper is up. Who is not told is called again.
-async fn call(socket: &Async<UdpSocket>, own: SocketAddr, hosts: &[IpAddr]) {
-    let message = bincode::serialize(&KeeperIsUp { keeper: own }).expect("an address");
+/// Notifies hosts that this keeper is up. The roster repeats the notice to hosts that do not
+/// respond.
+async fn notify_hosts(socket: &Async<UdpSocket>, own_address: SocketAddr, hosts: &[IpAddr]) {
+    let message = bincode::serialize(&KeeperIsUp { keeper: own_address }).expect("an address");
     for host in hosts {
-        let address = SocketAddr::new(*host, own.port());
-        // The host may be down, its port without a listener yet.
+        let address = SocketAddr::new(*host, own_address.port());
+        // The host may be down or not listening yet.
         let _ = socket.send_to(&message, address).await;
     }
 }
 
-fn store(data: &Path, nodes: &[StoredNode]) -> io::Result<()> {
+fn write_nodes(data: &Path, nodes: &[StoredNode]) -> io::Result<()> {
     let bytes = serde_json::to_vec(nodes)?;
-    journal::replace_file(&data.join(FILE), |file| file.write_all(&bytes))
+    journal::replace_file(&data.join(NODES_FILE), |file| file.write_all(&bytes))
 }
--- a/daemon/src/keeper_role/storage.rs
+++ b/daemon/src/keeper_role/storage.rs
@@ -1,4 +1,4 @@
-//! A keeper's journal: what is stored of a batch, and what waits while the disk has no room.
+//! A keeper's journal: writes the records of a batch and retries while the disk is full.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,54 +10,55 @@
 
 use super::KeeperError;
 
-/// From one try to store what a full disk refused to the next: room is made by hand or by other programs, in
-/// seconds; a try costs a write of what waits.
-const STORE_AGAIN: Duration = Duration::from_millis(100);
+/// Interval between two attempts to write to a full disk.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A journal, and whether its disk is full.
+/// A journal and the state of its disk.
 pub(super) struct Storage {
     journal: Journal,
     full: Option<FullDisk>,
 }
 
-/// A disk without room, on which something waits to be stored.
+/// A full disk with unwritten records.
 #[derive(Clone, Copy, Debug)]
 struct FullDisk {
     since: Time,
-    again_at: Time,
+    retry_at: Time,
 }
 
 impl Storage {
-    /// A journal that was just opened. Where its disk had no room for that, it is full.
+    /// Wraps a journal that was just opened. The disk counts as full if the journal has unwritten
+    /// records.
     pub fn new(journal: Journal, now: Time) -> Self {
         let full = (!journal.is_settled()).then(|| FullDisk::new(now));
         Self { journal, full }
     }
 
-    /// Whether the disk has refused something that waits.
+    /// Returns whether records are unwritten because the disk is full.
     pub fn is_full(&self) -> bool {
         self.full.is_some()
     }
 
-    /// When a full disk is tried again.
-    pub fn again_at(&self) -> Option<Time> {
-        self.full.map(|full| full.again_at)
+    /// Returns when the next write to a full disk is due.
+    pub fn retry_at(&self) -> Option<Time> {
+        self.full.map(|full| full.retry_at)
     }
 
-    /// Bytes of the journal.
+    /// Returns the size of the journal, in bytes.
     pub fn bytes(&self) -> u64 {
         self.journal.bytes()
     }
 
-    /// Stores what a batch of actions asks for, with one sync. Where there is no room, it waits.
+    /// Writes the records of a batch of actions with one sync. If the disk is full, keeps them for
+    /// a retry.
     pub fn store(&mut self, now: Time, actions: &[Action]) -> Result<(), JournalError> {
         for action in actions {
             match action {
                 Action::Store(records) => {
-                    records.iter().for_each(|record| self.journal.append(&write_record(record)));
+                    records.iter().for_each(|record| self.journal.append(&encode_record(record)));
                 }
                 Action::Rewrite(records) => {
-                    let records: Vec<Vec<u8>> = records.iter().map(write_record).collect();
+                    let records: Vec<Vec<u8>> = records.iter().map(encode_record).collect();
                     self.journal.replace(&records);
                 }
                 _ => {}
@@ -70,12 +71,13 @@
         stored
     }
 
-    /// Tries to store what waits, if a try is due. Returns for how long the disk was full, once it is not.
-    pub fn store_again(&mut self, now: Time) -> Result<Option<Duration>, JournalError> {
-        let Some(full) = self.full.as_mut().filter(|full| full.again_at <= now) else {
+    /// Retries to write the kept records if a retry is due. Returns for how long the disk was full
+    /// if the write succeeds.
+    pub fn retry_store(&mut self, now: Time) -> Result<Option<Duration>, JournalError> {
+        let Some(full) = self.full.as_mut().filter(|full| full.retry_at <= now) else {
             return Ok(None);
         };
-        full.again_at = now + STORE_AGAIN;
+        full.retry_at = now + STORE_RETRY_INTERVAL;
         let since = full.since;
         match self.journal.sync() {
             Err(error) if error.is_full() => return Ok(None),
@@ -88,25 +90,26 @@
 
 impl FullDisk {
     fn new(now: Time) -> Self {
-        Self { since: now, again_at: now + STORE_AGAIN }
+        Self { since: now, retry_at: now + STORE_RETRY_INTERVAL }
     }
 }
 
-/// Reads a keeper's journal.
-pub(super) fn read_journal(
+/// Opens a keeper's journal. Returns the journal, its records and the number of bytes cut off a
+/// torn record at its end.
+pub(super) fn open_journal(
     path: &Path,
     disk: Disk,
 ) -> Result<(Journal, Vec<Record>, u64), KeeperError> {
     let opened = Journal::open_on(path, disk)?;
     let mut records = Vec::with_capacity(opened.records.len());
     for (number, bytes) in opened.records.iter().enumerate() {
-        let record = bincode::deserialize(bytes).map_err(|_| KeeperError::BadRecord(number))?;
+        let record = bincode::deserialize(bytes).map_err(|_| KeeperError::InvalidRecord(number))?;
         records.push(record);
     }
     Ok((opened.journal, records, opened.cut))
 }
 
-/// A record's bytes in the journal.
-pub(super) fn write_record(record: &Record) -> Vec<u8> {
-    bincode::serialize(record).expect("plain structs become bincode")
+/// Encodes a record for the journal.
+pub(super) fn encode_record(record: &Record) -> Vec<u8> {
+    bincode::serialize(record).expect("a record serializes to bincode")
 }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -8,15 +8,15 @@
 mod clock;
 mod config;
 mod decisions;
-mod driver;
 mod entry_role;
 mod event_log;
+mod event_loop;
+mod failure_detector;
 mod hosts;
 mod keeper_role;
 mod logs;
 mod node;
-mod probe;
-mod settings_link;
+mod settings_client;
 mod threads;
 
 pub use agent_role::{AgentHandle, AgentOptions};
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -43,7 +43,7 @@
     if arguments.get_flag("init-keeper") {
         return init(&config);
     }
-    if config.node.scheduling == Scheduling::Room {
+    if config.node.scheduling == Scheduling::Capacity {
         return finish(run_capacity_node(&config, Path::new(path)));
     }
     finish(run(&config))
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -13,11 +13,11 @@
 use crate::config::Config;
 use crate::decisions::DecisionLog;
 use crate::entry_role::{EntryHandle, EntryOptions};
+use crate::failure_detector;
 use crate::hosts::{ListSubscriber, Platform, watch};
 use crate::keeper_role::{KeeperError, KeeperHandle, KeeperOptions};
-use crate::probe;
-use crate::settings_link;
-use crate::threads::{Duty, join};
+use crate::settings_client;
+use crate::threads::{ThreadHandle, join};
 
 /// The decision log's file in the folder of the logs.
 const DECISIONS: &str = "decisions.log";
@@ -47,14 +47,14 @@
     decisions: Option<JoinHandle<()>>,
     /// Dropped to end the duties.
     stop_duties: Option<Sender<()>>,
-    duties: Vec<Duty>,
+    threads: Vec<ThreadHandle>,
 }
 
 impl Node {
     /// Starts every role of a configuration.
     pub fn start(config: &Config, platform: Platform) -> Result<Self, NodeError> {
         let io = |what| move |source| NodeError::Io { what, source };
-        let life = NodeRef { name: config.node.name.clone(), incarnation: new_incarnation() };
+        let node_ref = NodeRef { name: config.node.name.clone(), incarnation: new_incarnation() };
         let (log, decisions) = decision_log(config).map_err(io("decision log"))?;
         let keeper = start_keeper(config)?;
         let mut node = Self {
@@ -63,34 +63,35 @@
             keeper,
             decisions,
             stop_duties: None,
-            duties: Vec::new(),
+            threads: Vec::new(),
         };
         if let Some(entry) = config.entry {
             let options = EntryOptions {
                 node: config.node.clone(),
                 entry,
-                life: life.clone(),
+                node_ref: node_ref.clone(),
                 decisions: log,
             };
             node.entry = Some(EntryHandle::start(options).map_err(io("entry"))?);
         }
         if let Some(agent) = config.agent.clone() {
-            let options = AgentOptions { node: config.node.clone(), agent, life: life.clone() };
+            let options =
+                AgentOptions { node: config.node.clone(), agent, node_ref: node_ref.clone() };
             node.agent = Some(AgentHandle::start(options).map_err(io("agent"))?);
         }
-        node.link(config, &life, platform).map_err(io("settings and platform"))?;
+        node.link(config, &node_ref, platform).map_err(io("settings and platform"))?;
         Ok(node)
     }
 
     /// Starts what roles share: the link to the keepers, the failure detector, the watch of the
     /// platform's list.
-    fn link(&mut self, config: &Config, life: &NodeRef, platform: Platform) -> io::Result<()> {
+    fn link(&mut self, config: &Config, node_ref: &NodeRef, platform: Platform) -> io::Result<()> {
         let (stop, stopped) = async_channel::bounded(1);
         self.stop_duties = Some(stop);
         let mut lists = self.list_subscribers();
-        self.start_probe(life, &mut lists, &stopped);
+        self.start_probe(node_ref, &mut lists, &stopped);
         self.start_settings(config, &stopped)?;
-        self.duties.push(watch(platform, config.node.platform_poll, lists, stopped)?);
+        self.threads.push(watch(platform, config.node.platform_poll_interval, lists, stopped)?);
         Ok(())
     }
 
@@ -103,18 +104,18 @@
 
     fn start_probe(
         &mut self,
-        life: &NodeRef,
+        node_ref: &NodeRef,
         lists: &mut Vec<ListSubscriber>,
         stopped: &Receiver<()>,
     ) {
         let entry = self.entry.as_ref();
         let agent = self.agent.as_ref().map(AgentHandle::address);
         let Some(address) = entry.map(EntryHandle::peer_address).or(agent) else { return };
-        let news = entry.map(EntryHandle::liveness_subscriber).into_iter().collect();
-        match probe::start(life, address, news, stopped.clone()) {
-            Ok((list, duty)) => {
+        let subscribers = entry.map(EntryHandle::liveness_subscriber).into_iter().collect();
+        match failure_detector::start(node_ref, address, subscribers, stopped.clone()) {
+            Ok((list, thread)) => {
                 lists.push(list);
-                self.duties.push(duty);
+                self.threads.push(thread);
             }
             // Direct signs are left: answers, broken connections, leases.
             Err(error) => warn!("no failure detector at {}: {}", address, error),
@@ -132,8 +133,8 @@
         let mut keepers = config.node.keepers.clone();
         keepers.extend(self.keeper.as_ref().map(KeeperHandle::node_address));
         let clock = Clock::start();
-        let link = settings_link::start(name, keepers, clock, subscribers, stopped.clone())?;
-        self.duties.push(link);
+        let link = settings_client::start(name, keepers, clock, subscribers, stopped.clone())?;
+        self.threads.push(link);
         Ok(())
     }
 
@@ -170,7 +171,7 @@
         self.entry.take().into_iter().for_each(EntryHandle::stop);
         self.agent.take().into_iter().for_each(AgentHandle::stop);
         self.keeper.take().into_iter().for_each(KeeperHandle::stop);
-        join(std::mem::take(&mut self.duties));
+        join(std::mem::take(&mut self.threads));
         join(self.decisions.take());
         info!("stopped");
     }
--- a/daemon/src/settings_link.rs
+++ b/daemon/src/settings_client.rs
@@ -14,14 +14,14 @@
 use wire::{KeeperServiceClient, PullReply, PullRequest};
 
 use crate::clock::Clock;
-use crate::threads::{Duty, spawn_until};
+use crate::threads::{ThreadHandle, spawn_until};
 
 /// Pause before the next keeper is tried.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// News of the settings.
 #[derive(Clone, Debug)]
-pub(crate) enum Update {
+pub(crate) enum SettingsUpdate {
     /// A version came into force.
     Catalog(Arc<Catalog>),
     /// The version in force was the newest at this time.
@@ -29,13 +29,13 @@
 }
 
 /// Takes news; false when it wants no more.
-pub(crate) type Subscriber = Box<dyn Fn(Update) -> bool + Send>;
+pub(crate) type SettingsSubscriber = Box<dyn Fn(SettingsUpdate) -> bool + Send>;
 
 /// What is known of the settings.
 struct Link {
     node: NodeName,
     clock: Clock,
-    subscribers: Vec<Subscriber>,
+    subscribers: Vec<SettingsSubscriber>,
     have: Option<(u64, Tree)>,
 }
 
@@ -44,9 +44,9 @@
     node: NodeName,
     keepers: Vec<SocketAddr>,
     clock: Clock,
-    subscribers: Vec<Subscriber>,
+    subscribers: Vec<SettingsSubscriber>,
     stopped: Receiver<()>,
-) -> io::Result<Duty> {
+) -> io::Result<ThreadHandle> {
     spawn_until("settings", stopped, move |tasks| async move {
         let mut link = Link { node, clock, subscribers, have: None };
         let mut turn = 0;
@@ -108,7 +108,7 @@
                 }
             }
         }
-        self.tell(&Update::Confirmed(asked));
+        self.tell(&SettingsUpdate::Confirmed(asked));
         true
     }
 
@@ -121,11 +121,11 @@
         info!("settings: version {} from {}", version, keeper);
         let catalog = Arc::new(Catalog::new(version, &tree));
         self.have = Some((version, tree));
-        self.tell(&Update::Catalog(catalog));
+        self.tell(&SettingsUpdate::Catalog(catalog));
         true
     }
 
-    fn tell(&mut self, update: &Update) {
+    fn tell(&mut self, update: &SettingsUpdate) {
         self.subscribers.retain(|subscriber| subscriber(update.clone()));
     }
 }
--- a/daemon/src/threads.rs
+++ b/daemon/src/threads.rs
@@ -9,37 +9,41 @@
 use net::Tasks;
 
 /// A thread that runs one duty to its end.
-pub(crate) type Duty = JoinHandle<()>;
+pub(crate) type ThreadHandle = JoinHandle<()>;
 
 /// Starts a thread; `duty` is made on it and may spawn on its tasks.
-pub(crate) fn spawn<F, D>(name: &str, duty: D) -> io::Result<Duty>
+pub(crate) fn spawn<F, D>(name: &str, future_fn: D) -> io::Result<ThreadHandle>
 where
     D: FnOnce(Tasks) -> F + Send + 'static,
     F: Future<Output = ()>,
 {
-    let run = move || net::block_on(duty);
+    let run = move || net::block_on(future_fn);
     thread::Builder::new().name(name.to_owned()).spawn(run)
 }
 
 /// Starts a thread whose duty is given up once the other side of `stopped` is dropped.
-pub(crate) fn spawn_until<F, D>(name: &str, stopped: Receiver<()>, duty: D) -> io::Result<Duty>
+pub(crate) fn spawn_until<F, D>(
+    name: &str,
+    stopped: Receiver<()>,
+    future_fn: D,
+) -> io::Result<ThreadHandle>
 where
     D: FnOnce(Tasks) -> F + Send + 'static,
     F: Future<Output = ()>,
 {
     spawn(name, move |tasks| {
-        let duty = duty(tasks);
+        let future = future_fn(tasks);
         let stop = async move {
             // Nothing is ever sent; it ends with an error.
             let _ = stopped.recv().await;
         };
-        duty.or(stop)
+        future.or(stop)
     })
 }
 
 /// Waits for threads to end. One that panicked is reported by the panic itself.
-pub(crate) fn join(duties: impl IntoIterator<Item = Duty>) {
-    for duty in duties {
-        let _ = duty.join();
+pub(crate) fn join(threads: impl IntoIterator<Item = ThreadHandle>) {
+    for thread in threads {
+        let _ = thread.join();
     }
 }
