--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! The daemon's own INI file: who it is, which roles it plays, where it listens.
+//! The daemon's configuration file (INI): the node's name, roles and addresses.
 
 mod check;
 mod keys;
@@ -16,126 +16,129 @@
 pub use keys::print_reference;
 use keys::{AGENT, ENTRY, EXPERIMENT, KEEPER, NODE, Sections};
 
-/// Why the file can't be used: file, section, key and reason.
+/// Why the configuration file can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file can't be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The cause.
         #[source]
         source: std::io::Error,
     },
-    /// A setting can't be taken.
+    /// A setting is invalid.
     #[error("{file}: {source}")]
     Refused {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Where and why.
+        /// The section, the key and the reason.
         #[source]
         source: SettingsError,
     },
 }
 
-/// What targets have.
+/// How the free capacity of targets is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scheduling {
-    /// Slots, all alike.
+    /// As a number of equal slots (`slots`).
     Slots,
-    /// Room of processor, memory and accelerators.
+    /// As processor, memory and accelerator capacity (`room`).
     Capacity,
 }
 
-/// Who a node is.
+/// The configuration of a node, independent of its roles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeConfig {
-    /// Its name.
+    /// The name, unique in the fleet.
     pub name: NodeName,
-    /// The roles it plays.
+    /// The roles of the node.
     pub roles: Vec<Role>,
-    /// Its data hall.
+    /// The node's data hall.
     pub hall: String,
-    /// Its rack.
+    /// The node's rack.
     pub rack: String,
-    /// Keepers to take settings from.
+    /// The addresses on which keepers listen for nodes.
     pub keepers: Vec<SocketAddr>,
-    /// The platform's list: `file:PATH` or `http://IP:PORT/PATH`.
+    /// The source of the platform's host list: `file:PATH` or `http://IP:PORT/PATH`.
     pub platform: String,
-    /// How often the list is read.
+    /// How often the host list is read.
     pub platform_poll_interval: Duration,
-    /// What targets have.
+    /// How the free capacity of targets is measured.
     pub scheduling: Scheduling,
-    /// With room: the port at which keepers listen for nodes.
+    /// With capacity scheduling: the port on which keepers listen for nodes.
     pub node_port: u16,
-    /// With room: where counters are served.
+    /// With capacity scheduling: the address on which metrics are served.
     pub metrics: Option<SocketAddr>,
-    /// With room: how long the platform waits from the request to stop until it ends the process.
+    /// With capacity scheduling: how long the platform waits after SIGTERM before it kills the
+    /// process.
     pub stop_grace: Duration,
-    /// Folder of the logs; standard error and no decision log where there is none.
+    /// The folder of the logs; without it, the log goes to standard error and decisions are not
+    /// logged.
     pub logs: Option<PathBuf>,
     /// How often the counters are logged.
     pub counters_interval: Duration,
 }
 
-/// The entry's part.
+/// The configuration of the entry role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryConfig {
-    /// Where callers reach it.
+    /// The address on which the entry listens for callers.
     pub listen: SocketAddr,
-    /// With room: where the balancer asks whether it is ready.
+    /// With capacity scheduling: the address on which the load balancer checks readiness.
     pub ready_listen: Option<SocketAddr>,
-    /// Where other entries, with room agents, reach it.
+    /// The address on which the entry listens for other entries or, with capacity scheduling,
+    /// agents.
     pub peer_listen: SocketAddr,
-    /// With room: where agents are told to reach it, if not there.
+    /// With capacity scheduling: the address that agents connect to, if other than `peer_listen`.
     pub peer_address: Option<SocketAddr>,
-    /// How long it goes on taking requests after it said that it is not ready.
+    /// How long the entry still accepts requests after it reports that it is not ready.
     pub drain_notice: Duration,
-    /// With room: the parts of the policy that are in force.
+    /// With capacity scheduling: the enabled parts of the policy.
     pub policy: dispatch::Policy,
 }
 
-/// The agent's part.
+/// The configuration of the agent role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentConfig {
-    /// Where entries reach it.
+    /// The address on which the agent listens for entries or, with capacity scheduling, its target.
     pub listen: SocketAddr,
-    /// Its target.
+    /// The address of the agent's target.
     pub target: SocketAddr,
-    /// The service that the target takes work of.
+    /// The service that the target runs tasks for.
     pub service: String,
-    /// Tasks that the target takes at once.
+    /// How many tasks the target runs at once.
     pub slots: u32,
-    /// After this a task that the target does not answer is given up.
+    /// How long the target may take to answer a task.
     pub task_timeout: Duration,
-    /// With room: how many entries it serves.
+    /// With capacity scheduling: how many entries the agent serves.
     pub subset_sizes: Sizes,
-    /// With room: the longest lease that the target grants.
+    /// With capacity scheduling: the longest lease that the target grants.
     pub max_lease: Duration,
 }
 
-/// The keeper's part.
+/// The configuration of the keeper role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeeperConfig {
-    /// Where operators reach it.
+    /// The address on which the keeper listens for operators.
     pub listen: SocketAddr,
-    /// Where nodes and other keepers reach it.
+    /// The address on which the keeper listens for nodes and other keepers.
     pub node_listen: SocketAddr,
-    /// The folder that lasts.
+    /// The folder of the keeper's persistent data.
     pub data: PathBuf,
-    /// The tree that a new cluster begins with.
+    /// The INI file with the initial settings tree of a new cluster.
     pub initial: Option<PathBuf>,
-    /// With room: begins a new cluster on an empty disk.
+    /// With capacity scheduling: whether to create a new cluster if the disk is empty (`found`).
     pub create_cluster: bool,
-    /// With room: keepers that may be lost at once.
+    /// With capacity scheduling: how many keepers may fail at once.
     pub tolerated_losses: usize,
-    /// Every keeper of the cluster with its address for nodes; none for a single keeper.
+    /// The keepers of the cluster with their addresses for nodes; empty for a single keeper.
     pub peers: Vec<(NodeName, SocketAddr)>,
 }
 
 impl KeeperConfig {
-    /// The names of every keeper of the cluster, this one included.
+    /// Returns the names of all keepers of the cluster, including this one.
     pub fn members(&self, own: &NodeName) -> Vec<NodeName> {
         if self.peers.is_empty() {
             return vec![own.clone()];
@@ -147,13 +150,13 @@
 /// A checked configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Who the node is.
+    /// The configuration of the node.
     pub node: NodeConfig,
-    /// The entry's part, where it plays that role.
+    /// The configuration of the entry, if the node has that role.
     pub entry: Option<EntryConfig>,
-    /// The agent's part, where it plays that role.
+    /// The configuration of the agent, if the node has that role.
     pub agent: Option<AgentConfig>,
-    /// The keeper's part, where it plays that role.
+    /// The configuration of the keeper, if the node has that role.
     pub keeper: Option<KeeperConfig>,
     sections: Sections,
 }
@@ -183,7 +186,7 @@
         Ok(config)
     }
 
-    /// The settings in force, as INI: what was written and the defaults.
+    /// Returns the settings of the node's roles as INI, including the defaults.
     pub fn effective_settings(&self) -> String {
         self.sections.effective_settings(&self.node.roles)
     }
@@ -243,12 +246,12 @@
     })
 }
 
-/// The policy, less the parts that an experiment switches off.
+/// Returns the default policy without the parts that an experiment disables.
 fn read_policy(sections: &Sections) -> Result<dispatch::Policy, SettingsError> {
     let mut policy = dispatch::Policy::default();
     for part in sections.value(EXPERIMENT, "without")?.text().split_whitespace() {
         if !policy.disable(part) {
-            let reason = format!("'{part}' is no part of the policy");
+            let reason = format!("the policy has no part '{part}'");
             return Err(SettingsError::key(EXPERIMENT, "without", reason));
         }
     }
@@ -287,7 +290,7 @@
     })
 }
 
-/// Reads keepers as `NAME@IP:PORT`.
+/// Parses a list of keepers as `NAME@IP:PORT`.
 fn read_peers(sections: &Sections) -> Result<Vec<(NodeName, SocketAddr)>, SettingsError> {
     let mut peers = Vec::new();
     for word in sections.value(KEEPER, "peers")?.list() {
@@ -306,7 +309,7 @@
     Ok(peers)
 }
 
-/// Reads `IP:PORT` where it is written.
+/// Parses `IP:PORT`; `None` if the value is empty.
 fn read_optional_address(
     sections: &Sections,
     section: &str,
--- a/daemon/src/config/check.rs
+++ b/daemon/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks across keys: ports that clash, folders that can't be written.
+//! Checks across keys: missing keys, conflicting addresses, folders that are not writable.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use super::keys::{AGENT, ENTRY, KEEPER, NODE};
 use super::{Config, KeeperConfig, Scheduling};
 
-/// Refuses a configuration whose parts do not go together.
+/// Checks a configuration; returns the first violation.
 pub(super) fn check(config: &Config) -> Result<(), SettingsError> {
     if config.node.roles.is_empty() {
         return Err(SettingsError::key(NODE, "roles", "has to be written"));
@@ -35,11 +35,11 @@
     Ok(())
 }
 
-/// With room a node plays one role, and finds all others through the keepers.
+/// With capacity scheduling a node has one role and discovers all other nodes through the keepers.
 fn check_capacity_scheduling(config: &Config) -> Result<(), SettingsError> {
     let missing = |section, key| Err(SettingsError::key(section, key, "has to be written"));
     if config.node.roles.len() != 1 {
-        return Err(SettingsError::key(NODE, "roles", "with room a node plays one role"));
+        return Err(SettingsError::key(NODE, "roles", "with room a node has exactly one role"));
     }
     if config.node.keepers.is_empty() {
         return missing(NODE, "keepers");
@@ -57,7 +57,7 @@
     }
 }
 
-/// A cluster of keepers has an odd number of them, this one among them.
+/// Checks that the cluster has an odd number of keepers and includes this one.
 fn check_keeper_peers(config: &Config, keeper: &KeeperConfig) -> Result<(), SettingsError> {
     let invalid = |reason: &str| Err(SettingsError::key(KEEPER, "peers", reason));
     match keeper.peers.len() {
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-/// Tries to write in a folder.
+/// Checks that a file can be created in a folder.
 fn check_writable(section: &str, key: &str, folder: &Path) -> Result<(), SettingsError> {
     let file = folder.join(".dockpass-probe");
     let result = std::fs::write(&file, b"").and_then(|()| std::fs::remove_file(&file));
--- a/daemon/src/config/keys.rs
+++ b/daemon/src/config/keys.rs
@@ -1,4 +1,4 @@
-//! Every key of the daemon's file.
+//! The sections and keys of the daemon's configuration file, with types, defaults and descriptions.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
         name: "roles",
         value_type: ValueType::Text,
         default: "",
-        help: "Any of entry, agent, keeper, parted by spaces. Has to be written.",
+        help: "Any of entry, agent, keeper, separated by spaces. Has to be written.",
     },
     Key { name: "hall", value_type: ValueType::Text, default: "", help: "Its data hall." },
     Key { name: "rack", value_type: ValueType::Text, default: "", help: "Its rack." },
@@ -156,13 +156,13 @@
         name: "agents_of_entry",
         value_type: ValueType::Integer { min: 1, max: 4_096, unit: "agents" },
         default: "28",
-        help: "With room: agents of its service that each entry has at least, on the mean.",
+        help: "With room: agents of its service that each entry has at least, on average.",
     },
     Key {
         name: "longest_lease_ms",
         value_type: ValueType::Integer { min: 100, max: 3_600_000, unit: "ms" },
         default: "15000",
-        help: "With room: the longest lease that its target grants, whatever an order asks for.",
+        help: "With room: the longest lease that its target grants, whatever a command asks for.",
     },
 ];
 
@@ -183,19 +183,19 @@
         name: "data",
         value_type: ValueType::Text,
         default: "",
-        help: "The folder that lasts; it has to exist. Has to be written.",
+        help: "The folder of its persistent data; it has to exist. Has to be written.",
     },
     Key {
         name: "initial",
         value_type: ValueType::Text,
         default: "",
-        help: "INI file with the tree that --init-keeper begins with.",
+        help: "INI file with the initial settings tree for --init-keeper.",
     },
     Key {
         name: "found",
         value_type: ValueType::Flag,
         default: "false",
-        help: "With room: begins a new cluster on an empty disk, if it is one of [node] keepers.",
+        help: "With room: creates a new cluster on an empty disk, if it is one of [node] keepers.",
     },
     Key {
         name: "tolerated_losses",
@@ -211,26 +211,26 @@
     },
 ];
 
-/// Not on the reference page: only measurements of what each part of the policy is worth use it.
+/// Keys for measurements of the policy's parts, which are not listed on the reference page.
 const EXPERIMENT_KEYS: &[Key] = &[Key {
     name: "without",
     value_type: ValueType::Text,
     default: "",
-    help: "With room: parts of the policy that are switched off, parted by spaces.",
+    help: "With room: parts of the policy that are switched off, separated by spaces.",
 }];
 
-/// Each section of the reference page with its keys.
+/// The sections of the reference page with their keys.
 const SECTIONS: &[(&str, &[Key])] =
     &[(NODE, NODE_KEYS), (ENTRY, ENTRY_KEYS), (AGENT, AGENT_KEYS), (KEEPER, KEEPER_KEYS)];
 
-/// The written values of a file, checked against the schema.
+/// The values written in a file, by section and key, checked against the keys' types.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Sections {
     written: BTreeMap<String, BTreeMap<String, String>>,
 }
 
 impl Sections {
-    /// Takes parsed INI, refusing unknown sections and keys and values out of range.
+    /// Checks parsed INI. Fails on unknown sections, unknown keys and invalid values.
     pub fn read(
         written: BTreeMap<String, BTreeMap<String, String>>,
     ) -> Result<Self, SettingsError> {
@@ -246,7 +246,7 @@
         Ok(Self { written })
     }
 
-    /// A value: written or the default.
+    /// Returns the written value or the default.
     pub fn value(&self, section: &str, name: &str) -> Result<Value, SettingsError> {
         let key = keys_of(section).and_then(|keys| Key::find(keys, name)).expect("a known key");
         let written = self.written.get(section).and_then(|values| values.get(name));
@@ -254,7 +254,7 @@
         key.read(text).map_err(|reason| SettingsError::key(section, name, reason))
     }
 
-    /// A value that has to be written.
+    /// Returns a value that has no default; fails if it is not written.
     pub fn required(&self, section: &str, name: &str) -> Result<Value, SettingsError> {
         let written = self.written.get(section).and_then(|values| values.get(name));
         match written {
@@ -263,7 +263,7 @@
         }
     }
 
-    /// The settings in force of the sections that these roles use.
+    /// Returns the settings of the sections that these roles use as INI, including the defaults.
     pub fn effective_settings(&self, roles: &[Role]) -> String {
         let used = |section: &str| match section {
             ENTRY => roles.contains(&Role::Entry),
@@ -292,7 +292,7 @@
     SECTIONS.iter().find(|(name, _)| *name == section).map(|(_, keys)| *keys)
 }
 
-/// The reference page of every setting, in Markdown: the daemon's file and the settings tree.
+/// Returns the Markdown reference page of all settings of the daemon's file and the settings tree.
 pub fn print_reference() -> String {
     let mut page =
         String::from("# Settings reference\n\nPrinted by `dockpassd --print-reference`.\n");
