--- a/daemon/src/agent_role/driver.rs
+++ b/daemon/src/agent_role/driver.rs
@@ -111,8 +111,7 @@
                     let _ = caller.send(reply);
                 }
             }
-            // The target's thread never waits for this thread here, so blocking on a full channel
-            // is short.
+            // The target's thread starts a task per item, so a full channel drains quickly.
             Action::Run { key, task, deadline } => {
                 drop(self.target_tasks.send_blocking(TargetTask { key, task, deadline }));
             }
--- a/daemon/src/agent_role/serve.rs
+++ b/daemon/src/agent_role/serve.rs
@@ -99,8 +99,9 @@
 }
 
 impl ConnectionService {
-    /// Passes a call to the state machine and waits for the reply. If the state machine's thread
-    /// has ended, the call never returns, and the entry sees it fail once the connection is closed.
+    /// Passes a call to the state machine and waits for the reply. If the state machine drops the
+    /// call or has ended, the call never returns, and the entry sees it fail once the connection is
+    /// closed.
     async fn call(&self, request: Request) -> Reply {
         let (reply, answer) = oneshot::channel();
         let input = Input::Call { session: self.session, request, reply };
--- a/daemon/src/cli.rs
+++ b/daemon/src/cli.rs
@@ -1,8 +1,8 @@
-//! The daemon's arguments.
+//! The daemon's command-line arguments.
 
 use clap::{Arg, ArgAction, Command};
 
-/// Declares the arguments.
+/// Returns the command with its arguments.
 pub fn command() -> Command {
     Command::new("dockpassd")
         .about("Runs the entry, agent and keeper roles of a dockpass node")
@@ -16,7 +16,7 @@
         )
         .arg(
             Arg::new("init-keeper").long("init-keeper").action(ArgAction::SetTrue).help(
-                "Begin a new cluster of keepers on this one, with its initial tree, and exit",
+                "Create a new cluster of keepers: write this keeper's journal with the initial tree, and exit",
             ),
         )
         .arg(
--- a/daemon/src/decisions.rs
+++ b/daemon/src/decisions.rs
@@ -1,7 +1,7 @@
-//! The decision log: one line for each routing or placement decision, in a file of its own.
+//! The decision log: a file with one line per routing or placement decision.
 //!
-//! Lines are written by a thread of their own. Where its ring is full, a decision is left out and
-//! counted, and the count is written once there is room: the log never slows the decisions.
+//! A thread of its own writes the lines, so that the log never delays a decision. If the channel to
+//! the thread is full, decisions are dropped, and a later line reports how many.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, BufWriter, Write};
@@ -13,47 +13,48 @@
 use async_channel::{Receiver, Sender};
 use telemetry::Decision;
 
-/// Decisions that wait to be written.
+/// Capacity of the channel to the writer thread, in decisions.
 const CHANNEL_CAPACITY: usize = 65_536;
 
-/// Where decisions go.
+/// A handle to the decision log; clones write to the same file.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     sender: Option<Sender<Decision>>,
-    left_out: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl DecisionLog {
-    /// A log that takes nothing.
+    /// Returns a log that discards every decision.
     pub fn none() -> Self {
-        Self { sender: None, left_out: Arc::default() }
+        Self { sender: None, dropped: Arc::default() }
     }
 
-    /// A log to a file, appended to. The thread ends when every clone is dropped.
+    /// Opens a file to append to and starts the writer thread, which ends once every clone is
+    /// dropped.
     pub fn to_file(path: &Path) -> io::Result<(Self, JoinHandle<()>)> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         let (sender, decisions) = async_channel::bounded(CHANNEL_CAPACITY);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let count = left_out.clone();
-        let write = move || write_all(file, &decisions, &count);
+        let dropped = Arc::new(AtomicU64::new(0));
+        let dropped_count = dropped.clone();
+        let write = move || write_decisions(file, &decisions, &dropped_count);
         let thread = thread::Builder::new().name("decisions".to_owned()).spawn(write)?;
-        Ok((Self { sender: Some(sender), left_out }, thread))
+        Ok((Self { sender: Some(sender), dropped }, thread))
     }
 
-    /// Adds a decision, or counts it where there is no room.
+    /// Adds a decision; drops and counts it if the channel is full.
     pub fn add(&self, decision: Decision) {
         let Some(sender) = &self.sender else { return };
         if sender.try_send(decision).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-fn write_all(file: File, decisions: &Receiver<Decision>, left_out: &AtomicU64) {
+fn write_decisions(file: File, decisions: &Receiver<Decision>, dropped: &AtomicU64) {
     let mut out = BufWriter::new(file);
     while let Ok(decision) = decisions.recv_blocking() {
-        // A disk that takes no log must not stop the dispatcher.
-        let _ = write_batch(&mut out, decision, decisions, left_out);
+        // A failed write of the log must not stop the dispatcher.
+        let _ = write_batch(&mut out, decision, decisions, dropped);
     }
 }
 
@@ -61,15 +62,15 @@
     out: &mut BufWriter<File>,
     first: Decision,
     decisions: &Receiver<Decision>,
-    left_out: &AtomicU64,
+    dropped: &AtomicU64,
 ) -> io::Result<()> {
     writeln!(out, "{first}")?;
     while let Ok(decision) = decisions.try_recv() {
         writeln!(out, "{decision}")?;
     }
-    let missing = left_out.swap(0, Ordering::Relaxed);
-    if missing > 0 {
-        writeln!(out, "left out {missing} decisions: the log's ring was full")?;
+    let dropped_count = dropped.swap(0, Ordering::Relaxed);
+    if dropped_count > 0 {
+        writeln!(out, "dropped {dropped_count} decisions: the log channel was full")?;
     }
     out.flush()
 }
--- a/daemon/src/entry_role/driver.rs
+++ b/daemon/src/entry_role/driver.rs
@@ -129,8 +129,7 @@
             }
             Action::LogDecision(decision) => self.decisions.add(decision),
             Action::Log(event) => log_event(&self.name, &event),
-            // The links' thread never waits for this thread here, so blocking on a full channel is
-            // short.
+            // The links' thread starts a task per action, so a full channel drains quickly.
             action => drop(self.agent_links.send_blocking(AgentLinkInput::Action(action))),
         }
     }
--- a/daemon/src/event_log.rs
+++ b/daemon/src/event_log.rs
@@ -1,8 +1,8 @@
-//! The log of decisions: one JSON object a line on standard output.
+//! The event log: one JSON object per line on standard output.
 //!
-//! Lines go through a bounded ring to a thread of their own, so that a reader which stops reading
-//! costs no request anything: what finds no room is dropped and counted. Each kind of line has a
-//! budget a second; what exceeds it is counted and told once a second.
+//! Lines go through a bounded channel to a writer thread, so that a blocked reader never delays a
+//! request; lines that do not fit into the channel are dropped and counted. Each kind of line has a
+//! budget per second; the omitted lines are counted and reported once per second.
 
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -16,23 +16,22 @@
 
 use crate::clock::Clock;
 
-/// Lines that wait to be written.
+/// Capacity of the channel to the writer thread, in lines.
 const CHANNEL_CAPACITY: usize = 4_096;
-/// The writer gathers lines for so long: it wakes seldom.
-const GATHER: Duration = Duration::from_millis(40);
-/// The span that budgets hold for.
-const SPAN: Duration = Duration::from_secs(1);
-/// At its end a process waits at most so long for its last lines to be written: several times the
-/// gathering, and short beside the time that a planned stop has left. A reader that has stopped
-/// reading holds up the end no longer.
-const FLUSH_TIME: Duration = Duration::from_millis(250);
-
-/// How many lines of a kind are written a second.
+/// How long the writer collects lines before it writes them, to reduce wake-ups.
+const BATCH_DELAY: Duration = Duration::from_millis(40);
+/// The time window of the budgets.
+const WINDOW: Duration = Duration::from_secs(1);
+/// How long an ending process waits at most until its last lines are written, so that a blocked
+/// reader does not delay the end. Longer than `BATCH_DELAY`.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// How many lines of a kind are written per second.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Budget {
-    /// Changes of state and what went wrong.
+    /// The budget of state changes and errors.
     Full,
-    /// What happens to each request that goes well.
+    /// The budget of lines for successful requests.
     Sampled,
 }
 
@@ -45,9 +44,9 @@
     }
 }
 
-/// Lines of one kind in the present span.
+/// The numbers of lines of one kind in the current window.
 #[derive(Debug, Default)]
-struct Spent {
+struct LineCounts {
     written: u32,
     omitted: u64,
 }
@@ -57,85 +56,86 @@
     node: String,
     clock: Clock,
     sender: Sender<String>,
-    spent: HashMap<&'static str, Spent>,
-    span_began: BootInstant,
+    counts: HashMap<&'static str, LineCounts>,
+    window_started: BootInstant,
     omitted: u64,
-    /// Closed once the writer has ended.
-    writer: mpsc::Receiver<()>,
+    /// Disconnected once the writer thread has ended.
+    writer_ended: mpsc::Receiver<()>,
 }
 
-/// Writes lines; clones write to the same ring.
+/// A handle to write lines; clones share the channel and the budgets.
 #[derive(Clone, Debug)]
 pub(crate) struct EventLog(Arc<Mutex<Inner>>);
 
 impl EventLog {
-    /// A log to standard output.
+    /// Creates a log to standard output and starts its writer thread.
     pub fn to_stdout(node: &str, clock: Clock) -> io::Result<Self> {
         let (sender, lines) = async_channel::bounded(CHANNEL_CAPACITY);
-        let (running, writer) = mpsc::channel();
+        let (writer_alive, writer_ended) = mpsc::channel();
         thread::Builder::new().name("log".to_owned()).spawn(move || {
-            write(&lines);
-            drop(running);
+            write_lines(&lines);
+            drop(writer_alive);
         })?;
         let inner = Inner {
             node: node.to_owned(),
             clock,
             sender,
-            spent: HashMap::new(),
-            span_began: BootInstant::now(),
+            counts: HashMap::new(),
+            window_started: BootInstant::now(),
             omitted: 0,
-            writer,
+            writer_ended,
         };
         Ok(Self(Arc::new(Mutex::new(inner))))
     }
 
-    /// A thread that panicked while it held the log left it whole enough to write on.
+    /// Locks the state. A panic while the lock is held leaves it usable, so poisoning is ignored.
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes a line, if the kind's budget allows. `fields` is made only then; it gives an object.
+    /// Writes a line if the budget of its kind allows. Only then is `fields` called, which has to
+    /// return a JSON object.
     pub fn line(&self, kind: &'static str, budget: Budget, fields: impl FnOnce() -> Value) {
         let mut inner = self.lock();
-        inner.turn_span();
-        let spent = inner.spent.entry(kind).or_default();
-        if spent.written >= budget.lines() {
-            spent.omitted += 1;
+        inner.advance_window();
+        let counts = inner.counts.entry(kind).or_default();
+        if counts.written >= budget.lines() {
+            counts.omitted += 1;
             inner.omitted += 1;
             return;
         }
-        spent.written += 1;
+        counts.written += 1;
         let fields = fields();
         inner.send(kind, fields);
     }
 
-    /// Lines that were not written since the start.
+    /// Returns the number of lines omitted since the start.
     pub fn omitted(&self) -> u64 {
         self.lock().omitted
     }
 
-    /// Takes no more lines and waits until those before are written, but not for long.
+    /// Closes the log and waits, up to a timeout, until the pending lines are written.
     pub fn flush(&self) {
         let inner = self.lock();
         inner.sender.close();
-        // Nothing is ever sent: it ends with the writer, or with the time.
-        let _ = inner.writer.recv_timeout(FLUSH_TIME);
+        // Nothing is ever sent: the call returns once the writer ends or the timeout expires.
+        let _ = inner.writer_ended.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
 impl Inner {
-    fn turn_span(&mut self) {
-        if self.span_began.elapsed() < SPAN {
+    fn advance_window(&mut self) {
+        if self.window_started.elapsed() < WINDOW {
             return;
         }
-        self.span_began = BootInstant::now();
+        self.window_started = BootInstant::now();
         let omitted: Map<String, Value> = self
-            .spent
+            .counts
             .iter()
-            .filter(|(_, spent)| spent.omitted > 0)
-            .map(|(kind, spent)| ((*kind).to_owned(), Value::from(spent.omitted)))
+            .filter(|(_, counts)| counts.omitted > 0)
+            .map(|(kind, counts)| ((*kind).to_owned(), Value::from(counts.omitted)))
             .collect();
-        self.spent.clear();
+        self.counts.clear();
         if !omitted.is_empty() {
             self.send("omitted", Value::Object(omitted));
         }
@@ -146,7 +146,7 @@
         let mut line =
             format!("{{\"time\":{time:.6},\"node\":\"{}\",\"event\":\"{kind}\"", self.node);
         let fields = fields.to_string();
-        // The fields are an object: its opening brace gives way to a comma.
+        // Merges the object into the line: a comma replaces its opening brace.
         if fields.len() > "{}".len() {
             line.push(',');
             line.push_str(&fields[1..]);
@@ -160,19 +160,19 @@
     }
 }
 
-/// Writes what comes, gathered, until the ring is closed and empty.
-fn write(lines: &Receiver<String>) {
+/// Writes lines in batches until the channel is closed and empty.
+fn write_lines(lines: &Receiver<String>) {
     let mut out = String::new();
     while let Ok(line) = lines.recv_blocking() {
         out.push_str(&line);
         if !lines.is_closed() {
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_DELAY);
         }
         while let Ok(line) = lines.try_recv() {
             out.push_str(&line);
         }
         let stdout = io::stdout();
-        // Nobody reads any more: the node goes on without a log.
+        // Fails if standard output is closed; the node continues without a log.
         let _ = stdout.lock().write_all(out.as_bytes());
         out.clear();
     }
--- a/daemon/src/failure_detector.rs
+++ b/daemon/src/failure_detector.rs
@@ -1,4 +1,5 @@
-//! The node's failure detector on UDP, at the port of its other address.
+//! The node's failure detector: probes other nodes over UDP, on the port number that the node uses
+//! for TCP.
 
 use std::collections::HashMap;
 use std::io;
@@ -16,30 +17,30 @@
 use crate::hosts::ListSubscriber;
 use crate::threads::{ThreadHandle, spawn_until};
 
-/// Longest datagram taken, in bytes.
-const DATAGRAM: usize = 2_048;
-/// Lists that wait to be taken.
-const LISTS: usize = 16;
+/// Maximum size of a received datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Capacity of the channel for host lists.
+const LIST_CHANNEL_CAPACITY: usize = 16;
 
-/// Takes news of a node.
+/// Receives changes of a node's liveness.
 pub(crate) type LivenessSubscriber = Box<dyn Fn(&NodeName, Liveness) + Send>;
 
-/// A message with its sender.
+/// A message with the name of its sender.
 #[derive(Serialize, Deserialize)]
 struct Datagram {
     from: NodeName,
     message: Message,
 }
 
-/// What the detector's thread wakes for.
+/// An event that wakes the detector's thread.
 enum Wake {
     Datagram(usize, SocketAddr),
     List(HostList),
     Timer,
 }
 
-/// The detector's thread.
-struct Prober {
+/// The state of the detector's thread.
+struct FailureDetector {
     name: NodeName,
     detector: Detector,
     socket: Async<UdpSocket>,
@@ -49,7 +50,7 @@
     buffer: Vec<u8>,
 }
 
-/// Starts the detector at an address; returns how it gets the platform's list.
+/// Starts the detector at an address. Returns the subscriber that passes it the host list.
 pub(crate) fn start(
     node_ref: &NodeRef,
     address: SocketAddr,
@@ -59,53 +60,55 @@
     let clock = Clock::start();
     let socket = Async::<UdpSocket>::bind(address)?;
     let (name, seed) = (node_ref.name.clone(), node_ref.incarnation.0);
-    // Later lives start later, so that the time of the start counts them up.
+    // A later process of the node starts later, so the start time is an increasing generation.
     let generation = clock.now().as_micros();
     let detector = Detector::new(name.clone(), generation, seed, Timing::default(), clock.now());
-    let (lists, to_take) = async_channel::bounded(LISTS);
-    let prober = Prober {
+    let (lists, list_receiver) = async_channel::bounded(LIST_CHANNEL_CAPACITY);
+    let failure_detector = FailureDetector {
         name,
         detector,
         socket,
         addresses: HashMap::new(),
         subscribers,
         clock,
-        buffer: vec![0; DATAGRAM],
+        buffer: vec![0; MAX_DATAGRAM_BYTES],
     };
-    let thread = spawn_until("probe", stopped, move |_| prober.run(to_take))?;
+    let thread = spawn_until("probe", stopped, move |_| failure_detector.run(list_receiver))?;
     let subscriber = move |list: &HostList| send_list(&lists, list);
     Ok((Box::new(subscriber), thread))
 }
 
-/// A list that finds no room is left out: a newer one follows.
+/// Sends a list to the detector. A list that does not fit into the channel is dropped, as the next
+/// one replaces it.
 fn send_list(lists: &Sender<HostList>, list: &HostList) -> bool {
     let _ = lists.try_send(list.clone());
     !lists.is_closed()
 }
 
-impl Prober {
+impl FailureDetector {
     async fn run(mut self, lists: Receiver<HostList>) {
         loop {
-            match self.next(&lists).await {
+            match self.wait_for_wake(&lists).await {
                 Some(Wake::Datagram(length, from)) => self.datagram(length, from).await,
                 Some(Wake::List(list)) => self.set_list(&list),
                 Some(Wake::Timer) => {
                     let mut events = Vec::new();
                     self.detector.tick(self.clock.now(), &mut events);
-                    self.act(events).await;
+                    self.handle_events(events).await;
                 }
                 None => return,
             }
         }
     }
 
-    async fn next(&mut self, lists: &Receiver<HostList>) -> Option<Wake> {
+    async fn wait_for_wake(&mut self, lists: &Receiver<HostList>) -> Option<Wake> {
         let wait = self.detector.next_timer().since(self.clock.now());
         let (socket, buffer) = (&self.socket, &mut self.buffer);
         let datagram = async {
             match socket.recv_from(buffer).await {
                 Ok((length, from)) => Some(Wake::Datagram(length, from)),
-                // A port that nobody listens on is reported here; its node is found dead soon.
+                // Includes ICMP errors for closed ports; the detector finds such a node dead by
+                // timeout.
                 Err(_) => Some(Wake::Timer),
             }
         };
@@ -119,17 +122,17 @@
 
     async fn datagram(&mut self, length: usize, from: SocketAddr) {
         let Ok(datagram) = bincode::deserialize::<Datagram>(&self.buffer[..length]) else { return };
-        // Only nodes on the list are listened to.
+        // Ignores datagrams that do not come from the listed IP address of their node.
         if self.addresses.get(&datagram.from).is_none_or(|address| address.ip() != from.ip()) {
             return;
         }
         let mut events = Vec::new();
         self.detector.handle(self.clock.now(), &datagram.from, datagram.message, &mut events);
-        self.act(events).await;
+        self.handle_events(events).await;
     }
 
     fn set_list(&mut self, list: &HostList) {
-        // Keepers have an eye on each other by themselves.
+        // Keepers detect failures of each other through the consensus protocol.
         let probed = list.hosts.iter().filter(|host| host.role != Role::Keeper);
         let addresses: HashMap<NodeName, SocketAddr> =
             probed.map(|host| (host.name.clone(), host.address)).collect();
@@ -139,7 +142,7 @@
         }
     }
 
-    async fn act(&mut self, events: Vec<Event>) {
+    async fn handle_events(&mut self, events: Vec<Event>) {
         for event in events {
             match event {
                 Event::Send(to, message) => self.send(&to, message).await,
@@ -154,8 +157,8 @@
     async fn send(&self, to: &NodeName, message: Message) {
         let Some(address) = self.addresses.get(to) else { return };
         let datagram = Datagram { from: self.name.clone(), message };
-        let bytes = bincode::serialize(&datagram).expect("plain structs become bincode");
-        // A datagram that can't be sent is as one that is lost.
+        let bytes = bincode::serialize(&datagram).expect("a datagram serializes to bincode");
+        // A send error counts as a lost datagram.
         let _ = self.socket.send_to(&bytes, *address).await;
     }
 }
--- a/daemon/src/hosts.rs
+++ b/daemon/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, read now and then.
+//! The platform's list of hosts, read at intervals.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,24 +16,24 @@
 
 use crate::threads::{ThreadHandle, spawn_until};
 
-/// Longest time for the platform to answer.
-const ANSWER_TIME: Duration = Duration::from_secs(5);
+/// Timeout of a request to the platform.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where the list comes from.
+/// The source of the host list.
 #[derive(Clone, Debug)]
 pub enum Platform {
     /// No list.
     None,
     /// A file.
     File(PathBuf),
-    /// An HTTP server, with the path to ask for.
+    /// An HTTP server and the path of the list on it.
     Http(SocketAddr, String),
     /// A list in this process, for tests and the demo.
     Shared(Arc<Mutex<HostList>>),
 }
 
 impl Platform {
-    /// Reads a setting as `file:PATH` or `http://IP:PORT/PATH`.
+    /// Parses `file:PATH` or `http://IP:PORT/PATH`; empty text means no list.
     pub fn parse(text: &str) -> Option<Self> {
         if text.is_empty() {
             return Some(Self::None);
@@ -53,16 +53,16 @@
                 return Ok(list.lock().unwrap_or_else(PoisonError::into_inner).clone());
             }
             Self::File(path) => std::fs::read_to_string(path).map_err(|error| error.to_string())?,
-            Self::Http(address, path) => get(*address, path, tasks).await?,
+            Self::Http(address, path) => fetch(*address, path, tasks).await?,
         };
         HostList::from_ini(&text).map_err(|error| error.to_string())
     }
 }
 
-async fn get(address: SocketAddr, path: &str, tasks: &Tasks) -> Result<String, String> {
+async fn fetch(address: SocketAddr, path: &str, tasks: &Tasks) -> Result<String, String> {
     let client = net::Client::new(address, tasks.clone());
     let reply = client
-        .send(Method::GET, path, HeaderMap::new(), Bytes::new(), ANSWER_TIME)
+        .send(Method::GET, path, HeaderMap::new(), Bytes::new(), READ_TIMEOUT)
         .await
         .map_err(|error| error.to_string())?;
     if reply.status != 200 {
@@ -71,41 +71,42 @@
     String::from_utf8(reply.body.to_vec()).map_err(|error| error.to_string())
 }
 
-/// Takes a changed list; false when it wants no more.
+/// Receives the list; returns false to unsubscribe.
 pub(crate) type ListSubscriber = Box<dyn Fn(&HostList) -> bool + Send>;
 
-/// Starts a thread that reads the list and hands out each change. It ends when told to, or when
-/// no subscriber wants more. A list that can't be read leaves the last one in force.
+/// Starts a thread that reads the list and passes it to the subscribers. It ends when the other
+/// side of `stopped` is dropped or no subscriber is left. If the list can't be read, the last one
+/// stays.
 pub(crate) fn watch(
     platform: Platform,
-    every: Duration,
+    poll_interval: Duration,
     mut subscribers: Vec<ListSubscriber>,
     stopped: Receiver<()>,
 ) -> io::Result<ThreadHandle> {
     spawn_until("platform", stopped, move |tasks| async move {
-        let mut last: Option<HostList> = None;
-        let mut failing = false;
+        let mut last_list: Option<HostList> = None;
+        let mut read_failing = false;
         while !subscribers.is_empty() {
             match platform.read(&tasks).await {
                 Ok(list) => {
-                    failing = false;
-                    if last.as_ref() != Some(&list) {
+                    read_failing = false;
+                    if last_list.as_ref() != Some(&list) {
                         subscribers.retain(|subscriber| subscriber(&list));
-                        last = Some(list);
+                        last_list = Some(list);
                     }
                 }
                 Err(error) => {
-                    if !failing {
-                        warn!("platform: the list can't be read: {}", error);
+                    if !read_failing {
+                        warn!("platform: failed to read the host list: {}", error);
                     }
-                    failing = true;
+                    read_failing = true;
                 }
             }
-            // An unchanged list is handed out again, so that ended subscribers are noticed.
-            if let Some(list) = &last {
+            // Passes an unchanged list again, so that ended subscribers unsubscribe.
+            if let Some(list) = &last_list {
                 subscribers.retain(|subscriber| subscriber(list));
             }
-            Timer::after(every).await;
+            Timer::after(poll_interval).await;
         }
     })
 }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,7 +1,8 @@
-//! The roles of `dockpassd`, wired to threads, rings and sockets.
+//! The roles of `dockpassd`, connected to threads, channels and sockets.
 //!
-//! Each role has a thread for each duty, joined by bounded rings: one listens, one decides, one
-//! talks to the other side. The deciding thread drives a library that does no I/O.
+//! Each role has one thread that listens, one that drives the role's state machine and one that
+//! sends requests to other processes, connected by bounded channels. The state machines are
+//! libraries that do no I/O.
 
 mod agent_role;
 mod capacity;
--- a/daemon/src/logs.rs
+++ b/daemon/src/logs.rs
@@ -1,4 +1,4 @@
-//! The daemon's log: counters now and then, and a line for each change of state.
+//! The daemon's text log: counters at intervals, and a line for each state change.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 use spdlog::sink::{FileSink, Sink, StdStream, StdStreamSink};
 use thiserror::Error;
 
-/// The log can't be written.
+/// The log can't be opened.
 #[derive(Debug, Error)]
 #[error("log: {0}")]
 pub struct LogError(#[from] spdlog::Error);
 
-/// Sends the log to a file, or to standard error where there is none.
+/// Sets up the log to a file, or to standard error without one.
 pub fn init_logs(file: Option<&Path>) -> Result<(), LogError> {
     let formatter =
         PatternFormatter::new(pattern!("{date} {time}.{millisecond} {level} {payload}{eol}"));
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `dockpassd`: the daemon of entries, agents and keepers.
+//! `dockpassd`: the daemon that runs entries, agents and keepers.
 
 mod cli;
 
@@ -12,12 +12,12 @@
 use signal_hook::iterator::Signals;
 use spdlog::{critical, info};
 
-/// The file in the folder of the logs.
-const LOG: &str = "dockpassd.log";
-/// Exit code of a run that failed.
-const FAILED: u8 = 1;
-/// Exit code of a configuration that can't be used.
-const BAD_CONFIG: u8 = 2;
+/// File name of the daemon's log in the folder of the logs.
+const LOG_FILE: &str = "dockpassd.log";
+/// Exit code after a failed start or run.
+const EXIT_FAILURE: u8 = 1;
+/// Exit code after invalid arguments or an invalid configuration.
+const EXIT_INVALID_CONFIG: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments = cli::command().get_matches();
@@ -27,13 +27,13 @@
     }
     let Some(path) = arguments.get_one::<String>("config") else {
         eprintln!("dockpassd: --config FILE has to be given");
-        return ExitCode::from(BAD_CONFIG);
+        return ExitCode::from(EXIT_INVALID_CONFIG);
     };
     let config = match Config::load(Path::new(path)) {
         Ok(config) => config,
         Err(error) => {
             eprintln!("dockpassd: {error}");
-            return ExitCode::from(BAD_CONFIG);
+            return ExitCode::from(EXIT_INVALID_CONFIG);
         }
     };
     if arguments.get_flag("check") {
@@ -41,42 +41,42 @@
         return ExitCode::SUCCESS;
     }
     if arguments.get_flag("init-keeper") {
-        return init(&config);
+        return create_cluster(&config);
     }
     if config.node.scheduling == Scheduling::Capacity {
-        return finish(run_capacity_node(&config, Path::new(path)));
+        return exit_code(run_capacity_node(&config, Path::new(path)));
     }
-    finish(run(&config))
+    exit_code(run(&config))
 }
 
-fn finish<E: std::fmt::Display>(result: Result<(), E>) -> ExitCode {
+fn exit_code<E: std::fmt::Display>(result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("dockpassd: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
-/// Begins a cluster of keepers, on this one.
-fn init(config: &Config) -> ExitCode {
+/// Creates a new cluster of keepers: writes the journal of this keeper.
+fn create_cluster(config: &Config) -> ExitCode {
     let Some(keeper) = &config.keeper else {
-        eprintln!("dockpassd: [node] roles: --init-keeper is for keepers");
-        return ExitCode::from(BAD_CONFIG);
+        eprintln!("dockpassd: [node] roles: --init-keeper needs the role keeper");
+        return ExitCode::from(EXIT_INVALID_CONFIG);
     };
     match init_keeper(&config.node, keeper) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("dockpassd: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
-/// Runs until a signal asks for the end: the first drains, the second ends at once.
+/// Runs until a signal: the first starts a planned stop, the second exits at once.
 fn run(config: &Config) -> Result<(), Box<dyn std::error::Error>> {
-    init_logs(config.node.logs.as_ref().map(|folder| folder.join(LOG)).as_deref())?;
+    init_logs(config.node.logs.as_ref().map(|folder| folder.join(LOG_FILE)).as_deref())?;
     let platform = Platform::parse(&config.node.platform).unwrap_or(Platform::None);
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let node = Node::start(config, platform)?;
@@ -84,8 +84,8 @@
     signals.forever().next();
     std::thread::spawn(move || {
         signals.forever().next();
-        critical!("second signal: ending at once");
-        std::process::exit(i32::from(FAILED));
+        critical!("second signal: exiting at once");
+        std::process::exit(i32::from(EXIT_FAILURE));
     });
     node.drain();
     Ok(())
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: its roles, its link to the keepers, its watch of the platform's list.
+//! A node: its roles, its settings client, its failure detector and its watch of the host list.
 
 use std::io;
 use std::thread::JoinHandle;
@@ -19,22 +19,22 @@
 use crate::settings_client;
 use crate::threads::{ThreadHandle, join};
 
-/// The decision log's file in the folder of the logs.
-const DECISIONS: &str = "decisions.log";
+/// File name of the decision log in the folder of the logs.
+const DECISIONS_FILE: &str = "decisions.log";
 
 /// Why a node can't start.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// A socket, file or thread can't be had.
+    /// A socket, file or thread is unavailable.
     #[error("{what}: {source}")]
     Io {
-        /// What was tried.
+        /// The part of the node that failed to start.
         what: &'static str,
-        /// Why it failed.
+        /// The cause.
         #[source]
         source: io::Error,
     },
-    /// The keeper's state can't be used.
+    /// The keeper failed to start.
     #[error(transparent)]
     Keeper(#[from] KeeperError),
 }
@@ -45,8 +45,8 @@
     agent: Option<AgentHandle>,
     keeper: Option<KeeperHandle>,
     decisions: Option<JoinHandle<()>>,
-    /// Dropped to end the duties.
-    stop_duties: Option<Sender<()>>,
+    /// Dropped to end `threads`.
+    stop_threads: Option<Sender<()>>,
     threads: Vec<ThreadHandle>,
 }
 
@@ -62,7 +62,7 @@
             agent: None,
             keeper,
             decisions,
-            stop_duties: None,
+            stop_threads: None,
             threads: Vec::new(),
         };
         if let Some(entry) = config.entry {
@@ -79,19 +79,30 @@
                 AgentOptions { node: config.node.clone(), agent, node_ref: node_ref.clone() };
             node.agent = Some(AgentHandle::start(options).map_err(io("agent"))?);
         }
-        node.link(config, &node_ref, platform).map_err(io("settings and platform"))?;
+        node.start_shared_services(config, &node_ref, platform)
+            .map_err(io("settings and platform"))?;
         Ok(node)
     }
 
-    /// Starts what roles share: the link to the keepers, the failure detector, the watch of the
-    /// platform's list.
-    fn link(&mut self, config: &Config, node_ref: &NodeRef, platform: Platform) -> io::Result<()> {
+    /// Starts what the roles share: the settings client, the failure detector and the watch of the
+    /// platform's host list.
+    fn start_shared_services(
+        &mut self,
+        config: &Config,
+        node_ref: &NodeRef,
+        platform: Platform,
+    ) -> io::Result<()> {
         let (stop, stopped) = async_channel::bounded(1);
-        self.stop_duties = Some(stop);
-        let mut lists = self.list_subscribers();
-        self.start_probe(node_ref, &mut lists, &stopped);
-        self.start_settings(config, &stopped)?;
-        self.threads.push(watch(platform, config.node.platform_poll_interval, lists, stopped)?);
+        self.stop_threads = Some(stop);
+        let mut list_subscribers = self.list_subscribers();
+        self.start_failure_detector(node_ref, &mut list_subscribers, &stopped);
+        self.start_settings_client(config, &stopped)?;
+        self.threads.push(watch(
+            platform,
+            config.node.platform_poll_interval,
+            list_subscribers,
+            stopped,
+        )?);
         Ok(())
     }
 
@@ -102,10 +113,10 @@
         entry.into_iter().chain(agent).chain(keeper).collect()
     }
 
-    fn start_probe(
+    fn start_failure_detector(
         &mut self,
         node_ref: &NodeRef,
-        lists: &mut Vec<ListSubscriber>,
+        list_subscribers: &mut Vec<ListSubscriber>,
         stopped: &Receiver<()>,
     ) {
         let entry = self.entry.as_ref();
@@ -114,15 +125,15 @@
         let subscribers = entry.map(EntryHandle::liveness_subscriber).into_iter().collect();
         match failure_detector::start(node_ref, address, subscribers, stopped.clone()) {
             Ok((list, thread)) => {
-                lists.push(list);
+                list_subscribers.push(list);
                 self.threads.push(thread);
             }
-            // Direct signs are left: answers, broken connections, leases.
-            Err(error) => warn!("no failure detector at {}: {}", address, error),
+            // Replies, closed connections and leases still reveal failed nodes.
+            Err(error) => warn!("failed to start the failure detector at {}: {}", address, error),
         }
     }
 
-    fn start_settings(&mut self, config: &Config, stopped: &Receiver<()>) -> io::Result<()> {
+    fn start_settings_client(&mut self, config: &Config, stopped: &Receiver<()>) -> io::Result<()> {
         let entry = self.entry.as_ref().map(EntryHandle::settings_subscriber);
         let agent = self.agent.as_ref().map(AgentHandle::settings_subscriber);
         let subscribers: Vec<_> = entry.into_iter().chain(agent).collect();
@@ -133,27 +144,28 @@
         let mut keepers = config.node.keepers.clone();
         keepers.extend(self.keeper.as_ref().map(KeeperHandle::node_address));
         let clock = Clock::start();
-        let link = settings_client::start(name, keepers, clock, subscribers, stopped.clone())?;
-        self.threads.push(link);
+        let client_thread =
+            settings_client::start(name, keepers, clock, subscribers, stopped.clone())?;
+        self.threads.push(client_thread);
         Ok(())
     }
 
-    /// The entry, where the node plays that role.
+    /// The entry, if the node has that role.
     pub fn entry(&self) -> Option<&EntryHandle> {
         self.entry.as_ref()
     }
 
-    /// The agent, where the node plays that role.
+    /// The agent, if the node has that role.
     pub fn agent(&self) -> Option<&AgentHandle> {
         self.agent.as_ref()
     }
 
-    /// The keeper, where the node plays that role.
+    /// The keeper, if the node has that role.
     pub fn keeper(&self) -> Option<&KeeperHandle> {
         self.keeper.as_ref()
     }
 
-    /// A planned stop: every role finishes what it has.
+    /// Stops as planned: the entry and then the agent finish their work before the node ends.
     pub fn drain(mut self) {
         info!("draining");
         if let Some(entry) = self.entry.take() {
@@ -165,9 +177,9 @@
         self.stop();
     }
 
-    /// Ends at once.
+    /// Stops every role and thread at once.
     pub fn stop(mut self) {
-        self.stop_duties.take();
+        self.stop_threads.take();
         self.entry.take().into_iter().for_each(EntryHandle::stop);
         self.agent.take().into_iter().for_each(AgentHandle::stop);
         self.keeper.take().into_iter().for_each(KeeperHandle::stop);
@@ -177,7 +189,7 @@
     }
 }
 
-/// A number that no earlier life of the node had, but by a chance of one in 2^64.
+/// Draws a random incarnation number, which with near certainty no earlier process of the node had.
 fn new_incarnation() -> Incarnation {
     let random = uuid::Uuid::new_v4().as_u128();
     Incarnation((random >> 64) as u64 ^ random as u64)
@@ -186,7 +198,7 @@
 fn decision_log(config: &Config) -> io::Result<(DecisionLog, Option<JoinHandle<()>>)> {
     match &config.node.logs {
         Some(folder) if config.entry.is_some() => {
-            let (log, thread) = DecisionLog::to_file(&folder.join(DECISIONS))?;
+            let (log, thread) = DecisionLog::to_file(&folder.join(DECISIONS_FILE))?;
             Ok((log, Some(thread)))
         }
         _ => Ok((DecisionLog::none(), None)),
--- a/daemon/src/settings_client.rs
+++ b/daemon/src/settings_client.rs
@@ -1,4 +1,4 @@
-//! A node's link to the keepers: pulls settings and hands them to the node's roles.
+//! Pulls settings from the keepers and passes them to the node's roles.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,30 +16,31 @@
 use crate::clock::Clock;
 use crate::threads::{ThreadHandle, spawn_until};
 
-/// Pause before the next keeper is tried.
+/// Delay before the next keeper is tried.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// News of the settings.
+/// A change or confirmation of the settings.
 #[derive(Clone, Debug)]
 pub(crate) enum SettingsUpdate {
-    /// A version came into force.
+    /// A new version of the settings.
     Catalog(Arc<Catalog>),
-    /// The version in force was the newest at this time.
+    /// The current version was the newest one at this time.
     Confirmed(Time),
 }
 
-/// Takes news; false when it wants no more.
+/// Receives updates; returns false to unsubscribe.
 pub(crate) type SettingsSubscriber = Box<dyn Fn(SettingsUpdate) -> bool + Send>;
 
-/// What is known of the settings.
-struct Link {
+/// The current settings and their subscribers.
+struct SettingsClient {
     node: NodeName,
     clock: Clock,
     subscribers: Vec<SettingsSubscriber>,
-    have: Option<(u64, Tree)>,
+    current: Option<(u64, Tree)>,
 }
 
-/// Starts the link's thread. It ends when told to, or when no subscriber wants more.
+/// Starts the client's thread. It ends when the other side of `stopped` is dropped or no subscriber
+/// is left.
 pub(crate) fn start(
     node: NodeName,
     keepers: Vec<SocketAddr>,
@@ -48,36 +49,36 @@
     stopped: Receiver<()>,
 ) -> io::Result<ThreadHandle> {
     spawn_until("settings", stopped, move |tasks| async move {
-        let mut link = Link { node, clock, subscribers, have: None };
-        let mut turn = 0;
-        while !link.subscribers.is_empty() {
-            let keeper = keepers[turn % keepers.len()];
-            turn += 1;
+        let mut settings_client = SettingsClient { node, clock, subscribers, current: None };
+        let mut attempt = 0;
+        while !settings_client.subscribers.is_empty() {
+            let keeper = keepers[attempt % keepers.len()];
+            attempt += 1;
             if let Ok(stream) = net::connect(keeper).await {
                 let NewClient { client, dispatch } =
                     KeeperServiceClient::new(Config::default(), net::frames(stream));
                 tasks.spawn_rpc(async move {
-                    // The calls see why it ended.
+                    // Pending calls fail with the cause, so the result is not needed here.
                     let _ = dispatch.await;
                 });
-                link.follow(&client, keeper).await;
+                settings_client.pull_from(&client, keeper).await;
             }
             Timer::after(RETRY_PAUSE).await;
         }
     })
 }
 
-impl Link {
-    /// Pulls from one keeper until it fails or can't tell.
-    async fn follow(&mut self, client: &KeeperServiceClient, keeper: SocketAddr) {
+impl SettingsClient {
+    /// Pulls from one keeper until a call fails or the keeper does not know the current settings.
+    async fn pull_from(&mut self, client: &KeeperServiceClient, keeper: SocketAddr) {
         while !self.subscribers.is_empty() {
-            let asked = self.clock.now();
-            let have = self.have.as_ref().map(|(version, _)| *version);
+            let requested_at = self.clock.now();
+            let have = self.current.as_ref().map(|(version, _)| *version);
             let request = PullRequest { node: self.node.clone(), have };
             match client.pull(net::call_context(), request).await {
                 Ok(PullReply::Unsure { .. }) | Err(_) => return,
                 Ok(reply) => {
-                    if !self.take(reply, asked, keeper) {
+                    if !self.apply_reply(reply, requested_at, keeper) {
                         return;
                     }
                 }
@@ -85,47 +86,47 @@
         }
     }
 
-    /// Takes a keeper's reply; false when it makes no sense.
-    fn take(&mut self, reply: PullReply, asked: Time, keeper: SocketAddr) -> bool {
+    /// Applies a keeper's reply. Returns false if the reply is unusable.
+    fn apply_reply(&mut self, reply: PullReply, requested_at: Time, keeper: SocketAddr) -> bool {
         match reply {
             PullReply::Unsure { .. } => return false,
             PullReply::Current => {}
             PullReply::Snapshot { version, tree } => {
-                if !self.apply(version, tree, keeper) {
+                if !self.apply_tree(version, tree, keeper) {
                     return false;
                 }
             }
             PullReply::Delta { version, edits } => {
-                let Some((_, tree)) = &self.have else { return false };
+                let Some((_, tree)) = &self.current else { return false };
                 let tree = edits.iter().try_fold(tree.clone(), |tree, edits| tree.with(edits));
                 let Ok(tree) = tree else {
-                    error!("settings: a delta of {} makes no valid tree", keeper);
-                    self.have = None;
+                    error!("settings: the delta from keeper {} gives an invalid tree", keeper);
+                    self.current = None;
                     return false;
                 };
-                if !self.apply(version, tree, keeper) {
+                if !self.apply_tree(version, tree, keeper) {
                     return false;
                 }
             }
         }
-        self.tell(&SettingsUpdate::Confirmed(asked));
+        self.notify(&SettingsUpdate::Confirmed(requested_at));
         true
     }
 
-    /// Puts a version into force, unless it is lower than the one in force.
-    fn apply(&mut self, version: u64, tree: Tree, keeper: SocketAddr) -> bool {
-        if self.have.as_ref().is_some_and(|(have, _)| version < *have) {
-            warn!("settings: {} is behind with version {}", keeper, version);
+    /// Replaces the current settings, unless the version is older. Returns whether it was applied.
+    fn apply_tree(&mut self, version: u64, tree: Tree, keeper: SocketAddr) -> bool {
+        if self.current.as_ref().is_some_and(|(current, _)| version < *current) {
+            warn!("settings: ignoring older version {} from keeper {}", version, keeper);
             return false;
         }
-        info!("settings: version {} from {}", version, keeper);
+        info!("settings: received version {} from keeper {}", version, keeper);
         let catalog = Arc::new(Catalog::new(version, &tree));
-        self.have = Some((version, tree));
-        self.tell(&SettingsUpdate::Catalog(catalog));
+        self.current = Some((version, tree));
+        self.notify(&SettingsUpdate::Catalog(catalog));
         true
     }
 
-    fn tell(&mut self, update: &SettingsUpdate) {
+    fn notify(&mut self, update: &SettingsUpdate) {
         self.subscribers.retain(|subscriber| subscriber(update.clone()));
     }
 }
--- a/daemon/src/threads.rs
+++ b/daemon/src/threads.rs
@@ -1,4 +1,4 @@
-//! Threads, each with an tasks of its own for its one duty.
+//! Threads that each run one future, with a task set of its own.
 
 use std::future::Future;
 use std::io;
@@ -8,10 +8,10 @@
 use futures_lite::FutureExt;
 use net::Tasks;
 
-/// A thread that runs one duty to its end.
+/// The handle of a thread that runs one future to completion.
 pub(crate) type ThreadHandle = JoinHandle<()>;
 
-/// Starts a thread; `duty` is made on it and may spawn on its tasks.
+/// Starts a thread that runs the future returned by `future_fn`. The future may spawn local tasks.
 pub(crate) fn spawn<F, D>(name: &str, future_fn: D) -> io::Result<ThreadHandle>
 where
     D: FnOnce(Tasks) -> F + Send + 'static,
@@ -21,7 +21,7 @@
     thread::Builder::new().name(name.to_owned()).spawn(run)
 }
 
-/// Starts a thread whose duty is given up once the other side of `stopped` is dropped.
+/// Starts a thread whose future is dropped once the other side of `stopped` is dropped.
 pub(crate) fn spawn_until<F, D>(
     name: &str,
     stopped: Receiver<()>,
@@ -34,14 +34,14 @@
     spawn(name, move |tasks| {
         let future = future_fn(tasks);
         let stop = async move {
-            // Nothing is ever sent; it ends with an error.
+            // Nothing is ever sent: fails once the sender is dropped.
             let _ = stopped.recv().await;
         };
         future.or(stop)
     })
 }
 
-/// Waits for threads to end. One that panicked is reported by the panic itself.
+/// Waits for threads to end. A panic of a thread is ignored, as the panic hook has reported it.
 pub(crate) fn join(threads: impl IntoIterator<Item = ThreadHandle>) {
     for thread in threads {
         let _ = thread.join();
