--- a/daemon/src/cli.rs
+++ b/daemon/src/cli.rs
@@ -16,7 +16,7 @@
         )
         .arg(
             Arg::new("init-keeper").long("init-keeper").action(ArgAction::SetTrue).help(
-                "Create a new cluster of keepers: write this keeper's journal with the initial tree, and exit",
+                "Write this keeper's journal for a new cluster, with the initial tree, and exit",
             ),
         )
         .arg(
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -30,7 +30,7 @@
     },
     /// A setting is invalid.
     #[error("{file}: {source}")]
-    Refused {
+    Invalid {
         /// The path of the file.
         file: String,
         /// The section, the key and the reason.
@@ -167,7 +167,7 @@
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Unreadable { file: file.clone(), source })?;
-        Self::from_ini(&text).map_err(|source| ConfigError::Refused { file, source })
+        Self::from_ini(&text).map_err(|source| ConfigError::Invalid { file, source })
     }
 
     /// Reads and checks INI text.
--- a/daemon/src/config/keys.rs
+++ b/daemon/src/config/keys.rs
@@ -48,7 +48,7 @@
         name: "scheduling",
         value_type: ValueType::Choice(&["slots", "room"]),
         default: "slots",
-        help: "What targets have: slots, all alike, or room of processor, memory and accelerators.",
+        help: "How capacity is measured: slots, all alike, or room of processor, memory and accelerators.",
     },
     Key {
         name: "node_port",
@@ -99,13 +99,13 @@
         name: "peer_listen",
         value_type: ValueType::Address,
         default: "",
-        help: "Where other entries, with room agents, reach it. Has to be written.",
+        help: "Where other entries (with room: agents) reach it. Has to be written.",
     },
     Key {
         name: "peer_address",
         value_type: ValueType::Text,
         default: "",
-        help: "With room: IP:PORT that agents are told to reach it at, where that is not peer_listen.",
+        help: "With room: IP:PORT at which agents reach it, if other than peer_listen.",
     },
     Key {
         name: "drain_notice_ms",
@@ -120,7 +120,7 @@
         name: "listen",
         value_type: ValueType::Address,
         default: "",
-        help: "Where entries, with room its target, reach it. Has to be written.",
+        help: "Where entries (with room: its target) reach it. Has to be written.",
     },
     Key {
         name: "target",
@@ -132,7 +132,7 @@
         name: "service",
         value_type: ValueType::Text,
         default: "",
-        help: "The service that its target takes work of. Has to be written.",
+        help: "The service that its target runs tasks for. Has to be written.",
     },
     Key {
         name: "slots",
@@ -150,7 +150,7 @@
         name: "entries_served",
         value_type: ValueType::Integer { min: 1, max: 1_024, unit: "entries" },
         default: "6",
-        help: "With room: entries that it has sessions with at least, where there are so many.",
+        help: "With room: minimum number of entries to have sessions with, if there are as many.",
     },
     Key {
         name: "agents_of_entry",
@@ -201,7 +201,7 @@
         name: "tolerated_losses",
         value_type: ValueType::Integer { min: 0, max: 3, unit: "keepers" },
         default: "1",
-        help: "With room: keepers that may be lost at once; twice as many and one vote.",
+        help: "With room: keepers that may be lost at once; twice this number plus one vote.",
     },
     Key {
         name: "peers",
--- a/daemon/src/failure_detector.rs
+++ b/daemon/src/failure_detector.rs
@@ -89,7 +89,7 @@
     async fn run(mut self, lists: Receiver<HostList>) {
         loop {
             match self.wait_for_wake(&lists).await {
-                Some(Wake::Datagram(length, from)) => self.datagram(length, from).await,
+                Some(Wake::Datagram(length, from)) => self.handle_datagram(length, from).await,
                 Some(Wake::List(list)) => self.set_list(&list),
                 Some(Wake::Timer) => {
                     let mut events = Vec::new();
@@ -120,7 +120,7 @@
         datagram.or(list).or(timer).await
     }
 
-    async fn datagram(&mut self, length: usize, from: SocketAddr) {
+    async fn handle_datagram(&mut self, length: usize, from: SocketAddr) {
         let Ok(datagram) = bincode::deserialize::<Datagram>(&self.buffer[..length]) else { return };
         // Ignores datagrams that do not come from the listed IP address of their node.
         if self.addresses.get(&datagram.from).is_none_or(|address| address.ip() != from.ip()) {
--- a/daemon/src/keeper_role/listen.rs
+++ b/daemon/src/keeper_role/listen.rs
@@ -213,7 +213,7 @@
             Ok(body) => handle_change(input_sender, &body).await,
             Err(error) => error_response(400, "bad-body", &error.to_string()),
         },
-        _ => error_response(404, "no-such-path", "see the operators' pages"),
+        _ => error_response(404, "no-such-path", "unknown path, see the operators' documentation"),
     }
 }
 
@@ -221,7 +221,11 @@
 async fn command_hall(context: &OperatorContext, path: &str) -> Response<Body> {
     let Some((hall, action)) = path.strip_prefix(HALLS_PATH).and_then(|rest| rest.split_once('/'))
     else {
-        return error_response(404, "no-such-path", "see the operators' pages");
+        return error_response(
+            404,
+            "no-such-path",
+            "unknown path, see the operators' documentation",
+        );
     };
     let takes_work = match action {
         "empty" => false,
--- a/daemon/src/keeper_role/log_lines.rs
+++ b/daemon/src/keeper_role/log_lines.rs
@@ -12,7 +12,7 @@
 use super::peers::{PeerStatus, PeerStatusLogger};
 use crate::event_log::{Budget, EventLog};
 
-/// Returns a callback that logs when another keeper stops or resumes acknowledging messages.
+/// Returns a callback that logs when another keeper stops acknowledging messages or does so again.
 pub(super) fn peer_status_logger(
     name: NodeName,
     log: Option<EventLog>,
--- a/daemon/src/keeper_role/peers.rs
+++ b/daemon/src/keeper_role/peers.rs
@@ -39,7 +39,7 @@
     Hosts(HostList),
 }
 
-/// A callback for a keeper that stops or resumes acknowledging messages.
+/// A callback for a keeper that stops acknowledging messages or does so again.
 pub(crate) trait PeerStatusLogger: Fn(&NodeName, PeerStatus) + Clone + 'static {}
 
 impl<F: Fn(&NodeName, PeerStatus) + Clone + 'static> PeerStatusLogger for F {}
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -26,10 +26,10 @@
 #[derive(Debug, Error)]
 pub enum NodeError {
     /// A socket, file or thread is unavailable.
-    #[error("{what}: {source}")]
+    #[error("{component}: {source}")]
     Io {
         /// The part of the node that failed to start.
-        what: &'static str,
+        component: &'static str,
         /// The cause.
         #[source]
         source: io::Error,
@@ -53,7 +53,7 @@
 impl Node {
     /// Starts every role of a configuration.
     pub fn start(config: &Config, platform: Platform) -> Result<Self, NodeError> {
-        let io = |what| move |source| NodeError::Io { what, source };
+        let io = |component| move |source| NodeError::Io { component, source };
         let node_ref = NodeRef { name: config.node.name.clone(), incarnation: new_incarnation() };
         let (log, decisions) = decision_log(config).map_err(io("decision log"))?;
         let keeper = start_keeper(config)?;
--- a/daemon/src/settings_client.rs
+++ b/daemon/src/settings_client.rs
@@ -113,7 +113,8 @@
         true
     }
 
-    /// Replaces the current settings, unless the version is older. Returns whether it was applied.
+    /// Replaces the current settings unless the version is older. Returns whether they were
+    /// replaced.
     fn apply_tree(&mut self, version: u64, tree: Tree, keeper: SocketAddr) -> bool {
         if self.current.as_ref().is_some_and(|(current, _)| version < *current) {
             warn!("settings: ignoring older version {} from keeper {}", version, keeper);
