--- a/components/client/src/operator.rs
+++ b/components/client/src/operator.rs
@@ -10,7 +10,7 @@
 use settings::{Edit, SettingsError, Tree};
 use thiserror::Error;
 use uuid::Uuid;
-use wire::{ChangeRequest, ChangeResult, EmptiedHalls, HallOrder};
+use wire::{ChangeRequest, ChangeResult, EmptiedHalls, HallCommand};
 
 use crate::CallerError;
 use crate::caller::parse;
@@ -123,7 +123,7 @@
 
     /// Sends an order for a hall, again and again until a keeper says what became of it. One that is carried out
     /// twice is as one that is carried out once.
-    pub async fn order_hall(&self, order: &HallOrder) -> HallOutcome {
+    pub async fn order_hall(&self, order: &HallCommand) -> HallOutcome {
         let action = if order.takes_work { "refill" } else { "empty" };
         let path = format!("/v1/halls/{}/{action}", order.hall);
         let outcome = self.ask_until_told(&path, &[], hall_outcome).await;
--- a/components/dispatch/src/agents.rs
+++ b/components/dispatch/src/agents.rs
@@ -72,7 +72,11 @@
     pub fn update_load(&mut self, now: Time, load: Load) {
         self.last_contact = now;
         self.load = load;
-        while self.unacknowledged.front().is_some_and(|(sequence, _)| *sequence <= load.seen) {
+        while self
+            .unacknowledged
+            .front()
+            .is_some_and(|(sequence, _)| *sequence <= load.last_start_sequence)
+        {
             self.unacknowledged.pop_front();
         }
     }
@@ -173,7 +177,7 @@
                 silent.push(*id);
             } else if now.since(agent.last_heartbeat) >= agent.heartbeat_interval(&self.timing) {
                 agent.last_heartbeat = now;
-                out.push(Action::Send(*id, ToAgent::Heartbeat { heard: agent.load.at }));
+                out.push(Action::Send(*id, ToAgent::Heartbeat { agent_clock: agent.load.at }));
             }
         }
         silent.into_iter().for_each(|id| self.remove_agent(id, "silent", out));
--- a/components/dispatch/src/placement.rs
+++ b/components/dispatch/src/placement.rs
@@ -214,9 +214,9 @@
             let (Some(agent), Some(known)) = (self.agents.get(&id), self.jobs.get(&job)) else {
                 continue;
             };
-            let heard = agent.load.at;
+            let agent_clock = agent.load.at;
             let spec = known.request.spec.clone();
-            out.push(Action::Send(id, ToAgent::Start { heard, job, spec, tasks }));
+            out.push(Action::Send(id, ToAgent::Start { agent_clock, job, spec, tasks }));
             self.record_heartbeat_sent(now, id);
         }
     }
--- a/components/dispatch/tests/support/mod.rs
+++ b/components/dispatch/tests/support/mod.rs
@@ -104,7 +104,7 @@
             at: self.now,
             free: Resources { cpu_milli, memory_mb: 32_768, gpu: 0 },
             taken_per_ms: 0,
-            seen: u64::MAX,
+            last_start_sequence: u64::MAX,
             open: true,
             on_trial: false,
             slowdown_percent: 100,
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -4,7 +4,7 @@
 use model::NodeName;
 use serde::{Deserialize, Serialize};
 use wire::{
-    ChangeRequest, ChangeResult, Document, DocumentPart, EmptiedHalls, HallOrder, PartRequest,
+    ChangeRequest, ChangeResult, Document, DocumentPart, EmptiedHalls, HallCommand, PartRequest,
     PullReply, PullRequest, WatchReply, WatchRequest,
 };
 
@@ -28,7 +28,7 @@
     /// An operator reads the document.
     ReadDocument(CallId),
     /// An operator empties or refills a hall.
-    HallCommand(CallId, HallOrder),
+    HallCommand(CallId, HallCommand),
     /// An operator reads the emptied halls.
     ReadHalls(CallId),
     /// A node registers and waits for updates (long poll).
--- a/components/keeper/src/fetch.rs
+++ b/components/keeper/src/fetch.rs
@@ -177,7 +177,7 @@
         }
         let Transfer { version, bytes, .. } = self.transfer.take()?;
         let is_whole = bytes.len() == part.total;
-        let document = Document::unpack(version, bytes).filter(|_| is_whole);
+        let document = Document::from_compressed(version, bytes).filter(|_| is_whole);
         let Some(document) = document else {
             // The parts do not add up to the announced length or can't be unpacked; the source is
             // not asked again until it advertises a version again.
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -6,7 +6,7 @@
 use model::{NodeName, Time};
 use settings::Tree;
 use thiserror::Error;
-use wire::{ChangeRequest, Document, HallOrder, PartRequest, WatchRequest};
+use wire::{ChangeRequest, Document, HallCommand, PartRequest, WatchRequest};
 
 use crate::apply::{decode_state, encode_state};
 use crate::pending_calls::{PendingChange, PendingPull};
@@ -224,7 +224,7 @@
         &mut self,
         now: Time,
         call: CallId,
-        command: HallOrder,
+        command: HallCommand,
         out: &mut Vec<Action>,
     ) {
         if !self.is_confirmed_leader(now) {
--- a/components/keeper/src/registry.rs
+++ b/components/keeper/src/registry.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use model::{NodeName, Time};
-use wire::{ListChange, ListNews, NodeInfo, NodeList, NodeRole, WatchRequest};
+use wire::{NodeInfo, NodeList, NodeListDelta, NodeListUpdate, NodeRole, WatchRequest};
 
 use crate::CallId;
 
@@ -176,13 +176,16 @@
 
     /// The update of the list for a node that has this revision; `None` if the node is up to date
     /// or takes the list from other keepers.
-    pub fn list_update(&self, revision: Option<u64>) -> Option<ListNews> {
+    pub fn list_update(&self, revision: Option<u64>) -> Option<NodeListUpdate> {
         let revision = revision.filter(|revision| *revision != self.revision)?;
         // A revision from an earlier start of this keeper differs in the high bits, so the
         // difference exceeds the number of kept changes.
         let missed = self.revision.checked_sub(revision).and_then(|n| usize::try_from(n).ok());
         let known = missed.filter(|missed| *missed <= self.changes.len());
-        Some(known.map_or_else(|| ListNews::Whole(self.list()), |missed| self.last_changes(missed)))
+        Some(known.map_or_else(
+            || NodeListUpdate::Snapshot(self.list()),
+            |missed| self.last_changes(missed),
+        ))
     }
 
     fn list(&self) -> NodeList {
@@ -191,16 +194,17 @@
         NodeList { revision: self.revision, nodes: entries }
     }
 
-    fn last_changes(&self, count: usize) -> ListNews {
+    fn last_changes(&self, count: usize) -> NodeListUpdate {
         let changed: BTreeSet<&NodeName> = self.changes.iter().rev().take(count).collect();
-        let mut change = ListChange { revision: self.revision, put: vec![], gone: vec![] };
+        let mut change =
+            NodeListDelta { revision: self.revision, upserted: vec![], removed: vec![] };
         for name in changed {
             match self.nodes.get(name).filter(|(node, _)| node.role == NodeRole::Entry) {
-                Some((node, _)) => change.put.push(node.clone()),
-                None => change.gone.push(name.clone()),
+                Some((node, _)) => change.upserted.push(node.clone()),
+                None => change.removed.push(name.clone()),
             }
         }
-        ListNews::Change(change)
+        NodeListUpdate::Delta(change)
     }
 
     /// The number of nodes in the watcher's group.
--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -7,7 +7,7 @@
 use model::Time;
 use serde::{Deserialize, Serialize};
 use settings::{Catalog, Edit, SectionPath, Tree};
-use wire::{ChangeRequest, ChangeResult, Document, EmptiedHalls, HallOrder, PullReply};
+use wire::{ChangeRequest, ChangeResult, Document, EmptiedHalls, HallCommand, PullReply};
 
 /// Number of changes whose results are kept, to answer repeated requests with the first result.
 const RESULTS_KEPT: usize = 10_000;
@@ -23,7 +23,7 @@
     /// A replacement of the whole document.
     Replace(Document),
     /// A command to empty or refill a hall.
-    Hall(HallOrder),
+    Hall(HallCommand),
 }
 
 /// A change of the settings tree with the leader's time, so that every replica applies it with the
@@ -105,7 +105,7 @@
     }
 
     /// Applies a hall command; returns whether it changes anything.
-    pub fn apply_hall_command(&mut self, command: HallOrder) -> bool {
+    pub fn apply_hall_command(&mut self, command: HallCommand) -> bool {
         self.halls.apply(command)
     }
 
--- a/components/keeper/tests/document.rs
+++ b/components/keeper/tests/document.rs
@@ -9,7 +9,7 @@
 use settings::Tree;
 use support::{SingleKeeper, node};
 use wire::{
-    Document, ListChange, ListNews, NodeInfo, NodeList, NodeRole, PartRequest, WatchReply,
+    Document, NodeInfo, NodeList, NodeListDelta, NodeListUpdate, NodeRole, PartRequest, WatchReply,
     WatchRequest,
 };
 
@@ -33,8 +33,8 @@
         let request = PartRequest { version, offset: 0 };
         match self.handle(Event::FetchPart(call, request)).pop() {
             Some((to, Reply::Part(part))) if to == call => part.map(|part| {
-                let document =
-                    Document::unpack(version, part.bytes).expect("the document has one part");
+                let document = Document::from_compressed(version, part.bytes)
+                    .expect("the document has one part");
                 document.body.to_string()
             }),
             other => panic!("unexpected reply: {other:?}"),
@@ -89,17 +89,17 @@
 }
 
 /// The whole list from an update.
-fn whole_list(update: Option<ListNews>) -> NodeList {
+fn whole_list(update: Option<NodeListUpdate>) -> NodeList {
     match update {
-        Some(ListNews::Whole(list)) => list,
+        Some(NodeListUpdate::Snapshot(list)) => list,
         other => panic!("unexpected reply: {other:?}"),
     }
 }
 
 /// The changes from an update.
-fn changes(update: Option<ListNews>) -> ListChange {
+fn changes(update: Option<NodeListUpdate>) -> NodeListDelta {
     match update {
-        Some(ListNews::Change(change)) => change,
+        Some(NodeListUpdate::Delta(change)) => change,
         other => panic!("unexpected reply: {other:?}"),
     }
 }
@@ -176,7 +176,7 @@
     let received =
         watch_reply(single.run_for(Duration::from_millis(100)), pending).expect("a list");
     let changed = changes(received.nodes);
-    assert_eq!((&changed.put[..], &changed.gone[..]), (&[node(2)][..], &[][..]));
+    assert_eq!((&changed.upserted[..], &changed.removed[..]), (&[node(2)][..], &[][..]));
     list.apply(changed);
     assert_eq!(list.nodes, [node(1), node(2)]);
     let pending = single.watch(node(1), 0, list.revision);
@@ -218,7 +218,7 @@
     let received = single
         .watch_and_wait(node(1), list.revision, Duration::from_millis(100))
         .expect("an update");
-    assert_eq!(changes(received.nodes).put.len(), usize::from(ENTRIES) - 1);
+    assert_eq!(changes(received.nodes).upserted.len(), usize::from(ENTRIES) - 1);
 }
 
 #[test]
@@ -230,8 +230,8 @@
         let call = single.watch(node(1), 0, list.revision);
         let reply = watch_reply(single.run_for(Duration::from_millis(1_100)), call);
         match reply.and_then(|reply| reply.nodes) {
-            Some(ListNews::Whole(received)) => list = received,
-            Some(ListNews::Change(change)) => list.apply(change),
+            Some(NodeListUpdate::Snapshot(received)) => list = received,
+            Some(NodeListUpdate::Delta(change)) => list.apply(change),
             None => {}
         }
     }
@@ -366,8 +366,8 @@
     let received =
         single.watch_and_wait(agent(100, "booking"), list.revision, Duration::from_millis(100));
     let changed = changes(received.expect("an update").nodes);
-    assert_eq!(changed.put, [node(60), restarted], "sorted by name");
-    assert_eq!(changed.gone, [node(8).name], "the node is an agent now");
+    assert_eq!(changed.upserted, [node(60), restarted], "sorted by name");
+    assert_eq!(changed.removed, [node(8).name], "the node is an agent now");
     list.apply(changed);
     let received = single
         .watch_and_wait(agent(101, "booking"), 0, Duration::from_millis(100))
--- a/components/keeper/tests/fetch.rs
+++ b/components/keeper/tests/fetch.rs
@@ -241,7 +241,7 @@
     }
     assert!(totals.iter().all(|total| *total == bytes.len()));
     let beyond = PartRequest { version: 8, offset: bytes.len() + 1 };
-    assert_eq!(Document::unpack(8, bytes), Some(document.clone()));
+    assert_eq!(Document::from_compressed(8, bytes), Some(document.clone()));
     assert_eq!(document.part(beyond), None);
     assert_eq!(document.part(PartRequest { version: 7, offset: 0 }), None);
 }
--- a/components/keeper/tests/halls.rs
+++ b/components/keeper/tests/halls.rs
@@ -8,7 +8,7 @@
 use keeper::{CallId, Event, LogCommand, Reply, State, initial_records};
 use model::NodeName;
 use settings::Tree;
-use wire::{EmptiedHalls, HallOrder, WatchReply, WatchRequest};
+use wire::{EmptiedHalls, HallCommand, WatchReply, WatchRequest};
 
 use support::{SingleKeeper, node};
 
@@ -69,8 +69,8 @@
     }
 }
 
-fn command(hall: &str, takes_work: bool) -> HallOrder {
-    HallOrder { hall: hall.parse().expect("a valid hall name"), takes_work }
+fn command(hall: &str, takes_work: bool) -> HallCommand {
+    HallCommand { hall: hall.parse().expect("a valid hall name"), takes_work }
 }
 
 fn names(halls: &EmptiedHalls) -> Vec<&str> {
--- a/components/runner/src/load_reports.rs
+++ b/components/runner/src/load_reports.rs
@@ -15,7 +15,7 @@
     /// to one entry at a time.
     fn load_for_entry(&self, now: Time, load: &Load, per_ms: f64, has_turn: Option<bool>) -> Load {
         let open = load.open && self.retired.is_none();
-        let mut reported = Load { seen: self.last_sequence, open, ..*load };
+        let mut reported = Load { last_start_sequence: self.last_sequence, open, ..*load };
         match has_turn {
             // No other entry is offered the capacity, so none takes it.
             Some(true) => reported.taken_per_ms = 0,
@@ -32,7 +32,10 @@
     fn adds_information(&self, load: &Load) -> bool {
         let last = &self.last_load;
         let still_full = last.free.cpu_milli == 0 && load.free.cpu_milli == 0;
-        self.dirty && !(still_full && last.open == load.open && last.seen == load.seen)
+        self.dirty
+            && !(still_full
+                && last.open == load.open
+                && last.last_start_sequence == load.last_start_sequence)
     }
 }
 
@@ -128,7 +131,7 @@
             at: now,
             free,
             taken_per_ms: 0,
-            seen: 0,
+            last_start_sequence: 0,
             open: self.is_open(now) && (!on_trial || self.runs.is_empty()),
             on_trial,
             slowdown_percent: slowdown as u32,
--- a/components/runner/src/sessions.rs
+++ b/components/runner/src/sessions.rs
@@ -88,8 +88,8 @@
         session.last_received = now;
         match message {
             ToAgent::Heartbeat { .. } => {}
-            ToAgent::Start { heard, job, spec, tasks } => {
-                let late = now.since(heard) > self.timing.max_start_age;
+            ToAgent::Start { agent_clock, job, spec, tasks } => {
+                let late = now.since(agent_clock) > self.timing.max_start_age;
                 for task in tasks {
                     self.request_start(now, id, &job, &spec, task, late);
                 }
--- a/components/runner/tests/commands.rs
+++ b/components/runner/tests/commands.rs
@@ -115,10 +115,10 @@
 fn delayed_start_is_refused() {
     let mut agent = Agent::new();
     agent.run_for(500);
-    let heard = START;
+    let agent_clock = START;
     let tasks = vec![agent.task(0, 0)];
     let (job, spec) = (JobId::new("a"), Arc::from("spec"));
-    agent.handle(Event::FromEntry(SESSION, ToAgent::Start { heard, job, spec, tasks }));
+    agent.handle(Event::FromEntry(SESSION, ToAgent::Start { agent_clock, job, spec, tasks }));
     agent.run_for(20);
     assert_eq!(agent.ends(), [TaskEnd::NotRun(Refusal::Late)]);
 }
--- a/components/runner/tests/runner.rs
+++ b/components/runner/tests/runner.rs
@@ -318,9 +318,9 @@
     agent.handle(Event::SessionOpened(idle));
     // Two entries start the five tasks for which the target has capacity.
     agent.request("a", 3, 0);
-    let (heard, job) = (agent.now, JobId::new("b"));
+    let (agent_clock, job) = (agent.now, JobId::new("b"));
     let tasks = (0..2).map(|index| agent.task(index, 0)).collect();
-    let start = ToAgent::Start { heard, job, spec: "spec".into(), tasks };
+    let start = ToAgent::Start { agent_clock, job, spec: "spec".into(), tasks };
     agent.handle(Event::FromEntry(second, start));
     let starts = agent.take_starts();
     agent.run_for(100);
@@ -330,7 +330,7 @@
     for tick in 0..30 {
         let mut actions = Vec::new();
         for session in [SESSION, second, idle] {
-            let event = Event::FromEntry(session, ToAgent::Heartbeat { heard: agent.now });
+            let event = Event::FromEntry(session, ToAgent::Heartbeat { agent_clock: agent.now });
             agent.runner.handle(agent.now, event, &mut actions);
         }
         let loads = actions.iter().filter_map(|action| match action {
--- a/components/runner/tests/support/mod.rs
+++ b/components/runner/tests/support/mod.rs
@@ -100,15 +100,15 @@
     }
 
     pub fn heartbeat(&mut self) {
-        let heard = self.now;
-        self.handle(Event::FromEntry(SESSION, ToAgent::Heartbeat { heard }));
+        let agent_clock = self.now;
+        self.handle(Event::FromEntry(SESSION, ToAgent::Heartbeat { agent_clock }));
     }
 
     pub fn request(&mut self, job: &str, count: u32, priority: u8) {
-        let heard = self.now;
+        let agent_clock = self.now;
         let tasks = (0..count).map(|index| self.task(index, priority)).collect();
         let job = JobId::new(job);
-        let start = ToAgent::Start { heard, job, spec: Arc::from("spec"), tasks };
+        let start = ToAgent::Start { agent_clock, job, spec: Arc::from("spec"), tasks };
         self.handle(Event::FromEntry(SESSION, start));
     }
 
--- a/components/wire/src/document.rs
+++ b/components/wire/src/document.rs
@@ -88,7 +88,7 @@
     }
 
     /// The document that its parts make up; none where they are not what a document was packed to.
-    pub fn unpack(version: u64, bytes: Vec<u8>) -> Option<Self> {
+    pub fn from_compressed(version: u64, bytes: Vec<u8>) -> Option<Self> {
         let text = decompress_to_vec_with_limit(&bytes, UNPACKED_BYTES_MAX).ok()?;
         let document = Self::new(version, String::from_utf8(text).ok()?);
         // Whoever asks for it next gets what has come, without packing it again.
--- a/components/wire/src/halls.rs
+++ b/components/wire/src/halls.rs
@@ -14,7 +14,7 @@
 /// Not the name of a hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a hall's name has 1 to {HALL_NAME_BYTES} letters, digits, '-', '_' or '.'")]
-pub struct BadHallName;
+pub struct InvalidHallName;
 
 /// The name of a data hall in an order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -28,14 +28,14 @@
 }
 
 impl FromStr for HallName {
-    type Err = BadHallName;
+    type Err = InvalidHallName;
 
-    fn from_str(name: &str) -> Result<Self, BadHallName> {
+    fn from_str(name: &str) -> Result<Self, InvalidHallName> {
         let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
         let fits = (1..=HALL_NAME_BYTES).contains(&name.len());
         match fits && name.bytes().all(is_plain) {
             true => Ok(Self(Arc::from(name))),
-            false => Err(BadHallName),
+            false => Err(InvalidHallName),
         }
     }
 }
@@ -48,7 +48,7 @@
 
 /// An operator's order for one hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HallOrder {
+pub struct HallCommand {
     /// The hall.
     pub hall: HallName,
     /// Whether its targets are to take new work.
@@ -66,7 +66,7 @@
 
 impl EmptiedHalls {
     /// Carries an order out; returns whether it changes anything.
-    pub fn apply(&mut self, order: HallOrder) -> bool {
+    pub fn apply(&mut self, order: HallCommand) -> bool {
         let changes = match order.takes_work {
             true => self.halls.remove(&order.hall),
             false => self.halls.insert(order.hall),
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -19,13 +19,13 @@
 };
 pub use document::{Document, DocumentPart, PART_BYTES_MAX, PartRequest};
 pub use entry::{EntryService, EntryServiceClient, RelayReply, RelayRequest};
-pub use halls::{BadHallName, EmptiedHalls, HallName, HallOrder};
+pub use halls::{EmptiedHalls, HallCommand, HallName, InvalidHallName};
 pub use keeper::{
     ChangeRequest, ChangeResult, KeeperService, KeeperServiceClient, PeerMessage, PullReply,
     PullRequest,
 };
 pub use registry::{
-    KeeperIsUp, KeeperNames, ListChange, ListNews, NodeInfo, NodeList, NodeRole, WatchReply,
-    WatchRequest,
+    KeeperNames, KeeperStarted, NodeInfo, NodeList, NodeListDelta, NodeListUpdate, NodeRole,
+    WatchReply, WatchRequest,
 };
 pub use session::{AgentProfile, Load, Refusal, StartTask, TaskEnd, TaskReport, ToAgent, ToEntry};
--- a/components/wire/src/registry.rs
+++ b/components/wire/src/registry.rs
@@ -35,7 +35,7 @@
 
 /// A keeper has started and calls a node that it knew before, in a datagram of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeeperIsUp {
+pub struct KeeperStarted {
     /// Where nodes reach it.
     pub keeper: SocketAddr,
 }
@@ -67,11 +67,11 @@
 
 impl NodeList {
     /// Takes what has changed.
-    pub fn apply(&mut self, change: ListChange) {
-        let ListChange { revision, put, gone } = change;
-        let is_put = |node: &NodeInfo| put.iter().any(|other| other.name == node.name);
-        self.nodes.retain(|node| !gone.contains(&node.name) && !is_put(node));
-        self.nodes.extend(put);
+    pub fn apply(&mut self, change: NodeListDelta) {
+        let NodeListDelta { revision, upserted, removed } = change;
+        let is_put = |node: &NodeInfo| upserted.iter().any(|other| other.name == node.name);
+        self.nodes.retain(|node| !removed.contains(&node.name) && !is_put(node));
+        self.nodes.extend(upserted);
         self.nodes.sort_by(|a, b| a.name.cmp(&b.name));
         self.revision = revision;
     }
@@ -79,30 +79,34 @@
 
 /// What has changed in a list since the revision that a node has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListChange {
+pub struct NodeListDelta {
     /// The revision that this leads to.
     pub revision: u64,
     /// Entries that have come, or are no longer what they were.
-    pub put: Vec<NodeInfo>,
+    #[serde(rename = "put")]
+    pub upserted: Vec<NodeInfo>,
     /// Entries that are no longer listed.
-    pub gone: Vec<NodeName>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<NodeName>,
 }
 
 /// What a node is told of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListNews {
+pub enum NodeListUpdate {
     /// All of it.
-    Whole(NodeList),
+    #[serde(rename = "Whole")]
+    Snapshot(NodeList),
     /// What has changed.
-    Change(ListChange),
+    #[serde(rename = "Change")]
+    Delta(NodeListDelta),
 }
 
-impl ListNews {
+impl NodeListUpdate {
     /// The revision that it leads to.
     pub fn revision(&self) -> u64 {
         match self {
-            Self::Whole(list) => list.revision,
-            Self::Change(change) => change.revision,
+            Self::Snapshot(list) => list.revision,
+            Self::Delta(change) => change.revision,
         }
     }
 }
@@ -113,7 +117,7 @@
     /// The version of the document in force here, which is committed; 0 for none.
     pub version: u64,
     /// The entries, where the list is another than the node's.
-    pub nodes: Option<ListNews>,
+    pub nodes: Option<NodeListUpdate>,
     /// The halls that are emptied, where this is newer than what the node has from this keeper.
     pub halls: Option<EmptiedHalls>,
     /// Nodes of the same role and service as the node that asks, itself included.
--- a/components/wire/src/session.rs
+++ b/components/wire/src/session.rs
@@ -37,7 +37,8 @@
     /// How fast other entries have lately taken room there, in thousandths of a core a millisecond.
     pub taken_per_ms: u32,
     /// The sequence of the last start of this session that is counted in.
-    pub seen: u64,
+    #[serde(rename = "seen")]
+    pub last_start_sequence: u64,
     /// Whether the agent takes new work.
     pub open: bool,
     /// Whether the target failed what it ran and is tried with one task at a time.
@@ -71,12 +72,14 @@
     /// A sign of life.
     Heartbeat {
         /// The agent's clock as the entry heard it last.
-        heard: Time,
+        #[serde(rename = "heard")]
+        agent_clock: Time,
     },
     /// Starts tasks of one job.
     Start {
         /// The agent's clock as the entry heard it last: a start that was held up is refused.
-        heard: Time,
+        #[serde(rename = "heard")]
+        agent_clock: Time,
         /// The job.
         job: JobId,
         /// What the tasks are told to do.
--- a/daemon/src/capacity/keeper_watch.rs
+++ b/daemon/src/capacity/keeper_watch.rs
@@ -15,8 +15,8 @@
 use serde_json::json;
 use tarpc::client::{Config, NewClient};
 use wire::{
-    Document, DocumentPart, EmptiedHalls, KeeperIsUp, KeeperServiceClient, ListNews, NodeInfo,
-    NodeList, PartRequest, WatchReply, WatchRequest,
+    Document, DocumentPart, EmptiedHalls, KeeperServiceClient, KeeperStarted, NodeInfo, NodeList,
+    NodeListUpdate, PartRequest, WatchReply, WatchRequest,
 };
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -148,7 +148,7 @@
 
     fn handle_announcement(self: &Rc<Self>, bytes: &[u8]) {
         // Other datagrams are ignored; the keeper repeats a damaged announcement.
-        let Ok(KeeperIsUp { keeper }) = bincode::deserialize(bytes) else { return };
+        let Ok(KeeperStarted { keeper }) = bincode::deserialize(bytes) else { return };
         let is_new = !self.followed.borrow().contains(&keeper);
         // All keepers of a cluster listen on the same port.
         if is_new && keeper.port() == self.node_port && self.followed.borrow().len() < MAX_KEEPERS {
@@ -359,10 +359,15 @@
     }
 
     /// Stores a keeper's list of nodes; returns whether it changed.
-    fn update_listing(&self, keeper: SocketAddr, update: Option<ListNews>, peers: usize) -> bool {
+    fn update_listing(
+        &self,
+        keeper: SocketAddr,
+        update: Option<NodeListUpdate>,
+        peers: usize,
+    ) -> bool {
         let mut listings = self.listings.borrow_mut();
         let listing = match update {
-            Some(ListNews::Whole(list)) => {
+            Some(NodeListUpdate::Snapshot(list)) => {
                 listings.insert(keeper, Listing { list, peers });
                 return true;
             }
@@ -371,7 +376,7 @@
         // Keepers send changes only to nodes that have their list.
         let Some(listing) = listing else { return false };
         let changed = update.is_some();
-        if let Some(ListNews::Change(change)) = update {
+        if let Some(NodeListUpdate::Delta(change)) = update {
             listing.list.apply(change);
         }
         std::mem::replace(&mut listing.peers, peers) != peers || changed
--- a/daemon/src/keeper_role/decide.rs
+++ b/daemon/src/keeper_role/decide.rs
@@ -49,7 +49,7 @@
     /// The document in force.
     Fetch,
     /// An order for a hall.
-    OrderHall(wire::HallOrder),
+    OrderHall(wire::HallCommand),
     /// Which halls are emptied.
     ReadHalls,
     /// News for a node that registers.
--- a/daemon/src/keeper_role/listen.rs
+++ b/daemon/src/keeper_role/listen.rs
@@ -20,8 +20,8 @@
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel};
 use wire::{
-    BadHallName, ChangeRequest, ChangeResult, DocumentPart, HallOrder, KeeperService, PartRequest,
-    PeerMessage, PullReply, PullRequest, WatchReply, WatchRequest,
+    ChangeRequest, ChangeResult, DocumentPart, HallCommand, InvalidHallName, KeeperService,
+    PartRequest, PeerMessage, PullReply, PullRequest, WatchReply, WatchRequest,
 };
 
 use super::decide::{Ask, Input};
@@ -218,13 +218,13 @@
     }
     match hall.parse() {
         Ok(hall) => {
-            respond(ask(&operators.ring, Ask::OrderHall(HallOrder { hall, takes_work })).await)
+            respond(ask(&operators.ring, Ask::OrderHall(HallCommand { hall, takes_work })).await)
         }
         Err(error) => bad_hall(error),
     }
 }
 
-fn bad_hall(error: BadHallName) -> Response<Body> {
+fn bad_hall(error: InvalidHallName) -> Response<Body> {
     problem(400, "bad-hall", &error.to_string())
 }
 
--- a/daemon/src/keeper_role/roster.rs
+++ b/daemon/src/keeper_role/roster.rs
@@ -10,7 +10,7 @@
 use async_channel::Receiver;
 use async_io::Async;
 use keeper::{RosterWork, StoredNode};
-use wire::KeeperIsUp;
+use wire::KeeperStarted;
 
 use super::news_lines;
 use crate::event_log::EventLog;
@@ -60,7 +60,7 @@
 
 /// Tells hosts that this keeper is up. Who is not told is called again.
 async fn call(socket: &Async<UdpSocket>, own: SocketAddr, hosts: &[IpAddr]) {
-    let message = bincode::serialize(&KeeperIsUp { keeper: own }).expect("an address");
+    let message = bincode::serialize(&KeeperStarted { keeper: own }).expect("an address");
     for host in hosts {
         let address = SocketAddr::new(*host, own.port());
         // The host may be down, its port without a listener yet.
--- a/soak/src/keepers/halls.rs
+++ b/soak/src/keepers/halls.rs
@@ -10,7 +10,7 @@
 use model::Time;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use wire::{EmptiedHalls, HallName, HallOrder};
+use wire::{EmptiedHalls, HallCommand, HallName};
 
 use super::operators::Asker;
 use super::world::{Happening, KeeperWorld};
@@ -99,7 +99,7 @@
         let (order, takes_work) = (hall.order, hall.takes_work);
         let to = halls.rng.random_range(0..keepers);
         let asker = Asker::Hall { hall: number, order };
-        let ordered = HallOrder { hall: name(number), takes_work };
+        let ordered = HallCommand { hall: name(number), takes_work };
         let ticket = self.ask(to, asker, |ticket| Event::HallCommand(ticket, ordered));
         if let Some(halls) = &mut self.halls {
             halls.sent.insert(ticket, self.now);
--- a/soak/src/room/halls.rs
+++ b/soak/src/room/halls.rs
@@ -9,7 +9,7 @@
 use model::{TaskId, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use wire::{EmptiedHalls, HallName, HallOrder};
+use wire::{EmptiedHalls, HallCommand, HallName};
 
 use super::faults::Fault;
 use super::world::{CALM_FROM, Happening, TROUBLED, World};
@@ -128,7 +128,7 @@
         let Some(halls) = &mut self.halls else { return };
         let name: HallName = HALLS[hall].parse().expect("a name");
         halls.since[hall] = self.now;
-        halls.emptied.apply(HallOrder { hall: name, takes_work });
+        halls.emptied.apply(HallCommand { hall: name, takes_work });
         let (entries, agents) = (self.entries.len(), self.agents.len());
         (0..entries).for_each(|entry| self.tell_halls_soon(true, entry));
         (0..agents).for_each(|agent| self.tell_halls_soon(false, agent));
--- a/src/cmd/halls.rs
+++ b/src/cmd/halls.rs
@@ -4,7 +4,7 @@
 
 use clap::ArgMatches;
 use client::{HallOutcome, Operator};
-use wire::{EmptiedHalls, HallName, HallOrder};
+use wire::{EmptiedHalls, HallCommand, HallName};
 
 use super::{CommandError, REFUSED, UNKNOWN, addresses};
 
@@ -23,7 +23,7 @@
     let bad = |error| CommandError::BadInput(format!("'{name}': {error}"));
     let hall: HallName = name.parse().map_err(bad)?;
     let keepers = addresses(arguments, "keeper")?;
-    let order = HallOrder { hall, takes_work };
+    let order = HallCommand { hall, takes_work };
     let outcome =
         net::block_on(
             |tasks| async move { Operator::new(&keepers, &tasks).order_hall(&order).await },
