--- a/components/wire/src/agent.rs
+++ b/components/wire/src/agent.rs
@@ -1,4 +1,4 @@
-//! What an entry and an agent say to each other.
+//! Messages between an entry and an agent in the token scheduler.
 
 use std::sync::Arc;
 
@@ -11,156 +11,156 @@
 /// Opens a session; the first call on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HelloRequest {
-    /// The life of the entry.
+    /// The entry and its incarnation.
     pub entry: NodeRef,
 }
 
-/// What an agent says of itself.
+/// The identity, location and size of an agent's target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentInfo {
-    /// The life of the agent.
+    /// The agent and its incarnation.
     pub agent: NodeRef,
-    /// The service that its target takes work of.
+    /// The service that the target runs tasks of.
     pub service: String,
-    /// Its data hall.
+    /// The target's data hall.
     pub hall: String,
-    /// Its rack.
+    /// The target's rack.
     pub rack: String,
-    /// The slots of its target.
+    /// The number of tasks that the target runs at once.
     pub slots: u32,
-    /// It votes on submission ids made after this.
+    /// The agent votes only on claims to submission ids created after this time, as a restart loses its earlier votes.
     pub votes_from: Time,
-    /// Whether it is leaving.
+    /// Whether the agent is shutting down.
     pub leaving: bool,
 }
 
 /// Starts one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartRequest {
-    /// The task.
+    /// The key of the task.
     pub key: TaskKey,
     /// The owner of the submission.
     pub owner: NodeRef,
-    /// The life of the agent that is meant; another refuses.
+    /// The expected incarnation of the agent; any other refuses the start.
     pub agent: Incarnation,
-    /// The task's text, handed to the target as it is.
+    /// The text of the task, passed to the target unmodified.
     pub task: Arc<str>,
-    /// When its answer is of no more use.
+    /// The time after which the answer is no longer useful.
     pub deadline: Time,
-    /// Tokens that the owner now asks this agent for, in all: its part of what waits.
+    /// The total of tokens that the owner currently requests from this agent: its share of the waiting tasks.
     pub wanted: u32,
 }
 
-/// Why a start was refused; every reason proves that the task did not run.
+/// The reason for a refused start; each one proves that the task did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartRefusal {
-    /// No slot is free for this entry.
+    /// The session of the entry has no token left for a slot.
     NoSlot,
-    /// The target is leaving.
+    /// The target is shutting down.
     Leaving,
-    /// The task was settled as not run.
+    /// An earlier settle request barred the task from starting.
     Barred,
-    /// The deadline had passed.
+    /// The deadline of the task has passed.
     TooLate,
 }
 
-/// What became of a start.
+/// The result of a start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartResult {
-    /// It ran to this end.
+    /// The task ran and ended with this outcome.
     Ended(TaskOutcome),
-    /// It did not run, and this frame never will make it run.
+    /// The task did not run, and this request can no longer start it.
     NotRun(StartRefusal),
-    /// It ended earlier; its outcome is no longer held.
+    /// The task ended earlier, and the agent has evicted its outcome.
     OutcomeDropped,
-    /// It may have run: meant for another life of the agent, started by another owner, or too old
-    /// to be known.
+    /// The task may have run: the request is for another incarnation of the agent, another owner has
+    /// started the task, or its record has expired.
     Unknown,
 }
 
-/// An agent's answer to a start, sent when the task ended.
+/// An agent's reply to a start, sent once the task has ended or was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartReply {
-    /// What became of it.
+    /// The result of the start.
     pub result: StartResult,
-    /// Whether the entry has the slot's token again.
+    /// Whether the token of the slot is returned to the entry.
     pub token: bool,
 }
 
-/// Asks for the fate of a start whose answer was lost; bars it where it never started.
+/// Asks for the result of a start whose reply was lost, and bars the task from starting if it has not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
-    /// The task.
+    /// The key of the task.
     pub key: TaskKey,
     /// The owner of the submission.
     pub owner: NodeRef,
-    /// The life of the agent that the start was sent to.
+    /// The incarnation of the agent to which the start was sent.
     pub agent: Incarnation,
 }
 
-/// The fate of a start.
+/// The result of a settle request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SettleReply {
-    /// Proven: it did not run and never will.
+    /// The task did not run and is barred from starting.
     NotRun,
-    /// It ran to this end; sent when it ended.
+    /// The task ran and ended with this outcome; sent once it has ended.
     Ended(TaskOutcome),
-    /// It ended; its outcome is no longer held.
+    /// The task ended, and the agent has evicted its outcome.
     OutcomeDropped,
-    /// The start went to an earlier life of this agent, or is too old to be known: it may have run.
+    /// The task may have run: the start went to an earlier incarnation of the agent, or its record has expired.
     Unknown,
 }
 
-/// What an agent tells operators.
+/// The state of an agent, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentStatus {
-    /// Itself.
+    /// The agent and its target.
     pub info: AgentInfo,
-    /// The version of the settings in force.
+    /// The version of the settings in force at the agent.
     pub settings_version: u64,
-    /// Its counters.
+    /// The agent's counters.
     pub counters: AgentCounters,
 }
 
-/// Keeps an entry's session and its tokens; the agent answers when it has something to say.
+/// Keeps the session of an entry alive and exchanges tokens; the agent delays its reply until something has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// Tokens that the entry asks for, in all.
+    /// The total of tokens that the entry currently requests.
     pub wanted: u32,
-    /// Idle tokens that it gives back.
+    /// Idle tokens that the entry returns.
     pub returned: u32,
 }
 
-/// What an agent has to say to an entry.
+/// An agent's reply to a token exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncReply {
-    /// Tokens lent to the entry.
+    /// Tokens newly lent to the entry.
     pub granted: u32,
-    /// Idle tokens that the agent asks back.
+    /// Idle tokens that the entry is asked to return.
     pub recalled: u32,
-    /// All tokens lent before are void.
+    /// Whether all tokens lent earlier are invalid.
     pub void: bool,
-    /// The target is leaving: no more tokens will come.
+    /// Whether the target is shutting down and lends no more tokens.
     pub leaving: bool,
     /// The version of the settings in force at the agent.
     pub settings_version: u64,
 }
 
-/// The agent's side of the connection from an entry.
+/// The calls that an agent serves to entries.
 #[tarpc::service]
 pub trait AgentService {
-    /// Opens a session.
+    /// Opens a session and returns the identity of the agent.
     async fn hello(request: HelloRequest) -> AgentInfo;
-    /// Claims a submission.
+    /// Votes on an entry's claim to own a submission.
     async fn claim(request: ClaimRequest) -> ClaimReply;
-    /// Whose claim is held on a submission.
+    /// Returns the claim that the agent has granted on a submission.
     async fn lookup(submission: SubmissionId) -> LookupReply;
-    /// Starts a task and answers at its end.
+    /// Starts a task and replies when it ends.
     async fn start(request: StartRequest) -> StartReply;
-    /// Settles the fate of a start.
+    /// Resolves the result of a start whose reply was lost.
     async fn settle(request: SettleRequest) -> SettleReply;
-    /// The agent's counters, for operators.
+    /// Returns the state and counters of the agent.
     async fn status() -> AgentStatus;
-    /// Exchanges tokens and news.
+    /// Requests, returns and recalls slot tokens.
     async fn sync(request: SyncRequest) -> SyncReply;
 }
--- a/components/wire/src/document.rs
+++ b/components/wire/src/document.rs
@@ -1,8 +1,7 @@
-//! The operators' document, and how it travels: in parts that its receiver asks for one after the other.
+//! The operators' configuration document and its transfer in compressed parts.
 //!
-//! A document may be larger than what a node's link carries in the time after which silence means that a connection is
-//! dead. So no message has a whole one, and what is sent unasked has its version alone. It travels packed: each change goes to
-//! each node, and its text names the same fields for each route.
+//! A slow link may need longer for a whole document than the silence after which a connection counts as dead. Messages
+//! therefore announce only its version, and the receiver requests the compressed text part by part.
 
 use std::fmt;
 use std::sync::{Arc, OnceLock};
@@ -12,109 +11,111 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Most bytes of a part: little enough that a heartbeat behind it on a slow link is not late, enough that the round trip for
-/// each part is small beside it.
+/// Largest part of a document, in bytes. Small enough not to delay a heartbeat that is queued behind it on a slow link, large
+/// enough that transfer time outweighs the round trip of each request.
 pub const PART_BYTES_MAX: usize = 32 * 1024;
 
-/// Most bytes that a document is unpacked to: more than an operator can send.
-const UNPACKED_BYTES_MAX: usize = 64 * 1024 * 1024;
-/// How hard a text is packed: the least, which takes a keeper the least time and gains most of it.
-const PACKING_LEVEL: u8 = 1;
+/// Upper bound of a decompressed document, in bytes; above the limit on what an operator can submit.
+const DECOMPRESSED_BYTES_MAX: usize = 64 * 1024 * 1024;
+/// The fastest compression level, which keeps the load on keepers low.
+const COMPRESSION_LEVEL: u8 = 1;
 
-/// The configuration as operators send it: a whole text with its version. Keepers keep it and
-/// don't look inside.
+/// A version of the configuration as operators submit it. Keepers store and distribute the text without
+/// interpreting it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The operators' version; the highest holds.
+    /// The version that the operators assigned; the highest one is in force.
     pub version: u64,
-    /// The text, as it was sent.
+    /// The unmodified text.
     pub body: Arc<str>,
     #[serde(skip)]
-    packed: PackedOnce,
+    compressed: CompressedOnce,
 }
 
-/// What a document is as it travels, made when it is asked for first, once for all its copies. It follows from the text.
+/// The compressed form of a document, computed on first use and shared by all clones. It is derived from the text and
+/// therefore ignored by comparisons.
 #[derive(Clone, Default)]
-struct PackedOnce(Arc<OnceLock<Packed>>);
+struct CompressedOnce(Arc<OnceLock<Compressed>>);
 
-struct Packed {
+struct Compressed {
     bytes: Vec<u8>,
     digest: u64,
 }
 
-impl PartialEq for PackedOnce {
+impl PartialEq for CompressedOnce {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
 
-impl Eq for PackedOnce {}
+impl Eq for CompressedOnce {}
 
-impl fmt::Debug for PackedOnce {
+impl fmt::Debug for CompressedOnce {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let bytes = self.0.get().map(|packed| packed.bytes.len());
-        f.debug_tuple("PackedOnce").field(&bytes).finish()
+        let bytes = self.0.get().map(|compressed| compressed.bytes.len());
+        f.debug_tuple("CompressedOnce").field(&bytes).finish()
     }
 }
 
-/// Asks for a part of a document.
+/// Requests one part of a compressed document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartRequest {
     /// The version of the document.
     pub version: u64,
-    /// Where the part begins, in bytes.
+    /// Byte offset of the part in the compressed document.
     pub offset: usize,
 }
 
-/// A part of a document as it travels.
+/// One part of a compressed document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentPart {
     /// The version of the document.
     pub version: u64,
-    /// How long the whole is as it travels, in bytes.
+    /// Size of the compressed document, in bytes.
     pub total: usize,
-    /// Tells apart what different programs make of one text: parts of one whole have the same.
+    /// Hash of the compressed document. Program versions may compress one text differently, and only
+    /// parts with equal digests fit together.
     pub digest: u64,
-    /// Where the part begins, in bytes.
+    /// Byte offset of the part in the compressed document.
     pub offset: usize,
-    /// The part; empty at the end of the document alone.
+    /// The compressed bytes; empty only at the end of the document.
     pub bytes: Vec<u8>,
 }
 
 impl Document {
-    /// A document.
+    /// Creates a document; it is compressed when its first part is requested.
     pub fn new(version: u64, body: impl Into<Arc<str>>) -> Self {
-        Self { version, body: body.into(), packed: PackedOnce::default() }
+        Self { version, body: body.into(), compressed: CompressedOnce::default() }
     }
 
-    /// The document that its parts make up; none where they are not what a document was packed to.
+    /// Decompresses a document from its joined parts; `None` if the bytes are corrupt or not UTF-8.
     pub fn from_compressed(version: u64, bytes: Vec<u8>) -> Option<Self> {
-        let text = decompress_to_vec_with_limit(&bytes, UNPACKED_BYTES_MAX).ok()?;
+        let text = decompress_to_vec_with_limit(&bytes, DECOMPRESSED_BYTES_MAX).ok()?;
         let document = Self::new(version, String::from_utf8(text).ok()?);
-        // Whoever asks for it next gets what has come, without packing it again.
-        document.packed.0.get_or_init(|| Packed::new(bytes));
+        // Later part requests are served from the received bytes without compressing the text again.
+        document.compressed.0.get_or_init(|| Compressed::new(bytes));
         Some(document)
     }
 
-    fn packed(&self) -> &Packed {
-        let pack = || compress_to_vec(self.body.as_bytes(), PACKING_LEVEL);
-        self.packed.0.get_or_init(|| Packed::new(pack()))
+    fn compressed(&self) -> &Compressed {
+        let compress = || compress_to_vec(self.body.as_bytes(), COMPRESSION_LEVEL);
+        self.compressed.0.get_or_init(|| Compressed::new(compress()))
     }
 
-    /// The part that is asked for; none where this is another version or has no such place.
+    /// Returns the requested part; `None` if the version differs or the offset is past the end.
     pub fn part(&self, request: PartRequest) -> Option<DocumentPart> {
         let PartRequest { version, offset } = request;
         if version != self.version {
             return None;
         }
-        let Packed { bytes, digest } = self.packed();
+        let Compressed { bytes, digest } = self.compressed();
         let rest = bytes.get(offset..)?;
         let part = rest[..rest.len().min(PART_BYTES_MAX)].to_vec();
         Some(DocumentPart { version, total: bytes.len(), digest: *digest, offset, bytes: part })
     }
 }
 
-impl Packed {
+impl Compressed {
     fn new(bytes: Vec<u8>) -> Self {
         let digest = xxh3_64(&bytes);
         Self { bytes, digest }
--- a/components/wire/src/entry.rs
+++ b/components/wire/src/entry.rs
@@ -1,35 +1,35 @@
-//! What entries say to each other.
+//! Messages between entries.
 
 use std::sync::Arc;
 
 use model::{Failure, SubmissionId};
 use serde::{Deserialize, Serialize};
 
-/// Hands a submission to the entry that owns it.
+/// Forwards a submission to the entry that owns it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayRequest {
-    /// The submission.
+    /// The id of the submission.
     pub submission: SubmissionId,
-    /// Its service.
+    /// The service that runs it.
     pub service: String,
-    /// Its kind.
+    /// The kind of task within the service.
     pub kind: String,
-    /// Its tasks' texts.
+    /// The texts of its tasks, in order.
     pub tasks: Vec<Arc<str>>,
-    /// Time left, in milliseconds.
+    /// Time left until the deadline, in milliseconds; `None` without a deadline.
     pub deadline_ms: Option<u64>,
-    /// Whether it may run more than once.
+    /// Whether its tasks are idempotent and may run more than once.
     pub repeatable: bool,
 }
 
-/// The owner's answer: every task's answer in order, or why there is none.
+/// The owner's reply: the answer of each task in order, or the failure of the submission.
 pub type RelayReply = Result<Arc<[Arc<str>]>, Failure>;
 
-/// An entry's side of the connection from another entry.
+/// The calls that an entry serves to other entries.
 #[tarpc::service]
 pub trait EntryService {
-    /// Joins a submission at its owner and waits for its outcome.
+    /// Joins a submission at its owner and waits for the outcome.
     async fn relay(request: RelayRequest) -> RelayReply;
-    /// The kept outcome of a submission at its owner.
+    /// Returns the outcome that the owner has retained for a submission.
     async fn fetch(submission: SubmissionId) -> RelayReply;
 }
--- a/components/wire/src/halls.rs
+++ b/components/wire/src/halls.rs
@@ -1,4 +1,4 @@
-//! Data halls that operators have emptied: their targets get no new work until the hall is refilled.
+//! Data halls that operators have emptied. Targets of an emptied hall get no new work until it is refilled.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,20 +8,20 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest name of a hall, in bytes: that of a DNS label, which the names of halls usually are.
-const HALL_NAME_BYTES: usize = 63;
+/// Longest name of a hall, in bytes; the limit of a DNS label, which hall names usually are.
+const HALL_NAME_BYTES_MAX: usize = 63;
 
-/// Not the name of a hall.
+/// The text is not a valid hall name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a hall's name has 1 to {HALL_NAME_BYTES} letters, digits, '-', '_' or '.'")]
+#[error("invalid hall name: expected 1 to {HALL_NAME_BYTES_MAX} letters, digits, '-', '_' or '.'")]
 pub struct InvalidHallName;
 
-/// The name of a data hall in an order.
+/// The validated name of a data hall.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HallName(Arc<str>);
 
 impl HallName {
-    /// The name.
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -31,9 +31,9 @@
     type Err = InvalidHallName;
 
     fn from_str(name: &str) -> Result<Self, InvalidHallName> {
-        let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-        let fits = (1..=HALL_NAME_BYTES).contains(&name.len());
-        match fits && name.bytes().all(is_plain) {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+        let has_valid_length = (1..=HALL_NAME_BYTES_MAX).contains(&name.len());
+        match has_valid_length && name.bytes().all(is_allowed) {
             true => Ok(Self(Arc::from(name))),
             false => Err(InvalidHallName),
         }
@@ -46,37 +46,37 @@
     }
 }
 
-/// An operator's order for one hall.
+/// An operator's command to empty or refill a hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallCommand {
     /// The hall.
     pub hall: HallName,
-    /// Whether its targets are to take new work.
+    /// Whether the targets of the hall may take new work: `false` empties it, `true` refills it.
     pub takes_work: bool,
 }
 
-/// The halls that are emptied, as keepers have agreed on it.
+/// The set of emptied halls that the keepers have committed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EmptiedHalls {
-    /// Rises with each change; the same number means the same halls everywhere. 0 before the first order.
+    /// Rises with each change; equal revisions mean equal sets on all nodes. 0 before the first command.
     pub revision: u64,
-    /// Their names.
+    /// The names of the emptied halls.
     pub halls: BTreeSet<HallName>,
 }
 
 impl EmptiedHalls {
-    /// Carries an order out; returns whether it changes anything.
-    pub fn apply(&mut self, order: HallCommand) -> bool {
-        let changes = match order.takes_work {
-            true => self.halls.remove(&order.hall),
-            false => self.halls.insert(order.hall),
+    /// Applies a command; returns whether the set has changed.
+    pub fn apply(&mut self, command: HallCommand) -> bool {
+        let changed = match command.takes_work {
+            true => self.halls.remove(&command.hall),
+            false => self.halls.insert(command.hall),
         };
-        self.revision += u64::from(changes);
-        changes
+        self.revision += u64::from(changed);
+        changed
     }
 
-    /// Takes the newer of two; returns whether that is the other one. Nothing falls back to an older order,
-    /// however late a message comes.
+    /// Replaces the set with a newer revision; returns whether `other` was newer. A delayed message never reverts
+    /// a newer command.
     pub fn update(&mut self, other: &Self) -> bool {
         let newer = other.revision > self.revision;
         if newer {
@@ -85,7 +85,7 @@
         newer
     }
 
-    /// Whether a hall gets no new work.
+    /// Whether a hall is emptied.
     pub fn contains(&self, hall: &str) -> bool {
         self.halls.iter().any(|emptied| emptied.as_str() == hall)
     }
--- a/components/wire/src/keeper.rs
+++ b/components/wire/src/keeper.rs
@@ -1,4 +1,4 @@
-//! What a keeper says to nodes and operators.
+//! Messages between keepers, and from nodes and operators to keepers.
 
 use model::NodeName;
 use serde::{Deserialize, Serialize};
@@ -6,93 +6,93 @@
 
 use crate::{DocumentPart, PartRequest, WatchReply, WatchRequest};
 
-/// A change of the settings tree as an operator sends it.
+/// An operator's change to the settings tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// The operator's id of the change: a UUID. Sent again, it gets its first answer.
+    /// The operator's id of the change, a UUID. A change that is sent again gets the result of the first attempt.
     pub change: String,
-    /// The version that the operator saw.
+    /// The version that the edits are based on.
     pub base_version: u64,
-    /// The edits, taken together or not at all.
+    /// The edits, applied atomically.
     pub edits: Vec<Edit>,
 }
 
-/// What became of a change.
+/// The result of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeResult {
-    /// Durable and in force from this version on.
+    /// The change is durable and in force.
     Accepted {
-        /// The version that it made.
+        /// The version that the change created.
         version: u64,
     },
-    /// Others changed the same sections since the base version.
+    /// Another change has modified the same sections since the base version.
     Conflict {
         /// The version in force.
         version: u64,
-        /// The sections that both touch.
+        /// The sections that both changes modify.
         sections: Vec<String>,
     },
-    /// The edits make no valid tree.
+    /// The edited tree would not be valid.
     Invalid {
-        /// Section, key and reason.
+        /// The section, the key and what is wrong with the value.
         reason: String,
     },
 }
 
-/// Asks for settings newer than what a node has.
+/// Requests settings that are newer than the node's.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// The node that asks.
+    /// The requesting node.
     pub node: NodeName,
-    /// The version that it has; `None` for a node that has none yet.
+    /// The version that the node has; `None` before it has received any.
     pub have: Option<u64>,
 }
 
-/// Settings for a node.
+/// The reply to a request for settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PullReply {
     /// The node has the version in force.
     Current,
-    /// The keeper can't tell: it is not the leader, or not sure to be.
+    /// The keeper is not the leader, or can't confirm that it still is.
     Unsure {
-        /// The keeper that it takes for the leader.
+        /// The keeper believed to be the leader.
         leader: Option<NodeName>,
     },
-    /// The edits of the versions after the node's, in order.
+    /// The edits since the node's version.
     Delta {
-        /// The version after them.
+        /// The version after the edits.
         version: u64,
-        /// The edits, version by version.
+        /// The edits of each version, oldest version first.
         edits: Vec<Vec<Edit>>,
     },
-    /// The whole tree.
+    /// All settings, for a node whose version is too old for a delta.
     Snapshot {
-        /// Its version.
+        /// The version of the tree.
         version: u64,
-        /// The tree.
+        /// The whole settings tree.
         tree: Tree,
     },
 }
 
-/// A message of one keeper to another.
+/// A consensus message from one keeper to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerMessage {
-    /// Who sends it.
+    /// The sending keeper.
     pub from: NodeName,
-    /// The message.
+    /// The consensus message.
     pub message: consensus::Message,
 }
 
-/// A keeper's side of the connection from a node or another keeper.
+/// The calls that a keeper serves to nodes and other keepers.
 #[tarpc::service]
 pub trait KeeperService {
-    /// Takes a message of another keeper; what it answers comes as a message of its own.
+    /// Delivers a message of another keeper; any response is sent as a separate call.
     async fn peer(message: PeerMessage);
-    /// Waits a while for settings newer than the node's.
+    /// Long poll for settings that are newer than the node's.
     async fn pull(request: PullRequest) -> PullReply;
-    /// Registers a node, and waits a while for a newer document or other nodes.
+    /// Registers a node and long-polls for a newer document, node list, set of halls or set of keepers.
     async fn watch(request: WatchRequest) -> WatchReply;
-    /// A part of the document; `None` where this keeper does not have that version.
+    /// Returns a part of the document; `None` if this keeper does not have the version.
     async fn document(request: PartRequest) -> Option<DocumentPart>;
 }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Messages between dockpass's own processes, and the tarpc services that carry them.
+//! Messages between the processes of dockpass, and the tarpc services that carry them.
 //!
-//! Every message is a plain typed value, so that tests and traces use the same ones as the daemon.
+//! Messages are plain data types that simulations and traces share with the daemon. They are encoded by position, so
+//! the order of fields and variants is part of the protocol.
 
-// The service macro makes items that it does not document.
+// `tarpc::service` generates undocumented public items.
 #![allow(missing_docs)]
 
 mod agent;
--- a/components/wire/src/registry.rs
+++ b/components/wire/src/registry.rs
@@ -1,4 +1,4 @@
-//! How nodes register at keepers, and what they learn there.
+//! Registration of nodes at keepers, and the state that keepers distribute to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,129 +9,129 @@
 
 use crate::EmptiedHalls;
 
-/// What a registered node does.
+/// The role of a registered node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum NodeRole {
-    /// Takes requests of callers.
+    /// Accepts requests from callers.
     Entry,
-    /// Stands beside a target.
+    /// Runs next to a target and passes tasks to it.
     Agent,
 }
 
-/// A node as it registers.
+/// The registration of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// Its name, unique in the fleet.
+    /// The node's name, unique in the fleet.
     pub name: NodeName,
-    /// What it does.
+    /// The node's role.
     pub role: NodeRole,
-    /// Where other nodes reach it.
+    /// The address at which other nodes reach it.
     pub address: SocketAddr,
-    /// Which of its lives.
+    /// Identifies the running process among restarts of the node.
     pub incarnation: Incarnation,
-    /// The service that an agent's target takes work of; empty for an entry.
+    /// The service of an agent's target; empty for an entry.
     pub service: Arc<str>,
 }
 
-/// A keeper has started and calls a node that it knew before, in a datagram of its own.
+/// Datagram by which a restarted keeper asks the nodes that it has stored to register again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperStarted {
-    /// Where nodes reach it.
+    /// The address at which nodes reach the keeper.
     pub keeper: SocketAddr,
 }
 
-/// Asks a keeper for news, and registers the node there for a few seconds.
+/// Long poll for state that is newer than the node's; also registers the node at the keeper for a few seconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// The node that asks.
+    /// The registration of the polling node.
     pub node: NodeInfo,
-    /// The version of the document that this keeper has told it of; 0 for none.
+    /// The latest document version that this keeper has announced to the node; 0 for none.
     pub document: u64,
-    /// The revision of this keeper's list of nodes that it has, 0 for none; `None` where it takes the list of others.
+    /// The revision of this keeper's node list that the node has, 0 for none; `None` if it follows another keeper's list.
     pub revision: Option<u64>,
-    /// The revision of the emptied halls that this keeper has told it of; 0 for none.
+    /// The latest revision of the emptied halls that this keeper has sent to the node; 0 for none.
     pub halls: u64,
-    /// The digest of the keepers that this keeper has named to it; 0 for none.
+    /// The digest of the voting keepers that this keeper has sent to the node; 0 for none.
     pub keepers: u64,
 }
 
-/// The entries that are registered at one keeper. Agents are not listed: whoever looks for a node
-/// looks for an entry, and agents are by far the most.
+/// The entries that are registered at one keeper. Agents are far more numerous and never looked up, so
+/// they are not listed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeList {
-    /// Told apart at this keeper only.
+    /// Rises with each change; comparable only between lists of the same keeper.
     pub revision: u64,
-    /// The entries.
+    /// The entries, sorted by name.
     pub nodes: Vec<NodeInfo>,
 }
 
 impl NodeList {
-    /// Takes what has changed.
-    pub fn apply(&mut self, change: NodeListDelta) {
-        let NodeListDelta { revision, upserted, removed } = change;
-        let is_put = |node: &NodeInfo| upserted.iter().any(|other| other.name == node.name);
-        self.nodes.retain(|node| !removed.contains(&node.name) && !is_put(node));
+    /// Applies a delta that starts at the revision of this list.
+    pub fn apply(&mut self, delta: NodeListDelta) {
+        let NodeListDelta { revision, upserted, removed } = delta;
+        let is_upserted = |node: &NodeInfo| upserted.iter().any(|other| other.name == node.name);
+        self.nodes.retain(|node| !removed.contains(&node.name) && !is_upserted(node));
         self.nodes.extend(upserted);
         self.nodes.sort_by(|a, b| a.name.cmp(&b.name));
         self.revision = revision;
     }
 }
 
-/// What has changed in a list since the revision that a node has.
+/// The changes to a node list since a node's revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeListDelta {
-    /// The revision that this leads to.
+    /// The revision of the list after the changes.
     pub revision: u64,
-    /// Entries that have come, or are no longer what they were.
+    /// Entries that were added or have changed.
     #[serde(rename = "put")]
     pub upserted: Vec<NodeInfo>,
-    /// Entries that are no longer listed.
+    /// Names of the entries that are no longer listed.
     #[serde(rename = "gone")]
     pub removed: Vec<NodeName>,
 }
 
-/// What a node is told of a list.
+/// An update of a node's copy of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeListUpdate {
-    /// All of it.
+    /// The whole list.
     #[serde(rename = "Whole")]
     Snapshot(NodeList),
-    /// What has changed.
+    /// The changes since the node's revision.
     #[serde(rename = "Change")]
     Delta(NodeListDelta),
 }
 
 impl NodeListUpdate {
-    /// The revision that it leads to.
+    /// The revision of the list after the update.
     pub fn revision(&self) -> u64 {
         match self {
             Self::Snapshot(list) => list.revision,
-            Self::Delta(change) => change.revision,
+            Self::Delta(delta) => delta.revision,
         }
     }
 }
 
-/// A keeper's news.
+/// A keeper's reply to a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchReply {
-    /// The version of the document in force here, which is committed; 0 for none.
+    /// The version of the committed document at this keeper; 0 for none.
     pub version: u64,
-    /// The entries, where the list is another than the node's.
+    /// The update of the node list; `None` if the node's revision is current.
     pub nodes: Option<NodeListUpdate>,
-    /// The halls that are emptied, where this is newer than what the node has from this keeper.
+    /// The emptied halls; `None` if the node has this revision from this keeper.
     pub halls: Option<EmptiedHalls>,
-    /// Nodes of the same role and service as the node that asks, itself included.
+    /// The number of nodes with the role and service of the polling node, itself included.
     pub peers: u32,
-    /// The keepers that vote, where they are others than those that the node was told of.
+    /// The voting keepers; `None` if the node's digest matches.
     pub keepers: Option<KeeperNames>,
 }
 
-/// Keepers, by the addresses that they are named by.
+/// The voting keepers, named by their addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperNames(pub Vec<NodeName>);
 
 impl KeeperNames {
-    /// Tells these names from others; never 0.
+    /// A hash of the names; never 0, which stands for no names.
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for name in &self.0 {
--- a/components/wire/src/session.rs
+++ b/components/wire/src/session.rs
@@ -1,9 +1,8 @@
-//! What an entry and an agent say to each other over their session: a connection that the agent
-//! opens, with typed messages both ways.
+//! Messages of a session between an entry and an agent in capacity scheduling. A session is a connection
+//! that the agent opens and that carries messages in both directions.
 //!
-//! Both sides take the session for dead after a silence. An agent stops what it runs for an entry
-//! as soon as their session is dead, so that a job which is sent again elsewhere never runs twice
-//! at once.
+//! Either side closes the session when it has received nothing for too long. The agent then stops the tasks
+//! that it runs for the entry, so that a job resubmitted elsewhere never runs twice at the same time.
 
 use std::sync::Arc;
 
@@ -12,173 +11,173 @@
 
 use crate::{DocumentPart, EmptiedHalls, PartRequest};
 
-/// Who an agent is and what its target is.
+/// The identity of an agent and the properties of its target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentProfile {
-    /// The agent.
+    /// The name of the agent.
     pub node: NodeName,
-    /// The service that its target takes work of.
+    /// The service that the target runs tasks of.
     pub service: Arc<str>,
-    /// The data hall.
+    /// The target's data hall.
     pub hall: Arc<str>,
-    /// The target's kind, rack and the like.
+    /// The target's labels, such as its kind and rack; jobs may require one.
     pub labels: Vec<Arc<str>>,
-    /// All that the target has.
+    /// The target's total resources.
     pub capacity: Resources,
 }
 
-/// How much a target can take now.
+/// An agent's report of its target's load and free capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The agent's clock.
+    /// Time of the report, by the agent's clock.
     pub at: Time,
-    /// What is free, with all that waits at the agent already taken off.
+    /// Free resources, after subtracting those of the tasks that wait at the agent.
     pub free: Resources,
-    /// How fast other entries have lately taken room there, in thousandths of a core a millisecond.
+    /// Recent rate at which other entries have taken capacity, in thousandths of a core per millisecond.
     pub taken_per_ms: u32,
-    /// The sequence of the last start of this session that is counted in.
+    /// Sequence of the last start of this session that the report accounts for.
     #[serde(rename = "seen")]
     pub last_start_sequence: u64,
-    /// Whether the agent takes new work.
+    /// Whether the agent accepts new work.
     pub open: bool,
-    /// Whether the target failed what it ran and is tried with one task at a time.
+    /// Whether the target was excluded after repeated failures and is now probed with one task at a time.
     pub on_trial: bool,
-    /// How long tasks take there against their estimates, in hundredths.
+    /// Recent run time of tasks relative to their estimates, in percent.
     pub slowdown_percent: u32,
 }
 
-/// One task to start.
+/// A task to start and the capacity that it needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartTask {
-    /// Counts the starts of this session, from 1.
+    /// Number of this start within the session, from 1.
     pub sequence: u64,
-    /// The task's place in its job.
+    /// The index of the task in its job.
     pub index: u32,
-    /// Which run of the task this is, from 1.
+    /// Number of this run of the task, from 1.
     pub run: u64,
-    /// What it takes.
+    /// The resources that the task occupies while it runs.
     pub resources: Resources,
-    /// How long it is thought to take, in ms.
+    /// Estimated run time, in milliseconds.
     pub estimated_ms: u32,
-    /// How long it may wait at the agent for room, in ms.
+    /// Longest time that the task may wait at the agent for free capacity, in milliseconds.
     pub longest_wait_ms: u32,
-    /// 0 goes first.
+    /// Priority of the task; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// From an entry to an agent.
+/// A message from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// A sign of life.
+    /// Keeps the session alive.
     Heartbeat {
-        /// The agent's clock as the entry heard it last.
+        /// The latest agent time that the entry has received.
         #[serde(rename = "heard")]
         agent_clock: Time,
     },
     /// Starts tasks of one job.
     Start {
-        /// The agent's clock as the entry heard it last: a start that was held up is refused.
+        /// The latest agent time that the entry has received; the agent refuses a start whose time is too old.
         #[serde(rename = "heard")]
         agent_clock: Time,
-        /// The job.
+        /// The job that the tasks belong to.
         job: JobId,
-        /// What the tasks are told to do.
+        /// The job's spec, passed to the target unmodified.
         spec: Arc<str>,
-        /// The tasks.
+        /// The tasks to start.
         tasks: Vec<StartTask>,
     },
-    /// Stops tasks, or forgets those that wait.
+    /// Stops the tasks that run and drops those that still wait.
     Stop(Vec<TaskId>),
-    /// Another entry was asked to cancel a job: stops its tasks, whoever started them.
+    /// Stops all tasks of a job that was cancelled, whichever entry has started them.
     Cancel(JobId),
-    /// Asks for a part of a document.
+    /// Requests a part of a configuration document.
     SendPart(PartRequest),
-    /// The halls that are emptied: what the entry knows is newer than what the agent has told it.
+    /// The emptied halls, sent when the entry has a newer revision than the agent.
     Halls(EmptiedHalls),
 }
 
-/// Why an agent did not start a task.
+/// The reason why an agent did not start a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// There was no room in time.
+    /// The target had no free capacity within the longest wait.
     Room,
-    /// The agent takes no new work.
+    /// The agent accepts no new work.
     Closed,
-    /// The target refused it, or did not answer and can't start it any more.
+    /// The target refused the task, or did not answer and can no longer start it.
     Target,
-    /// The message was held up.
+    /// The start message was delayed too long.
     Late,
-    /// The job is cancelled.
+    /// The job was cancelled.
     Cancelled,
-    /// The target that the agent stands beside has crashed under this task lately.
+    /// The target has recently crashed while it ran this task.
     CrashedTarget,
 }
 
-/// What became of a task at an agent.
+/// How a task ended at an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TaskEnd {
-    /// It is done.
+    /// The task succeeded.
     Done,
-    /// It failed.
+    /// The target reported that the task failed.
     Failed,
-    /// It was stopped.
+    /// The task was stopped on request.
     Stopped,
-    /// It did not run and won't.
+    /// The task did not run and will not.
     NotRun(Refusal),
-    /// It ran and is gone without an outcome.
+    /// The task ran, and its outcome is unknown.
     Lost,
-    /// Its target crashed while it ran. The task may be the cause, or have stood beside it.
+    /// The target crashed while the task ran. Any of the tasks running at that time may have caused the crash.
     Crashed,
 }
 
-/// What became of one run of a task.
+/// The end of one run of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// The task.
+    /// The id of the task.
     pub task: TaskId,
-    /// The sequence of its start.
+    /// The sequence of the start within the session.
     pub sequence: u64,
-    /// What became of it.
+    /// How the run ended.
     pub end: TaskEnd,
-    /// How long it ran, in ms.
+    /// Run time, in milliseconds.
     pub ran_ms: u32,
 }
 
-/// From an agent to an entry.
+/// A message from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// The first message, and again when the target is another.
+    /// Opens the session; sent again when the agent's target changes.
     Hello {
-        /// Who the agent is.
+        /// The agent and its target.
         profile: AgentProfile,
-        /// The version of the newest document that it knows; 0 for none. Its text is sent only to who asks for
-        /// it: an entry that returns hears from all of its agents at once.
+        /// The newest document version that the agent has; 0 for none. The text is sent only on request, because a
+        /// restarted entry receives this message from all of its agents at once.
         document: u64,
-        /// The halls that it knows to be emptied.
+        /// The emptied halls that the agent knows of.
         halls: EmptiedHalls,
     },
-    /// How much it can take. Also a sign of life.
+    /// The load of the target; also keeps the session alive.
     Load(Load),
-    /// What became of tasks.
+    /// Reports tasks that have ended.
     Ended {
-        /// The tasks.
+        /// The tasks that have ended.
         reports: Vec<TaskReport>,
-        /// How much it can take after that.
+        /// The load of the target after these tasks.
         load: Load,
     },
     /// A job was cancelled at another entry.
     Cancelled(JobId),
-    /// A part of a document that was asked for; `None` where the agent has not that version.
+    /// The requested part of a document; `None` if the agent does not have that version.
     DocumentPart(Option<DocumentPart>),
-    /// Other halls are emptied than before.
+    /// The emptied halls, sent when the agent has received a newer revision.
     Halls(EmptiedHalls),
-    /// The target has crashed while these tasks ran, whichever entry's they were: their jobs may be handed in again
-    /// anywhere.
+    /// The target has crashed while these tasks, of any entry, were running. Sent to all entries, since clients may
+    /// resubmit the jobs anywhere.
     TargetCrashed(Vec<TaskId>),
 }
 
 impl ToAgent {
-    /// What kind of message it is, as a word for counters.
+    /// The message kind as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Heartbeat { .. } => "heartbeat",
@@ -192,7 +191,7 @@
 }
 
 impl ToEntry {
-    /// What kind of message it is, as a word for counters.
+    /// The message kind as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Hello { .. } => "hello",
