--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use hyper::Method;
 use net::{Client, ClientError, Tasks};
-use platform::{BadBeat, HttpOrder};
+use platform::{HttpCommand, InvalidHeartbeat};
 use runner::{
     Action, Event, HoldCommand, HoldReply, Runner, SessionId, StartCommand, StartReply,
     StopCommand, StopReply, TargetInstance, TargetReport, Timing,
@@ -157,8 +157,8 @@
     }
 
     /// Parses a target's report; counts a rejected one by its reason.
-    pub fn read_report(&self, id: &str, body: &[u8]) -> Result<TargetReport, BadBeat> {
-        let report = platform::read_beat(id, &self.service, body);
+    pub fn read_report(&self, id: &str, body: &[u8]) -> Result<TargetReport, InvalidHeartbeat> {
+        let report = platform::parse_heartbeat(id, &self.service, body);
         if let Err(error) = &report {
             *self.rejected_reports.borrow_mut().entry(error.kind()).or_default() += 1;
         }
@@ -211,10 +211,10 @@
         let target = &command.key.target;
         let timeout = self.timing().command_timeout;
         let reply = self
-            .send_command(&self.command_client, target, platform::start_order(&command), timeout)
+            .send_command(&self.command_client, target, platform::start_request(&command), timeout)
             .await;
         let reply = reply
-            .map_or(StartReply::NoAnswer, |reply| platform::read_start(reply.status, &reply.body));
+            .map_or(StartReply::NoAnswer, |reply| platform::parse_start(reply.status, &reply.body));
         self.handle_event(Event::StartAnswered(command.key, reply));
     }
 
@@ -222,19 +222,19 @@
         let target = &command.key.target;
         let timeout = self.timing().command_timeout;
         let reply = self
-            .send_command(&self.command_client, target, platform::stop_order(&command), timeout)
+            .send_command(&self.command_client, target, platform::stop_request(&command), timeout)
             .await;
-        let reply = reply.map_or(StopReply::NoAnswer, |reply| platform::read_stop(reply.status));
+        let reply = reply.map_or(StopReply::NoAnswer, |reply| platform::parse_stop(reply.status));
         self.handle_event(Event::StopAnswered(command.key, reply));
     }
 
     async fn send_hold(self: Rc<Self>, command: HoldCommand) {
         let (target, timeout) = (&command.target, command.answer_within);
         let reply = self
-            .send_command(&self.hold_client, target, platform::hold_order(&command), timeout)
+            .send_command(&self.hold_client, target, platform::hold_request(&command), timeout)
             .await;
         let reply = reply
-            .map_or(HoldReply::NoAnswer, |reply| platform::read_hold(reply.status, &reply.body));
+            .map_or(HoldReply::NoAnswer, |reply| platform::parse_hold(reply.status, &reply.body));
         self.handle_event(Event::HoldAnswered(command.target, reply));
     }
 
@@ -244,10 +244,10 @@
         self: &Rc<Self>,
         client: &Client,
         target: &TargetInstance,
-        command: HttpOrder,
+        command: HttpCommand,
         timeout: Duration,
     ) -> Option<net::Reply> {
-        let HttpOrder { path, headers, body } = command;
+        let HttpCommand { path, headers, body } = command;
         let sent = client.send(Method::POST, path, headers, body.into(), timeout).await;
         if sent.as_ref().is_err_and(ClientError::is_refused) {
             self.handle_event(Event::NoListener(target.clone()));
--- a/daemon/src/capacity/entry.rs
+++ b/daemon/src/capacity/entry.rs
@@ -285,7 +285,7 @@
         if document.version <= current {
             return;
         }
-        match platform::read_table(&document.body) {
+        match platform::parse_route_table(&document.body) {
             Ok(table) => {
                 self.log.line("configuration", Budget::Full, || {
                     json!({"version": table.version, "before": current, "routes": table.len(),
--- a/daemon/src/capacity/entry_http.rs
+++ b/daemon/src/capacity/entry_http.rs
@@ -10,7 +10,7 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HOST, HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
 use net::{Body, BodyError, Limits, Tasks};
-use platform::{BadJob, CallerCall, Malformed, Reply};
+use platform::{ClientRequest, InvalidJob, InvalidRequest, Reply};
 use routing::{Route, TransferLimits};
 use serde_json::json;
 
@@ -94,16 +94,16 @@
         });
         return json_response(&queue_not_found(entry));
     };
-    let call = match CallerCall::read(route, &head.method, path) {
+    let call = match ClientRequest::parse(route, &head.method, path) {
         Ok(call) => call,
         Err(error) => {
-            let status = if error == Malformed::BadMethod { 405 } else { 400 };
+            let status = if error == InvalidRequest::UnsupportedMethod { 405 } else { 400 };
             return json_response(&reject(entry, path, status, &error.to_string()));
         }
     };
     match (call, body) {
-        (CallerCall::Submit(id), Ok(body)) => {
-            match platform::read_job(route, id, &head.headers, &body) {
+        (ClientRequest::Submit(id), Ok(body)) => {
+            match platform::parse_job(route, id, &head.headers, &body) {
                 Ok(job) => submit(entry, job).await,
                 Err(error) => json_response(&reject(
                     entry,
@@ -113,7 +113,7 @@
                 )),
             }
         }
-        (CallerCall::Submit(_), Err(error)) => {
+        (ClientRequest::Submit(_), Err(error)) => {
             let status = match error {
                 BodyError::TooLong => 413,
                 BodyError::TooSlow => 408,
@@ -121,15 +121,15 @@
             };
             json_response(&reject(entry, path, status, &error.to_string()))
         }
-        (CallerCall::State(id), _) => json_response(&platform::state_reply(entry.has_job(&id))),
-        (CallerCall::Cancel(id), _) => cancel(entry, id),
-        (CallerCall::Count, _) => json_response(&queue_count(entry, route)),
+        (ClientRequest::Get(id), _) => json_response(&platform::state_reply(entry.has_job(&id))),
+        (ClientRequest::Cancel(id), _) => cancel(entry, id),
+        (ClientRequest::CountWaiting, _) => json_response(&queue_count(entry, route)),
     }
 }
 
-fn job_error_status(error: &BadJob) -> u16 {
+fn job_error_status(error: &InvalidJob) -> u16 {
     match error {
-        BadJob::Unsupported(_) => 503,
+        InvalidJob::Unsupported(_) => 503,
         _ => 400,
     }
 }
@@ -144,7 +144,7 @@
     // The sender is dropped without an outcome only when the entry ends.
     let outcome = receiver.recv().await;
     let outcome = outcome.unwrap_or(Outcome::MayHaveRun(dispatch::Reason::Draining));
-    json_response(&platform::reply(outcome))
+    json_response(&platform::outcome_reply(outcome))
 }
 
 /// Logs a job that arrives after the balancer has noticed the planned stop.
--- a/daemon/src/capacity/target_http.rs
+++ b/daemon/src/capacity/target_http.rs
@@ -8,7 +8,7 @@
 use hyper::body::Bytes;
 use hyper::{Request, Response, StatusCode};
 use net::{Body, BodyError, Limits, Tasks};
-use platform::TargetCall;
+use platform::TargetRequest;
 use runner::Event;
 use serde_json::json;
 
@@ -34,8 +34,8 @@
 
 fn handle_request(agent: &Rc<Agent>, request: Request<Result<Bytes, BodyError>>) -> Response<Body> {
     let (head, body) = request.into_parts();
-    match (TargetCall::read(&head.method, head.uri.path()), body) {
-        (Some(TargetCall::Beat(id)), Ok(body)) => match agent.read_report(&id, &body) {
+    match (TargetRequest::parse(&head.method, head.uri.path()), body) {
+        (Some(TargetRequest::Heartbeat(id)), Ok(body)) => match agent.read_report(&id, &body) {
             Ok(report) => {
                 // A late report is acknowledged too. An instance that has ended ignores the
                 // response, while the current one would count a refusal as a failed report and miss
@@ -54,13 +54,13 @@
                 build_response(400, json!({"error": reason}).to_string())
             }
         },
-        (Some(TargetCall::Leave(id)), body) => {
+        (Some(TargetRequest::Deregister(id)), body) => {
             // Without a readable body the instance is unknown, as with an empty body.
             let body = body.unwrap_or_default();
-            agent.handle_event(Event::TargetLeft(platform::read_leave(&id, &body)));
+            agent.handle_event(Event::TargetLeft(platform::parse_deregistration(&id, &body)));
             build_response(200, "{}".to_owned())
         }
-        (Some(TargetCall::Beat(_)), Err(error)) => {
+        (Some(TargetRequest::Heartbeat(_)), Err(error)) => {
             build_response(400, json!({"error": error.to_string()}).to_string())
         }
         (None, _) => build_response(404, "{}".to_owned()),
--- a/daemon/src/keeper_role/listen.rs
+++ b/daemon/src/keeper_role/listen.rs
@@ -15,7 +15,7 @@
 use keeper::Reply;
 use model::NodeName;
 use net::{Body, BodyError, Connections, Limits, Tasks};
-use platform::OperatorCall;
+use platform::OperatorRequest;
 use serde::Serialize;
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel};
@@ -183,7 +183,7 @@
     let ring = &operators.ring;
     let (head, body) = request.into_parts();
     if operators.room
-        && let Some(call) = OperatorCall::read(&head.method, head.uri.path())
+        && let Some(call) = OperatorRequest::parse(&head.method, head.uri.path())
     {
         return platform_call(operators, call, head.uri.path(), body).await;
     }
@@ -231,19 +231,19 @@
 /// A call of the platform's operators; one that only the leader can answer is sent on to it.
 async fn platform_call(
     operators: &Operators,
-    call: OperatorCall,
+    call: OperatorRequest,
     path: &str,
     body: Result<Bytes, BodyError>,
 ) -> Response<Body> {
     let asked = match (call, body) {
-        (OperatorCall::Fetch, _) => Ask::Fetch,
-        (OperatorCall::OrderHall(Ok(order)), _) => Ask::OrderHall(order),
-        (OperatorCall::OrderHall(Err(error)), _) => return bad_hall(error),
-        (OperatorCall::Replace, Ok(body)) => match platform::read_document(&body) {
+        (OperatorRequest::FetchConfig, _) => Ask::Fetch,
+        (OperatorRequest::CommandHall(Ok(order)), _) => Ask::OrderHall(order),
+        (OperatorRequest::CommandHall(Err(error)), _) => return bad_hall(error),
+        (OperatorRequest::ReplaceConfig, Ok(body)) => match platform::parse_document(&body) {
             Ok(document) => Ask::Replace(document),
             Err(error) => return problem(400, "invalid", &error.to_string()),
         },
-        (OperatorCall::Replace, Err(error)) => {
+        (OperatorRequest::ReplaceConfig, Err(error)) => {
             let status = if error == BodyError::TooLong { 413 } else { 400 };
             return problem(status, "bad-body", &error.to_string());
         }
