--- a/components/claims/src/register.rs
+++ b/components/claims/src/register.rs
@@ -117,11 +117,11 @@
         window: &Window,
         now: Time,
     ) -> Option<AbstainReason> {
-        if id.made() <= window.votes_from(self.started) {
+        if id.created_at() <= window.votes_from(self.started) {
             return Some(AbstainReason::BeforeStart);
         }
-        let too_new = id.made() > now + window.clock_skew * 2;
-        if too_new || window.kept_until(id) < now || id.made() < self.forgotten_before {
+        let too_new = id.created_at() > now + window.clock_skew * 2;
+        if too_new || window.kept_until(id) < now || id.created_at() < self.forgotten_before {
             return Some(AbstainReason::OutsideWindow);
         }
         None
@@ -144,7 +144,7 @@
     /// removed under a shorter retention get no vote.
     pub fn expire(&mut self, window: &Window, now: Time) {
         self.forgotten_before = self.forgotten_before.max(now - window.retention);
-        for id in self.expiry.due(now) {
+        for id in self.expiry.take_expired(now) {
             let until = window.kept_until(id);
             if until >= now {
                 self.expiry.insert(id, until);
--- a/components/claims/src/window.rs
+++ b/components/claims/src/window.rs
@@ -29,7 +29,7 @@
 impl Window {
     /// The age class of an id by an entry's clock.
     pub fn age(&self, id: SubmissionId, now: Time) -> Age {
-        let made = id.made();
+        let made = id.created_at();
         if made + self.retention < now + self.clock_skew * 2 {
             Age::TooOld
         } else if made > now + self.clock_skew * 2 {
@@ -44,7 +44,7 @@
     /// The time until which a holder keeps the state of an id. By then the entry with the slowest
     /// clock refuses the id as too old.
     pub fn kept_until(&self, id: SubmissionId) -> Time {
-        id.made() + self.retention
+        id.created_at() + self.retention
     }
 
     /// The time after which ids must be made for a process that started at `started` to vote on
--- a/components/dispatch/src/agents.rs
+++ b/components/dispatch/src/agents.rs
@@ -54,8 +54,10 @@
     pub fn free(&self, now: Time) -> Resources {
         let age = now.since(self.last_contact).as_secs_f64() * 1e3;
         let taken_by_others = (age * f64::from(self.load.taken_per_ms)) as u64;
-        let mut free =
-            self.load.free.less(&Resources { cpu_milli: taken_by_others, ..Resources::default() });
+        let mut free = self
+            .load
+            .free
+            .saturating_sub(&Resources { cpu_milli: taken_by_others, ..Resources::default() });
         self.unacknowledged.iter().for_each(|(_, taken)| free -= *taken);
         free
     }
--- a/components/dispatch/src/cancels.rs
+++ b/components/dispatch/src/cancels.rs
@@ -25,7 +25,7 @@
     /// Cancels the job if it is active at this entry, and remembers the cancel for a later
     /// submission.
     pub(crate) fn cancel_local(&mut self, now: Time, id: &JobId, out: &mut Vec<Action>) {
-        self.cancelled_jobs.add(now, id);
+        self.cancelled_jobs.insert(now, id);
         let resubmission = self.jobs.get_mut(id).and_then(|job| job.resubmission.take());
         if let Some((call, _)) = resubmission {
             self.calls.remove(&call);
--- a/components/dispatch/src/placement.rs
+++ b/components/dispatch/src/placement.rs
@@ -311,7 +311,7 @@
     median_slowdown: f64,
     policy: Policy,
 ) -> f64 {
-    let free = free.less(&request.shape.resources);
+    let free = free.saturating_sub(&request.shape.resources);
     let capacity = agent.capacity().cpu_milli.max(1);
     let mut score = free.cpu_milli as f64 / capacity as f64;
     let fills =
--- a/components/dispatch/src/timeouts.rs
+++ b/components/dispatch/src/timeouts.rs
@@ -20,7 +20,7 @@
             return;
         }
         self.timeouts_checked = now;
-        self.cancelled_jobs.forget(now);
+        self.cancelled_jobs.remove_expired(now);
         self.crashes.expire(now);
         let mut timed_out = Vec::new();
         let mut quiescent = Vec::new();
--- a/components/entry/src/table.rs
+++ b/components/entry/src/table.rs
@@ -108,7 +108,7 @@
 
     /// Removes outcomes and inactive submissions past their retention.
     pub fn expire(&mut self, now: Time) {
-        for id in self.expiry.due(now) {
+        for id in self.expiry.take_expired(now) {
             match self.jobs.get(&id).map(|job| &job.phase) {
                 Some(Phase::Done(_)) => {
                     self.remove_done(id);
--- a/components/execution/src/table.rs
+++ b/components/execution/src/table.rs
@@ -169,14 +169,14 @@
 
     /// Whether the task is so old that its record may have been removed.
     fn may_be_forgotten(&self, key: TaskKey) -> bool {
-        key.submission.made() < self.forgotten_before
+        key.submission.created_at() < self.forgotten_before
     }
 
     /// Removes the tasks whose retention ended, except running ones. Afterwards unknown tasks of
     /// submissions made before `forgotten_before` are reported as forgotten.
     pub fn expire(&mut self, forgotten_before: Time, now: Time) {
         self.forgotten_before = self.forgotten_before.max(forgotten_before);
-        for key in self.expiry.due(now) {
+        for key in self.expiry.take_expired(now) {
             match self.records.get(&key).map(|record| &record.state) {
                 Some(TaskState::Running) => self.expiry.insert(key, now),
                 _ => self.forget(key),
--- a/components/model/src/cancelled.rs
+++ b/components/model/src/cancelled.rs
@@ -15,7 +15,7 @@
 
 impl CancelledJobs {
     /// A job is cancelled.
-    pub fn add(&mut self, now: Time, id: &JobId) {
+    pub fn insert(&mut self, now: Time, id: &JobId) {
         self.0.insert(id.clone(), now + KEPT);
     }
 
@@ -25,7 +25,7 @@
     }
 
     /// Forgets what was cancelled long ago.
-    pub fn forget(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         self.0.retain(|_, until| *until > now);
     }
 }
--- a/components/model/src/expiry.rs
+++ b/components/model/src/expiry.rs
@@ -23,7 +23,7 @@
     }
 
     /// Takes out the keys that may be forgotten now.
-    pub fn due(&mut self, now: Time) -> Vec<K> {
+    pub fn take_expired(&mut self, now: Time) -> Vec<K> {
         let second = whole_seconds(now);
         let mut due = Vec::new();
         while let Some(first) = self.seconds.first_entry() {
@@ -48,8 +48,8 @@
     fn nothing_is_due_before_its_time() {
         let mut expiry = Expiry::default();
         expiry.insert('a', Time::from_millis(1_999));
-        assert!(expiry.due(Time::from_millis(2_999)).is_empty());
-        assert_eq!(expiry.due(Time::from_millis(3_000)), ['a']);
-        assert!(expiry.due(Time::from_millis(9_000)).is_empty());
+        assert!(expiry.take_expired(Time::from_millis(2_999)).is_empty());
+        assert_eq!(expiry.take_expired(Time::from_millis(3_000)), ['a']);
+        assert!(expiry.take_expired(Time::from_millis(9_000)).is_empty());
     }
 }
--- a/components/model/src/id.rs
+++ b/components/model/src/id.rs
@@ -12,7 +12,7 @@
 
 /// Why a text is no submission id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum InvalidSubmission {
+pub enum InvalidSubmissionId {
     /// Not a UUID at all.
     #[error("a submission id is a UUID")]
     NotUuid,
@@ -36,7 +36,7 @@
     }
 
     /// When the client says that it made the id, to the millisecond.
-    pub fn made(self) -> Time {
+    pub fn created_at(self) -> Time {
         let millis = (self.0.as_u128() >> 80) as u64;
         Time::from_millis(millis)
     }
@@ -48,13 +48,13 @@
 }
 
 impl FromStr for SubmissionId {
-    type Err = InvalidSubmission;
+    type Err = InvalidSubmissionId;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let uuid = Uuid::try_parse(text).map_err(|_| InvalidSubmission::NotUuid)?;
+        let uuid = Uuid::try_parse(text).map_err(|_| InvalidSubmissionId::NotUuid)?;
         match uuid.get_version() {
             Some(Version::SortRand) => Ok(Self(uuid)),
-            _ => Err(InvalidSubmission::NotVersion7),
+            _ => Err(InvalidSubmissionId::NotVersion7),
         }
     }
 }
@@ -141,14 +141,14 @@
     fn submission_keeps_its_time() {
         let made = Time::from_millis(1_764_000_000_123);
         let id = SubmissionId::from_parts(made, 0x1234_5678_9abc_def0_1234_5678_9abc_def0);
-        assert_eq!(id.made(), made);
+        assert_eq!(id.created_at(), made);
         assert_eq!(id.to_string().parse(), Ok(id));
     }
 
     #[test]
     fn other_versions_are_refused() {
         let version_4 = "6f1c3f6e-3d2a-4c1b-9a51-0d8f3c2b1a00";
-        assert_eq!(version_4.parse::<SubmissionId>(), Err(InvalidSubmission::NotVersion7));
-        assert_eq!("kiosk-17".parse::<SubmissionId>(), Err(InvalidSubmission::NotUuid));
+        assert_eq!(version_4.parse::<SubmissionId>(), Err(InvalidSubmissionId::NotVersion7));
+        assert_eq!("kiosk-17".parse::<SubmissionId>(), Err(InvalidSubmissionId::NotUuid));
     }
 }
--- a/components/model/src/lib.rs
+++ b/components/model/src/lib.rs
@@ -16,7 +16,7 @@
 pub use digest::Digest;
 pub use expiry::Expiry;
 pub use failure::{Code, Failure};
-pub use id::{Incarnation, InvalidSubmission, NodeName, NodeRef, SubmissionId, TaskKey};
+pub use id::{Incarnation, InvalidSubmissionId, NodeName, NodeRef, SubmissionId, TaskKey};
 pub use interner::{Interned, Interner};
 pub use job::{JobId, TaskId};
 pub use map::Map;
--- a/components/model/src/resources.rs
+++ b/components/model/src/resources.rs
@@ -23,7 +23,7 @@
     }
 
     /// What is left after taking an amount; nothing where it is larger.
-    pub fn less(&self, taken: &Self) -> Self {
+    pub fn saturating_sub(&self, taken: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_sub(taken.cpu_milli),
             memory_mb: self.memory_mb.saturating_sub(taken.memory_mb),
@@ -42,7 +42,7 @@
 
 impl SubAssign for Resources {
     fn sub_assign(&mut self, other: Self) {
-        *self = self.less(&other);
+        *self = self.saturating_sub(&other);
     }
 }
 
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -290,7 +290,7 @@
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
         self.end_timed_out_sessions(now, out);
         self.end_retired_sessions(now, out);
-        self.cancelled.forget(now);
+        self.cancelled.remove_expired(now);
         self.lost_runs.retain(|_, (_, until)| *until > now);
         self.crashed_tasks.retain(|_, until| *until > now);
         if let Some(target) = &mut self.target {
--- a/components/runner/src/sessions.rs
+++ b/components/runner/src/sessions.rs
@@ -175,7 +175,7 @@
     /// Ends the runs of a job that was cancelled at an entry, and forwards the cancellation to the
     /// other entries, one of which may own the job.
     fn cancel_job(&mut self, now: Time, from: SessionId, job: &JobId, out: &mut Vec<Action>) {
-        self.cancelled.add(now, job);
+        self.cancelled.insert(now, job);
         for task in self.tasks_of(job) {
             self.stop_run(now, &task, out);
         }
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -124,11 +124,11 @@
             return replay.outcomes.entry(id).or_default().push(outcome);
         }
         let took = self.now.since(asked);
-        let undisturbed = id.made().min(asked) >= self.calm_from + CALM_ENOUGH + CLOCK_SKEW;
+        let undisturbed = id.created_at().min(asked) >= self.calm_from + CALM_ENOUGH + CLOCK_SKEW;
         if undisturbed && took > deadline + OUTCOME_SLACK {
             self.checks.violation(self.now, format!("{id} was answered after {took:?}"));
         }
-        let id_is_new = asked.since(id.made()) < Duration::from_secs(1);
+        let id_is_new = asked.since(id.created_at()) < Duration::from_secs(1);
         let unlucky = matches!(reply, Err(failure) if matches!(
             failure.code,
             model::Code::TargetFailed | model::Code::TargetLost | model::Code::NoQuorum
