--- a/bench/src/changes.rs
+++ b/bench/src/changes.rs
@@ -5,7 +5,7 @@
 use clap::ArgMatches;
 use client::{ChangeOutcome, Operator};
 use settings::Edit;
-use telemetry::Latency;
+use telemetry::LatencyHistogram;
 use testbed::{Cluster, ClusterOptions};
 use wire::ChangeResult;
 
@@ -23,21 +23,21 @@
         let millis = |time: Duration| time.as_secs_f64() * 1e3;
         println!(
             "{keepers:<10} {changes:>8} {:>9.2} {:>9.2} {:>9.2}",
-            millis(latency.at(0.5)),
-            millis(latency.at(0.99)),
-            millis(latency.at(1.0)),
+            millis(latency.quantile(0.5)),
+            millis(latency.quantile(0.99)),
+            millis(latency.quantile(1.0)),
         );
         cluster.stop();
     }
     Ok(())
 }
 
-fn measure(cluster: &Cluster, changes: u64) -> Result<Latency, String> {
+fn measure(cluster: &Cluster, changes: u64) -> Result<LatencyHistogram, String> {
     let keepers = cluster.keeper_addresses();
     net::block_on(|tasks| async move {
         let operator = Operator::new(&keepers, &tasks);
         let mut version = operator.read().await.map_err(|error| error.to_string())?.version;
-        let mut latency = Latency::default();
+        let mut latency = LatencyHistogram::default();
         for number in 0..changes {
             let section = "booking".parse().map_err(|error| format!("{error}"))?;
             let value = (number + 1).to_string();
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -8,7 +8,7 @@
 use api::JobBody;
 use async_io::Timer;
 use client::{Caller, Outcome, new_submission};
-use telemetry::Latency;
+use telemetry::LatencyHistogram;
 
 /// Longest wait for one outcome.
 const OUTCOME_TIME: Duration = Duration::from_secs(20);
@@ -38,7 +38,7 @@
     /// Jobs that were not.
     pub failed: u64,
     /// Response times of the whole ones.
-    pub latency: Latency,
+    pub latency: LatencyHistogram,
 }
 
 /// Runs a load to its end.
@@ -50,7 +50,7 @@
         let done = thread.join().expect("callers do not panic");
         total.whole += done.whole;
         total.failed += done.failed;
-        total.latency.add(&done.latency);
+        total.latency.merge(&done.latency);
     }
     total
 }
@@ -72,7 +72,7 @@
         for done in futures::future::join_all(all).await {
             total.whole += done.whole;
             total.failed += done.failed;
-            total.latency.add(&done.latency);
+            total.latency.merge(&done.latency);
         }
         total
     })
--- a/bench/src/path.rs
+++ b/bench/src/path.rs
@@ -8,7 +8,7 @@
 use hyper::body::Bytes;
 use hyper::{HeaderMap, Method};
 use net::Client;
-use telemetry::Latency;
+use telemetry::LatencyHistogram;
 use testbed::{Cluster, ClusterOptions};
 
 use crate::load::{self, Done, Load};
@@ -66,13 +66,13 @@
 }
 
 /// Response times of a target asked directly, one request after the other.
-fn direct() -> Result<Latency, String> {
+fn direct() -> Result<LatencyHistogram, String> {
     let target =
         Target::start(ServiceTime::None, Behaviour::Answers).map_err(|error| error.to_string())?;
     let address: SocketAddr = target.address();
     Ok(net::block_on(|tasks| async move {
         let client = Client::new(address, tasks);
-        let mut latency = Latency::default();
+        let mut latency = LatencyHistogram::default();
         for _ in 0..DIRECT {
             let started = Instant::now();
             let body = Bytes::from_static(b"hold seat 1 of coach 7");
@@ -89,14 +89,14 @@
     time.as_secs_f64() * 1e3
 }
 
-fn print_latency(name: &str, latency: &Latency) {
-    let (p50, p99) = (millis(latency.at(0.5)), millis(latency.at(0.99)));
+fn print_latency(name: &str, latency: &LatencyHistogram) {
+    let (p50, p99) = (millis(latency.quantile(0.5)), millis(latency.quantile(0.99)));
     println!("{name:<34} {:>9} {:>9} {p50:>8.3} {p99:>8.3} {:>8}", "-", "-", 0);
 }
 
 fn print_done(name: &str, load: &Load, done: &Done) {
     let jobs = done.whole as f64 / load.time.as_secs_f64();
-    let (p50, p99) = (millis(done.latency.at(0.5)), millis(done.latency.at(0.99)));
+    let (p50, p99) = (millis(done.latency.quantile(0.5)), millis(done.latency.quantile(0.99)));
     let tasks = jobs * load.tasks as f64;
     println!("{name:<34} {jobs:>9.0} {tasks:>9.0} {p50:>8.3} {p99:>8.3} {:>8}", done.failed);
 }
--- a/bench/src/policy/report.rs
+++ b/bench/src/policy/report.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use plotters::prelude::*;
-use telemetry::Latency;
+use telemetry::LatencyHistogram;
 
 /// What one run measured.
 #[derive(Clone, Debug, Default)]
 pub struct Measured {
     /// Response over ideal; a ratio of 1 is stored as a second.
-    pub ratios: Latency,
+    pub ratios: LatencyHistogram,
     /// Jobs answered whole.
     pub whole: u64,
     /// Jobs that were not, after they were taken.
@@ -38,7 +38,7 @@
 
     /// A quantile of response over ideal.
     pub fn ratio(&self, quantile: f64) -> f64 {
-        self.ratios.at(quantile).as_secs_f64()
+        self.ratios.quantile(quantile).as_secs_f64()
     }
 
     fn per_task(&self, count: u64) -> f64 {
--- a/components/entry/src/claim_rounds.rs
+++ b/components/entry/src/claim_rounds.rs
@@ -4,7 +4,7 @@
 
 use claims::{Claim, ClaimRequest, RoundState, Vote};
 use model::{Code, Failure, NodeName, NodeRef, SubmissionId, Time, Verdict};
-use telemetry::{MessageKind, Step};
+use telemetry::{DecisionKind, MessageKind};
 use wire::{RelayReply, RelayRequest};
 
 use crate::gather::Gather;
@@ -111,7 +111,7 @@
         let message = "too few claim holders replied";
         let failure = Failure::new(Code::NoQuorum, Verdict::MayHaveRun, message);
         let reply = Err(failure.retry_after(RETRY_AFTER_MS));
-        self.log_decision(id, Step::Refuse { code: Code::NoQuorum }, Duration::ZERO, out);
+        self.log_decision(id, DecisionKind::Refuse { code: Code::NoQuorum }, Duration::ZERO, out);
         self.answer_waiters(id, &reply, out);
         if let Some(catalog) = &self.catalog {
             let until = Self::window(catalog.fleet()).kept_until(id);
@@ -139,7 +139,7 @@
         out: &mut Vec<Action>,
     ) {
         self.count_refusal(failure.code);
-        self.log_decision(id, Step::Refuse { code: failure.code }, Duration::ZERO, out);
+        self.log_decision(id, DecisionKind::Refuse { code: failure.code }, Duration::ZERO, out);
         let wait = failure.retry_after_ms.unwrap_or(0).max(REFUSAL_VALIDITY.as_millis() as u64);
         let failure = Failure { verdict: Verdict::NotRun, ..failure }.retry_after(wait);
         self.answer_waiters(id, &Err(failure.clone()), out);
@@ -183,7 +183,12 @@
             job.phase = Phase::Relaying { call, since: now };
         }
         self.counters.relayed += 1;
-        self.log_decision(id, Step::Relay { owner: claim.owner.name.clone() }, Duration::ZERO, out);
+        self.log_decision(
+            id,
+            DecisionKind::Relay { owner: claim.owner.name.clone() },
+            Duration::ZERO,
+            out,
+        );
         let request = RelayRequest::clone(&request);
         out.push(Action::Relay { call, owner: claim.owner.clone(), request });
     }
--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -6,7 +6,7 @@
 use claims::{HOLDERS, Member, View, Views, Window};
 use model::{Code, Map, NodeRef, SubmissionId, TaskKey, Time};
 use settings::{Catalog, Fleet};
-use telemetry::{Breach, Decision, EntryCounters, MessageKind, Step};
+use telemetry::{Breach, Decision, DecisionKind, EntryCounters, MessageKind};
 use wire::RelayReply;
 
 use crate::job::Job;
@@ -232,7 +232,7 @@
             Err(failure) => {
                 self.counters.failed += 1;
                 let code = failure.code;
-                self.log_decision(id, Step::Refuse { code }, Duration::ZERO, out);
+                self.log_decision(id, DecisionKind::Refuse { code }, Duration::ZERO, out);
             }
         }
         let Some(fleet) = self.catalog.as_ref().map(|catalog| catalog.fleet()) else { return };
@@ -267,7 +267,7 @@
         out: &mut Vec<Action>,
     ) {
         if let Err(failure) = reply {
-            self.log_decision(id, Step::Refuse { code: failure.code }, Duration::ZERO, out);
+            self.log_decision(id, DecisionKind::Refuse { code: failure.code }, Duration::ZERO, out);
         }
         self.answer_waiters(id, reply, out);
         self.table.remove(id);
@@ -277,7 +277,7 @@
     pub(crate) fn log_decision(
         &mut self,
         id: SubmissionId,
-        step: Step,
+        step: DecisionKind,
         estimate: Duration,
         out: &mut Vec<Action>,
     ) {
@@ -289,7 +289,7 @@
         &self,
         submission: SubmissionId,
         job: &Job,
-        step: Step,
+        step: DecisionKind,
         estimate: Duration,
     ) -> Decision {
         let service = job.kind.as_ref().and_then(|kind| self.services.get(&kind.service));
--- a/components/entry/src/placing.rs
+++ b/components/entry/src/placing.rs
@@ -6,7 +6,7 @@
 use model::{Code, Failure, NodeName, SubmissionId, TaskKey, Time, Verdict};
 use placement::TargetId;
 use settings::KindSettings;
-use telemetry::{Breach, MessageKind, Step};
+use telemetry::{Breach, DecisionKind, MessageKind};
 use wire::{StartReply, StartRequest, StartResult};
 
 use crate::gather::Sent;
@@ -144,7 +144,7 @@
         }
         self.count_sent(MessageKind::Start);
         out.push(Action::Start { agent: agent.clone(), connection, request });
-        let step = Step::Place { index: key.index, target: agent, idle };
+        let step = DecisionKind::Place { index: key.index, target: agent, idle };
         self.log_decision(key.submission, step, Duration::ZERO, out);
     }
 
@@ -274,7 +274,7 @@
     pub(crate) fn place_again(&mut self, now: Time, key: TaskKey, out: &mut Vec<Action>) {
         if self.requeue(key, true, out) {
             self.counters.placed_again += 1;
-            let step = Step::PlaceAgain { index: key.index, attempt: key.attempt + 1 };
+            let step = DecisionKind::PlaceAgain { index: key.index, attempt: key.attempt + 1 };
             self.log_decision(key.submission, step, Duration::ZERO, out);
             self.enqueue(now, key.submission, out);
         }
--- a/components/telemetry/src/decision.rs
+++ b/components/telemetry/src/decision.rs
@@ -10,7 +10,7 @@
 /// What was decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "step")]
-pub enum Step {
+pub enum DecisionKind {
     /// A task goes to a target.
     Place {
         /// The task's place in its submission.
@@ -51,7 +51,7 @@
     /// The service and kind.
     pub kind: Arc<str>,
     /// What was decided.
-    pub step: Step,
+    pub step: DecisionKind,
     /// Tasks waiting in the queue of the service.
     pub queue: usize,
     /// Estimated time to the answer.
@@ -62,14 +62,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {} team={} kind={} ", self.time, self.submission, self.team, self.kind)?;
         match &self.step {
-            Step::Place { index, target, idle } => {
+            DecisionKind::Place { index, target, idle } => {
                 write!(f, "place task={index} target={target} idle={idle}")?;
             }
-            Step::PlaceAgain { index, attempt } => {
+            DecisionKind::PlaceAgain { index, attempt } => {
                 write!(f, "place-again task={index} attempt={attempt}")?;
             }
-            Step::Refuse { code } => write!(f, "refuse why={code}")?,
-            Step::Relay { owner } => write!(f, "relay owner={owner}")?,
+            DecisionKind::Refuse { code } => write!(f, "refuse why={code}")?,
+            DecisionKind::Relay { owner } => write!(f, "relay owner={owner}")?,
         }
         write!(f, " queue={} estimate_ms={}", self.queue, self.estimate.as_millis())
     }
--- a/components/telemetry/src/latency.rs
+++ b/components/telemetry/src/latency.rs
@@ -1,4 +1,4 @@
-//! Latency histograms in microseconds.
+//! LatencyHistogram histograms in microseconds.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 /// A histogram of times with three significant digits.
 #[derive(Clone, Debug)]
-pub struct Latency {
+pub struct LatencyHistogram {
     histogram: Histogram<u64>,
 }
 
-impl Default for Latency {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         let histogram = Histogram::new_with_bounds(1, LONGEST, 3).expect("constant bounds");
         Self { histogram }
     }
 }
 
-impl Latency {
+impl LatencyHistogram {
     /// Adds a time; longer ones count as the longest.
     pub fn record(&mut self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(LONGEST);
@@ -28,7 +28,7 @@
     }
 
     /// The time below which a share of `quantile` (0 to 1) lies.
-    pub fn at(&self, quantile: f64) -> Duration {
+    pub fn quantile(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.histogram.value_at_quantile(quantile))
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Adds all times of another histogram.
-    pub fn add(&mut self, other: &Self) {
+    pub fn merge(&mut self, other: &Self) {
         self.histogram.add(&other.histogram).expect("same bounds");
     }
 }
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -10,6 +10,6 @@
 
 pub use breach::Breach;
 pub use counters::{AgentCounters, EntryCounters};
-pub use decision::{Decision, Step};
-pub use latency::Latency;
+pub use decision::{Decision, DecisionKind};
+pub use latency::LatencyHistogram;
 pub use messages::{MessageCounts, MessageKind};
--- a/daemon/src/capacity/entry_metrics.rs
+++ b/daemon/src/capacity/entry_metrics.rs
@@ -5,7 +5,7 @@
 
 use dispatch::{LogEvent, Outcome};
 use net::Phase;
-use telemetry::Latency;
+use telemetry::LatencyHistogram;
 
 use super::entry::Entry;
 use super::entry_log::outcome_and_reason;
@@ -15,11 +15,11 @@
 #[derive(Default)]
 pub(super) struct EntryMetrics {
     /// Time from submission to outcome of completed jobs, by queue.
-    completion_times: HashMap<String, Latency>,
+    completion_times: HashMap<String, LatencyHistogram>,
     /// Longest wait of a task for capacity, per job that was started.
-    wait_times: Latency,
+    wait_times: LatencyHistogram,
     /// Time from submission to refusal of jobs that did not run.
-    refusal_times: Latency,
+    refusal_times: LatencyHistogram,
     /// Outcomes by name and reason.
     outcomes: BTreeMap<(&'static str, &'static str), u64>,
     /// Responses by status.
@@ -56,9 +56,9 @@
         *self.statuses.entry(status).or_default() += 1;
     }
 
-    fn queue_latency(&mut self, queue: &str) -> &mut Latency {
+    fn queue_latency(&mut self, queue: &str) -> &mut LatencyHistogram {
         if !self.completion_times.contains_key(queue) {
-            self.completion_times.insert(queue.to_owned(), Latency::default());
+            self.completion_times.insert(queue.to_owned(), LatencyHistogram::default());
         }
         self.completion_times.get_mut(queue).expect("the queue's latency was inserted above")
     }
--- a/daemon/src/capacity/metrics.rs
+++ b/daemon/src/capacity/metrics.rs
@@ -10,7 +10,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use net::{Body, Limits, Tasks};
-use telemetry::Latency;
+use telemetry::LatencyHistogram;
 
 /// Limits for the connections of the monitoring system.
 const LIMITS: Limits = Limits {
@@ -33,9 +33,9 @@
     }
 
     /// Adds a latency as quantiles in seconds, with its count.
-    pub fn latency(&mut self, name: &str, label: &str, value: &str, latency: &Latency) {
+    pub fn latency(&mut self, name: &str, label: &str, value: &str, latency: &LatencyHistogram) {
         for quantile in QUANTILES {
-            let seconds = latency.at(quantile).as_secs_f64();
+            let seconds = latency.quantile(quantile).as_secs_f64();
             let _ = writeln!(
                 self.0,
                 "dockpass_{name}_seconds{{{label}=\"{value}\",quantile=\"{quantile}\"}} {seconds}"
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -9,7 +9,7 @@
 use client::{Caller, Outcome, new_submission};
 use fakes::ServiceTime;
 use indicatif::ProgressBar;
-use telemetry::{Latency, MessageCounts};
+use telemetry::{LatencyHistogram, MessageCounts};
 use testbed::{Cluster, ClusterOptions, JobFile, JobSpec};
 
 use super::submit::{OUTCOME_TIME, is_whole, submit};
@@ -123,10 +123,10 @@
     cluster.agent_counters().iter().for_each(|counters| messages += counters.messages);
     let tasks: usize = jobs.jobs.iter().map(|job| job.tasks.len()).sum();
     let per_task = |count: u64| count as f64 / tasks.max(1) as f64;
-    let mut ratios = Latency::default();
+    let mut ratios = LatencyHistogram::default();
     // The histogram counts in microseconds: a ratio of 1 is stored as a second.
     done.iter().for_each(|done| ratios.record(Duration::from_secs_f64(over_ideal(done))));
-    let at = |quantile| ratios.at(quantile).as_secs_f64();
+    let at = |quantile| ratios.quantile(quantile).as_secs_f64();
     let (sent, wasted) = (per_task(messages.total_sent()), per_task(messages.total_wasted()));
     if json {
         let line = serde_json::json!({
