--- a/components/explain/src/history.rs
+++ b/components/explain/src/history.rs
@@ -46,9 +46,9 @@
 
 impl History {
     /// Finds a request in lines of any order.
-    pub fn of(job: &str, all: Vec<Line>) -> Self {
+    pub fn for_job(job: &str, all: Vec<Line>) -> Self {
         let (mut lines, others): (Vec<Line>, Vec<Line>) =
-            all.into_iter().partition(|line| line.is_of(job));
+            all.into_iter().partition(|line| line.is_about_job(job));
         lines.sort_by(|a, b| a.time.total_cmp(&b.time));
         let (Some(first), Some(last)) = (lines.first(), lines.last()) else {
             return Self::default();
@@ -59,7 +59,7 @@
         let mut context: Vec<Line> = others
             .into_iter()
             .filter(|line| line.time >= from && line.time <= to)
-            .filter(|line| line.is_of_state() && EXPLAINING.contains(&line.event.as_str()))
+            .filter(|line| line.is_state_change() && EXPLAINING.contains(&line.event.as_str()))
             .filter(|line| nodes.contains(line.node.as_str()))
             .collect();
         context.sort_by(|a, b| a.time.total_cmp(&b.time));
--- a/components/explain/src/line.rs
+++ b/components/explain/src/line.rs
@@ -33,12 +33,12 @@
     }
 
     /// Whether it is about a request.
-    pub fn is_of(&self, job: &str) -> bool {
+    pub fn is_about_job(&self, job: &str) -> bool {
         self.fields.get(JOB).and_then(Value::as_str) == Some(job)
     }
 
     /// Whether it is about a change of state, and not about any request.
-    pub fn is_of_state(&self) -> bool {
+    pub fn is_state_change(&self) -> bool {
         !self.fields.contains_key(JOB)
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// The fields as `name=value`, without the request's id.
-    pub fn show_fields(&self) -> String {
+    pub fn fields_text(&self) -> String {
         let shown =
             self.fields.iter().filter(|(name, _)| *name != JOB).map(|(name, value)| match value {
                 Value::String(text) => format!("{name}={text}"),
--- a/components/explain/tests/history.rs
+++ b/components/explain/tests/history.rs
@@ -15,8 +15,8 @@
     );
     let line = Line::parse(&text).expect("it is a line");
     assert_eq!((line.time, line.node.as_str(), line.event.as_str()), (5.5, "e1", "placed"));
-    assert!(line.is_of(JOB) && !line.is_of_state());
-    assert_eq!(line.show_fields(), "run=1");
+    assert!(line.is_about_job(JOB) && !line.is_state_change());
+    assert_eq!(line.fields_text(), "run=1");
     for other in [
         "",
         "plain text",
@@ -35,7 +35,7 @@
         r#"{"time":10.00,"node":"e1","event":"admitted","job":"5c0e7a21d94b36f8"}"#,
         r#"{"time":10.05,"node":"e1","event":"admitted","job":"0000000000000001"}"#,
     ]);
-    let history = History::of(JOB, all);
+    let history = History::for_job(JOB, all);
     assert_eq!(history.lines.len(), 2);
     let verdict = history.verdict();
     assert_eq!(verdict.outcome, "not-run");
@@ -55,7 +55,7 @@
         r#"{"time":10.2,"node":"e1","event":"task-ended","job":"5c0e7a21d94b36f8","agent":"a2","end":"Failed"}"#,
         r#"{"time":10.2,"node":"e1","event":"answered","job":"5c0e7a21d94b36f8","outcome":"failed","reason":"attempts"}"#,
     ]);
-    let history = History::of(JOB, all);
+    let history = History::for_job(JOB, all);
     assert_eq!(history.verdict().cause, "a task failed as often as it may: a1, a2");
     assert_eq!(history.context.len(), 1, "only what its own nodes wrote");
     assert_eq!(history.merged()[2].event, "target-left-out");
@@ -69,7 +69,7 @@
         r#"{"time":10.4,"node":"a1","event":"session-lost","why":"closed","runs":1}"#,
         r#"{"time":10.5,"node":"a1","event":"run-ended","job":"5c0e7a21d94b36f8","end":"Stopped"}"#,
     ]);
-    let history = History::of(JOB, all);
+    let history = History::for_job(JOB, all);
     let verdict = history.verdict();
     assert_eq!(verdict.outcome, "unanswered");
     assert_eq!(verdict.cause, "e1 took it and wrote no answer: it ended or lost power");
@@ -83,8 +83,8 @@
         r#"{"time":9.9,"node":"e1","event":"agent-lost","agent":"a1","why":"silent"}"#,
         r#"{"time":11.5,"node":"e2","event":"completed","job":"5c0e7a21d94b36f8","outcome":"completed","reason":""}"#,
     ]);
-    assert_eq!(History::of(JOB, all.clone()).verdict().outcome, "completed");
-    let first = History::of(JOB, all[..2].to_vec());
+    assert_eq!(History::for_job(JOB, all.clone()).verdict().outcome, "completed");
+    let first = History::for_job(JOB, all[..2].to_vec());
     assert_eq!(first.verdict().cause, "the session with a1 died (silent)");
-    assert!(History::of("0000000000000001", all).is_empty());
+    assert!(History::for_job("0000000000000001", all).is_empty());
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -18,7 +18,7 @@
             fs::read(file).map_err(|error| CommandError::BadInput(format!("{file}: {error}")))?;
         lines.extend(String::from_utf8_lossy(&bytes).lines().filter_map(Line::parse));
     }
-    let history = History::of(job, lines);
+    let history = History::for_job(job, lines);
     if history.is_empty() {
         eprintln!("dockpass: no line names {job}: look for 'omitted' lines, and at more logs");
         return Ok(ExitCode::from(FAILED));
@@ -34,8 +34,8 @@
     let began = history.lines[0].time;
     for line in history.merged() {
         let after = (line.time - began) * 1e3;
-        let mark = if line.is_of_state() { "|" } else { " " };
-        say!("{after:+10.1} ms {mark} {:<24} {:<18} {}", line.node, line.event, line.show_fields());
+        let mark = if line.is_state_change() { "|" } else { " " };
+        say!("{after:+10.1} ms {mark} {:<24} {:<18} {}", line.node, line.event, line.fields_text());
     }
     let verdict = history.verdict();
     say!("{}: {}", verdict.outcome, verdict.cause);
