--- a/components/telemetry/src/breach.rs
+++ b/components/telemetry/src/breach.rs
@@ -1,41 +1,41 @@
-//! Breaches of what must always hold, found by checks inside the program.
+//! Invariant violations that the runtime checks report.
 
 use std::fmt;
 
 use model::{JobId, NodeRef, SubmissionId, TaskKey};
 use serde::{Deserialize, Serialize};
 
-/// A condition that must always hold and did not: a bug, or a clock beyond its bound.
+/// A violated invariant. The cause is a bug, or a clock that deviates by more than the allowed skew.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Breach {
-    /// Two owners started tasks of one submission.
+    /// Two entries started tasks of the same submission.
     TwoOwners {
         /// The task of the second start.
         key: TaskKey,
-        /// Who started it first.
+        /// The entry that started tasks first.
         first: NodeRef,
-        /// Who tried to start it as well.
+        /// The other entry that tried to start tasks.
         second: NodeRef,
     },
-    /// A task ended that was not running.
+    /// A task that was not running was reported as ended.
     EndedTwice(TaskKey),
-    /// A task that is not repeatable was about to start again without proof.
+    /// A non-repeatable task was about to be retried without proof that the previous attempt did not run.
     StartWithoutProof(TaskKey),
-    /// An answer was about to be given without the answer of every task.
+    /// A submission was about to be answered without the results of all tasks.
     PartialAnswer(SubmissionId),
-    /// "Not run" was about to be said of a submission with a started task.
+    /// A submission with a started task was about to be reported as not run.
     FalseNotRun(SubmissionId),
-    /// "Completed" was about to be said of a job with tasks that are not done.
+    /// A job with unfinished tasks was about to be reported as completed.
     PartialJob(JobId),
-    /// "Not run" was about to be said of a job that may have run.
+    /// A job that may have run was about to be reported as not run.
     FalseNotRunJob(JobId),
-    /// More tokens or tasks than slots.
+    /// Lent tokens and running tasks exceed the slots of the target.
     SlotsOverdrawn,
-    /// Settings of a lower version were about to be applied.
+    /// Settings older than the version in force were about to be applied.
     SettingsWentBack {
         /// The version in force.
         have: u64,
-        /// The lower one.
+        /// The older version.
         got: u64,
     },
 }
@@ -47,18 +47,30 @@
                 write!(f, "task {}/{} has two owners: {first}, {second}", key.submission, key.index)
             }
             Self::EndedTwice(key) => {
-                write!(f, "task {}/{} ended, but was not running", key.submission, key.index)
+                write!(f, "task {}/{} ended but was not running", key.submission, key.index)
             }
             Self::StartWithoutProof(key) => {
-                write!(f, "task {}/{} starts again without proof", key.submission, key.index)
+                write!(
+                    f,
+                    "task {}/{} is retried without proof that it did not run",
+                    key.submission, key.index
+                )
             }
-            Self::PartialAnswer(submission) => write!(f, "answer of {submission} is partial"),
-            Self::FalseNotRun(submission) => write!(f, "'not run' said of started {submission}"),
-            Self::PartialJob(job) => write!(f, "answer of job {job} is partial"),
-            Self::FalseNotRunJob(job) => write!(f, "'not run' said of started job {job}"),
-            Self::SlotsOverdrawn => write!(f, "more tokens or tasks than slots"),
+            Self::PartialAnswer(submission) => {
+                write!(f, "the answer of submission {submission} lacks task results")
+            }
+            Self::FalseNotRun(submission) => {
+                write!(f, "submission {submission} is reported as not run but has started")
+            }
+            Self::PartialJob(job) => {
+                write!(f, "job {job} is reported as completed but has unfinished tasks")
+            }
+            Self::FalseNotRunJob(job) => {
+                write!(f, "job {job} is reported as not run but may have run")
+            }
+            Self::SlotsOverdrawn => write!(f, "lent tokens and running tasks exceed the slots"),
             Self::SettingsWentBack { have, got } => {
-                write!(f, "settings version {got} after {have}")
+                write!(f, "settings version {got} is older than version {have} in force")
             }
         }
     }
--- a/components/telemetry/src/counters.rs
+++ b/components/telemetry/src/counters.rs
@@ -1,56 +1,56 @@
-//! What the roles count.
+//! Counters and gauges of the agent and entry roles.
 
 use serde::{Deserialize, Serialize};
 
 use crate::MessageCounts;
 
-/// An agent's counters since its start, and its present sizes.
+/// An agent's counters since process start, and its current table sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentCounters {
     /// Tasks started.
     pub started: u64,
     /// Tasks ended.
     pub ended: u64,
-    /// Starts refused with proof.
+    /// Starts refused with proof that the task did not run.
     pub refused: u64,
-    /// Starts of a task that was known already.
+    /// Starts of a task that the agent already knew.
     pub repeated: u64,
-    /// Frames refused: an older connection's, or meant for an earlier life.
+    /// Requests refused because they came over a replaced connection or were for an earlier incarnation.
     pub stale: u64,
-    /// Fates told.
+    /// Settle requests answered.
     pub settled: u64,
     /// Claims granted.
     pub claims_granted: u64,
-    /// Claims that came second.
+    /// Claims rejected because the agent holds an earlier claim.
     pub claims_held: u64,
-    /// Claims not voted on.
+    /// Claims on which the agent abstained.
     pub claims_silent: u64,
-    /// Breaches of what must always hold.
+    /// Invariant violations detected.
     pub breaches: u64,
-    /// Claims kept now.
+    /// Claims currently held.
     pub claims: u64,
-    /// Tasks in the start table now.
+    /// Tasks currently in the task table.
     pub tasks: u64,
-    /// Bytes of outcomes kept now.
+    /// Current size of the retained outcomes, in bytes.
     pub outcome_bytes: u64,
-    /// Tasks running now.
+    /// Tasks currently running.
     pub running: u64,
-    /// Messages sent.
+    /// Messages sent and wasted, by kind.
     pub messages: MessageCounts,
 }
 
-/// An entry's counters since its start, and its present sizes.
+/// An entry's counters since process start, and its current table sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryCounters {
     /// Submissions received.
     pub submitted: u64,
-    /// Submissions that joined a known job.
+    /// Submissions that joined a job already known to the entry.
     pub joined: u64,
-    /// Submissions handed to their owner.
+    /// Submissions forwarded to their owner.
     pub relayed: u64,
     /// Submissions refused before any task started.
     pub refused: u64,
-    /// Jobs answered whole.
+    /// Jobs answered with the result of every task.
     pub completed: u64,
     /// Jobs that failed.
     pub failed: u64,
@@ -58,32 +58,32 @@
     pub placed: u64,
     /// Tasks placed again after proof that they did not run.
     pub placed_again: u64,
-    /// Repeatable requests sent again without proof.
+    /// Tasks of repeatable requests retried without proof that they did not run.
     pub retried: u64,
-    /// Answers that came after their job had its outcome, or twice.
+    /// Replies and task results received twice, or after the request or job had ended.
     pub late: u64,
-    /// Fates asked for.
+    /// Settle requests sent.
     pub settles: u64,
     /// Claim rounds won.
     pub claims_won: u64,
-    /// Claim rounds that another entry was first in.
+    /// Claim rounds lost to another entry.
     pub claims_lost: u64,
-    /// Claim rounds without a quorum.
+    /// Claim rounds that ended without a quorum.
     pub claims_undecided: u64,
-    /// Kept answers dropped for memory.
+    /// Retained answers evicted to limit memory.
     pub answers_dropped: u64,
-    /// Breaches of what must always hold.
+    /// Invariant violations detected.
     pub breaches: u64,
-    /// Jobs without an outcome now.
+    /// Jobs currently without an outcome.
     pub active: u64,
-    /// Outcomes kept now.
+    /// Outcomes currently retained.
     pub kept: u64,
-    /// Bytes of outcomes kept now.
+    /// Current size of the retained outcomes, in bytes.
     pub kept_bytes: u64,
-    /// Tasks waiting for a slot now.
+    /// Tasks currently waiting for a slot.
     pub queued: u64,
-    /// Idle tokens held now.
+    /// Idle tokens currently held.
     pub idle: u64,
-    /// Messages sent.
+    /// Messages sent and wasted, by kind.
     pub messages: MessageCounts,
 }
--- a/components/telemetry/src/decision.rs
+++ b/components/telemetry/src/decision.rs
@@ -1,4 +1,4 @@
-//! One line for each routing or placement decision.
+//! Log records of routing and placement decisions.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,54 +7,54 @@
 use model::{Code, NodeName, SubmissionId, Time};
 use serde::{Deserialize, Serialize};
 
-/// What was decided.
+/// The kind of a decision, with its result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "step")]
 pub enum DecisionKind {
-    /// A task goes to a target.
+    /// A task was assigned to a target.
     Place {
-        /// The task's place in its submission.
+        /// Index of the task in its submission.
         index: u32,
-        /// The target's agent.
+        /// The agent of the target.
         target: NodeName,
-        /// Tokens that were idle in the target's hall and elsewhere.
+        /// Idle tokens that were available in all halls.
         idle: u32,
     },
-    /// A task is placed again.
+    /// A task will be placed again.
     PlaceAgain {
-        /// The task's place in its submission.
+        /// Index of the task in its submission.
         index: u32,
-        /// Which try this is, from 1.
+        /// Number of the new attempt; the first placement is attempt 0.
         attempt: u32,
     },
-    /// A request is refused or given up.
+    /// A request was refused or abandoned.
     Refuse {
-        /// Why.
+        /// The failure code.
         code: Code,
     },
-    /// A submission is handed to the entry that owns it.
+    /// A submission was forwarded to the entry that owns it.
     Relay {
-        /// The owner.
+        /// The owning entry.
         owner: NodeName,
     },
 }
 
-/// A decision with what it was based on.
+/// A decision and the inputs that it was based on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// When.
+    /// Time of the decision.
     pub time: Time,
-    /// The submission.
+    /// The id of the submission.
     pub submission: SubmissionId,
-    /// The team.
+    /// The team that made the request.
     pub team: Arc<str>,
-    /// The service and kind.
+    /// The service and kind of the request.
     pub kind: Arc<str>,
-    /// What was decided.
+    /// The decision.
     pub step: DecisionKind,
-    /// Tasks waiting in the queue of the service.
+    /// Number of tasks waiting in the queue of the service.
     pub queue: usize,
-    /// Estimated time to the answer.
+    /// Estimated time until the answer is complete.
     pub estimate: Duration,
 }
 
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the roles report of themselves: counters, message accounts, breaches and decisions.
+//! Telemetry of the roles: counters, message counts, latency histograms, invariant violations and scheduling decisions.
 //!
-//! All of it is plain data that the decision libraries fill; writing it to logs is the daemon's.
+//! The types are plain data without I/O; the daemon exports them to logs and metrics.
 
 mod breach;
 mod counters;
--- a/components/telemetry/src/messages.rs
+++ b/components/telemetry/src/messages.rs
@@ -1,34 +1,34 @@
-//! Messages counted at their sender, and which of them did no useful work.
+//! Counts of sent messages by kind, including those that were wasted.
 
 use std::ops::AddAssign;
 
 use serde::{Deserialize, Serialize};
 
-/// The kinds of messages between dockpass's processes. A call and its answer are two messages.
+/// The kind of a message between processes. A request and its reply count as two messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// Opening a session.
+    /// A request to open a session, or its reply.
     Hello,
-    /// A claim or its answer.
+    /// A claim on a submission, or its reply.
     Claim,
-    /// A start or its answer.
+    /// A request to start a task, or its reply.
     Start,
-    /// A settle or its answer.
+    /// A request for the result of a start, or its reply.
     Settle,
-    /// A token exchange or its answer.
+    /// A token exchange, or its reply.
     Sync,
-    /// A submission handed between entries, or its answer.
+    /// A submission forwarded between entries, or its reply.
     Relay,
-    /// A pull of settings or its answer.
+    /// A request for settings, or its reply.
     Pull,
-    /// A probe of the failure detector, or its answer.
+    /// A probe of the failure detector, or its reply.
     Probe,
 }
 
 const KINDS: usize = 8;
 
 impl MessageKind {
-    /// Every kind, in the order of the counts.
+    /// All kinds, in the order of the variants.
     pub const ALL: [Self; KINDS] = [
         Self::Hello,
         Self::Claim,
@@ -40,7 +40,7 @@
         Self::Probe,
     ];
 
-    /// The kind's name in reports.
+    /// The name of the kind in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Hello => "hello",
@@ -55,7 +55,7 @@
     }
 }
 
-/// Messages sent, by kind, and how many of them were wasted.
+/// Sent and wasted messages by kind. A message is wasted if it did not contribute to an outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageCounts {
     sent: [u64; KINDS],
@@ -63,32 +63,32 @@
 }
 
 impl MessageCounts {
-    /// Counts a message sent.
+    /// Counts a sent message.
     pub fn sent(&mut self, kind: MessageKind) {
         self.sent[kind as usize] += 1;
     }
 
-    /// Counts messages, sent before, as wasted.
+    /// Counts messages that were sent earlier as wasted.
     pub fn wasted(&mut self, kind: MessageKind, count: u64) {
         self.wasted[kind as usize] += count;
     }
 
-    /// Messages sent of a kind.
+    /// The number of sent messages of a kind.
     pub fn sent_of(&self, kind: MessageKind) -> u64 {
         self.sent[kind as usize]
     }
 
-    /// Wasted messages of a kind.
+    /// The number of wasted messages of a kind.
     pub fn wasted_of(&self, kind: MessageKind) -> u64 {
         self.wasted[kind as usize]
     }
 
-    /// All messages sent.
+    /// The number of sent messages of all kinds.
     pub fn total_sent(&self) -> u64 {
         self.sent.iter().sum()
     }
 
-    /// All wasted messages.
+    /// The number of wasted messages of all kinds.
     pub fn total_wasted(&self) -> u64 {
         self.wasted.iter().sum()
     }
@@ -108,7 +108,7 @@
     use super::*;
 
     #[test]
-    fn kinds_index_their_own_counts() {
+    fn each_kind_has_its_own_count() {
         let mut counts = MessageCounts::default();
         for (times, kind) in MessageKind::ALL.into_iter().enumerate() {
             (0..times).for_each(|_| counts.sent(kind));
