--- a/components/explain/src/history.rs
+++ b/components/explain/src/history.rs
@@ -28,7 +28,7 @@
 
 /// What became of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct Explanation {
     /// The answer, as the entry's log names it; "unanswered" where there is none.
     pub outcome: String,
     /// Why, in a sentence.
@@ -79,11 +79,11 @@
     }
 
     /// What became of the request, by its last answer.
-    pub fn verdict(&self) -> Verdict {
+    pub fn explanation(&self) -> Explanation {
         let is_answer =
             |line: &&Line| ["answered", "completed", "refused"].contains(&line.event.as_str());
         let Some(answer) = self.lines.iter().rev().find(is_answer) else {
-            return Verdict { outcome: "unanswered".to_owned(), cause: self.unanswered() };
+            return Explanation { outcome: "unanswered".to_owned(), cause: self.unanswered() };
         };
         let outcome = match answer.text("outcome") {
             "" => "not-run",
@@ -93,7 +93,7 @@
             "" => "every task was done".to_owned(),
             reason => self.cause(reason, answer),
         };
-        Verdict { outcome: outcome.to_owned(), cause }
+        Explanation { outcome: outcome.to_owned(), cause }
     }
 
     fn unanswered(&self) -> String {
--- a/components/explain/src/lib.rs
+++ b/components/explain/src/lib.rs
@@ -3,5 +3,5 @@
 mod history;
 mod line;
 
-pub use history::{History, Verdict};
+pub use history::{Explanation, History};
 pub use line::Line;
--- a/components/explain/tests/history.rs
+++ b/components/explain/tests/history.rs
@@ -37,7 +37,7 @@
     ]);
     let history = History::for_job(JOB, all);
     assert_eq!(history.lines.len(), 2);
-    let verdict = history.verdict();
+    let verdict = history.explanation();
     assert_eq!(verdict.outcome, "not-run");
     assert_eq!(
         verdict.cause,
@@ -56,7 +56,7 @@
         r#"{"time":10.2,"node":"e1","event":"answered","job":"5c0e7a21d94b36f8","outcome":"failed","reason":"attempts"}"#,
     ]);
     let history = History::for_job(JOB, all);
-    assert_eq!(history.verdict().cause, "a task failed as often as it may: a1, a2");
+    assert_eq!(history.explanation().cause, "a task failed as often as it may: a1, a2");
     assert_eq!(history.context.len(), 1, "only what its own nodes wrote");
     assert_eq!(history.merged()[2].event, "target-left-out");
 }
@@ -70,7 +70,7 @@
         r#"{"time":10.5,"node":"a1","event":"run-ended","job":"5c0e7a21d94b36f8","end":"Stopped"}"#,
     ]);
     let history = History::for_job(JOB, all);
-    let verdict = history.verdict();
+    let verdict = history.explanation();
     assert_eq!(verdict.outcome, "unanswered");
     assert_eq!(verdict.cause, "e1 took it and wrote no answer: it ended or lost power");
     assert_eq!(history.context[0].event, "session-lost");
@@ -83,8 +83,8 @@
         r#"{"time":9.9,"node":"e1","event":"agent-lost","agent":"a1","why":"silent"}"#,
         r#"{"time":11.5,"node":"e2","event":"completed","job":"5c0e7a21d94b36f8","outcome":"completed","reason":""}"#,
     ]);
-    assert_eq!(History::for_job(JOB, all.clone()).verdict().outcome, "completed");
+    assert_eq!(History::for_job(JOB, all.clone()).explanation().outcome, "completed");
     let first = History::for_job(JOB, all[..2].to_vec());
-    assert_eq!(first.verdict().cause, "the session with a1 died (silent)");
+    assert_eq!(first.explanation().cause, "the session with a1 died (silent)");
     assert!(History::for_job("0000000000000001", all).is_empty());
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -37,12 +37,12 @@
         let mark = if line.is_state_change() { "|" } else { " " };
         say!("{after:+10.1} ms {mark} {:<24} {:<18} {}", line.node, line.event, line.fields_text());
     }
-    let verdict = history.verdict();
+    let verdict = history.explanation();
     say!("{}: {}", verdict.outcome, verdict.cause);
 }
 
 fn print_json(history: &History) {
-    let verdict = history.verdict();
+    let verdict = history.explanation();
     let lines: Vec<_> = history
         .merged()
         .into_iter()
