--- a/components/explain/src/lib.rs
+++ b/components/explain/src/lib.rs
@@ -1,4 +1,4 @@
-//! Follows one request through the logs of several processes, to the decision that ended it.
+//! Reconstructs the history of a job from the logs of several processes, and explains its outcome.
 
 mod history;
 mod line;
--- a/components/explain/tests/history.rs
+++ b/components/explain/tests/history.rs
@@ -1,4 +1,4 @@
-//! Requests followed through lines of several processes.
+//! Histories of jobs, reconstructed from the log lines of several processes.
 
 use explain::{History, Line};
 
@@ -9,11 +9,11 @@
 }
 
 #[test]
-fn lines_are_found_behind_any_prefix_and_other_text_is_left() {
+fn lines_are_parsed_after_a_prefix_and_other_text_is_ignored() {
     let text = format!(
         "  0.78 front-1 {{\"time\":5.5,\"node\":\"e1\",\"event\":\"placed\",\"job\":\"{JOB}\",\"run\":1}}"
     );
-    let line = Line::parse(&text).expect("it is a line");
+    let line = Line::parse(&text).expect("a log line");
     assert_eq!((line.time, line.node.as_str(), line.event.as_str()), (5.5, "e1", "placed"));
     assert!(line.is_about_job(JOB) && !line.is_state_change());
     assert_eq!(line.fields_text(), "run=1");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_refused_request_leads_to_what_was_known_of_the_targets() {
+fn a_refused_job_is_explained_by_the_state_of_the_targets() {
     let all = lines(&[
         r#"{"time":10.09,"node":"e1","event":"answered","job":"5c0e7a21d94b36f8","outcome":"not-run","reason":"no-room","open":11,"most_free":"450m/32128MB/0gpu","waiting":28}"#,
         r#"{"time":10.00,"node":"e1","event":"admitted","job":"5c0e7a21d94b36f8"}"#,
@@ -37,16 +37,16 @@
     ]);
     let history = History::for_job(JOB, all);
     assert_eq!(history.lines.len(), 2);
-    let verdict = history.explanation();
-    assert_eq!(verdict.outcome, "not-run");
+    let explanation = history.explanation();
+    assert_eq!(explanation.outcome, "not-run");
     assert_eq!(
-        verdict.cause,
-        "no target had room in time: 11 open, the freest had 450m/32128MB/0gpu, 28 tasks waited"
+        explanation.cause,
+        "no target had free capacity in time: 11 targets open, most free 450m/32128MB/0gpu, 28 tasks waiting"
     );
 }
 
 #[test]
-fn a_failed_request_leads_to_the_agents_where_its_task_failed() {
+fn a_failed_job_is_explained_by_the_agents_at_which_its_task_failed() {
     let all = lines(&[
         r#"{"time":10.0,"node":"e1","event":"admitted","job":"5c0e7a21d94b36f8"}"#,
         r#"{"time":10.1,"node":"e1","event":"task-ended","job":"5c0e7a21d94b36f8","agent":"a1","end":"Failed"}"#,
@@ -56,13 +56,13 @@
         r#"{"time":10.2,"node":"e1","event":"answered","job":"5c0e7a21d94b36f8","outcome":"failed","reason":"attempts"}"#,
     ]);
     let history = History::for_job(JOB, all);
-    assert_eq!(history.explanation().cause, "a task failed as often as it may: a1, a2");
-    assert_eq!(history.context.len(), 1, "only what its own nodes wrote");
+    assert_eq!(history.explanation().cause, "a task failed too often: a1, a2");
+    assert_eq!(history.context.len(), 1, "only nodes involved in the job count as context");
     assert_eq!(history.merged()[2].event, "target-left-out");
 }
 
 #[test]
-fn a_request_lost_with_its_entry_is_said_to_be_so() {
+fn a_job_without_an_answer_is_explained_by_the_end_of_its_entry() {
     let all = lines(&[
         r#"{"time":10.0,"node":"e1","event":"admitted","job":"5c0e7a21d94b36f8"}"#,
         r#"{"time":10.1,"node":"e1","event":"placed","job":"5c0e7a21d94b36f8","agent":"a1"}"#,
@@ -70,14 +70,14 @@
         r#"{"time":10.5,"node":"a1","event":"run-ended","job":"5c0e7a21d94b36f8","end":"Stopped"}"#,
     ]);
     let history = History::for_job(JOB, all);
-    let verdict = history.explanation();
-    assert_eq!(verdict.outcome, "unanswered");
-    assert_eq!(verdict.cause, "e1 took it and wrote no answer: it ended or lost power");
+    let explanation = history.explanation();
+    assert_eq!(explanation.outcome, "unanswered");
+    assert_eq!(explanation.cause, "e1 admitted the job, then stopped without logging an answer");
     assert_eq!(history.context[0].event, "session-lost");
 }
 
 #[test]
-fn the_last_answer_counts_and_an_unknown_request_is_empty() {
+fn the_last_answer_decides_and_an_unknown_job_has_no_history() {
     let all = lines(&[
         r#"{"time":10.0,"node":"e1","event":"answered","job":"5c0e7a21d94b36f8","outcome":"may-have-run","reason":"agent-lost"}"#,
         r#"{"time":9.9,"node":"e1","event":"agent-lost","agent":"a1","why":"silent"}"#,
@@ -85,6 +85,6 @@
     ]);
     assert_eq!(History::for_job(JOB, all.clone()).explanation().outcome, "completed");
     let first = History::for_job(JOB, all[..2].to_vec());
-    assert_eq!(first.explanation().cause, "the session with a1 died (silent)");
+    assert_eq!(first.explanation().cause, "the session with a1 was lost (silent)");
     assert!(History::for_job("0000000000000001", all).is_empty());
 }
