--- a/components/telemetry/src/breach.rs
+++ b/components/telemetry/src/breach.rs
@@ -56,18 +56,10 @@
                     key.submission, key.index
                 )
             }
-            Self::PartialAnswer(submission) => {
-                write!(f, "the answer of submission {submission} lacks task results")
-            }
-            Self::FalseNotRun(submission) => {
-                write!(f, "submission {submission} is reported as not run but has started")
-            }
-            Self::PartialJob(job) => {
-                write!(f, "job {job} is reported as completed but has unfinished tasks")
-            }
-            Self::FalseNotRunJob(job) => {
-                write!(f, "job {job} is reported as not run but may have run")
-            }
+            Self::PartialAnswer(submission) => write!(f, "answer to {submission} is incomplete"),
+            Self::FalseNotRun(submission) => write!(f, "started {submission} reported 'not run'"),
+            Self::PartialJob(job) => write!(f, "unfinished job {job} reported 'completed'"),
+            Self::FalseNotRunJob(job) => write!(f, "started job {job} reported 'not run'"),
             Self::SlotsOverdrawn => write!(f, "lent tokens and running tasks exceed the slots"),
             Self::SettingsWentBack { have, got } => {
                 write!(f, "settings version {got} is older than version {have} in force")
