--- a/components/model/src/expiry.rs
+++ b/components/model/src/expiry.rs
@@ -17,7 +17,7 @@
 }
 
 impl<K> Expiry<K> {
-    /// Schedules a key to expire after `until`, rounded up to a whole second.
+    /// Schedules a key to expire between one and two seconds after `until`.
     pub fn insert(&mut self, key: K, until: Time) {
         self.seconds.entry(whole_seconds(until) + 1).or_default().push(key);
     }
@@ -45,7 +45,7 @@
     use super::*;
 
     #[test]
-    fn keys_expire_after_the_second_of_their_expiry_time() {
+    fn keys_expire_only_after_the_scheduled_time() {
         let mut expiry = Expiry::default();
         expiry.insert('a', Time::from_millis(1_999));
         assert!(expiry.take_expired(Time::from_millis(2_999)).is_empty());
