--- a/components/client/src/operator_client.rs
+++ b/components/client/src/operator_client.rs
@@ -10,7 +10,7 @@
 use settings::{Edit, SettingsError, Tree};
 use thiserror::Error;
 use uuid::Uuid;
-use wire::{ChangeRequest, ChangeResult, EmptiedHalls, HallOrder};
+use wire::{ChangeRequest, ChangeResult, EmptiedHalls, HallCommand};
 
 use crate::RequestError;
 use crate::entry_client::parse_body;
@@ -126,7 +126,7 @@
 
     /// Sends a command for a hall, with retries until the outcome is known. Commands are
     /// idempotent.
-    pub async fn send_hall_command(&self, command: &HallOrder) -> HallOutcome {
+    pub async fn send_hall_command(&self, command: &HallCommand) -> HallOutcome {
         let action = if command.takes_work { "refill" } else { "empty" };
         let path = format!("/v1/halls/{}/{action}", command.hall);
         let outcome = self.post_until_known(&path, &[], hall_outcome).await;
--- a/components/dispatch/src/agents.rs
+++ b/components/dispatch/src/agents.rs
@@ -54,8 +54,10 @@
     pub fn free(&self, now: Time) -> Resources {
         let age = now.since(self.last_contact).as_secs_f64() * 1e3;
         let taken_by_others = (age * f64::from(self.load.taken_per_ms)) as u64;
-        let mut free =
-            self.load.free.less(&Resources { cpu_milli: taken_by_others, ..Resources::default() });
+        let mut free = self
+            .load
+            .free
+            .saturating_sub(&Resources { cpu_milli: taken_by_others, ..Resources::default() });
         self.unacknowledged.iter().for_each(|(_, taken)| free -= *taken);
         free
     }
@@ -72,7 +74,11 @@
     pub fn update_load(&mut self, now: Time, load: Load) {
         self.last_contact = now;
         self.load = load;
-        while self.unacknowledged.front().is_some_and(|(sequence, _)| *sequence <= load.seen) {
+        while self
+            .unacknowledged
+            .front()
+            .is_some_and(|(sequence, _)| *sequence <= load.last_start_sequence)
+        {
             self.unacknowledged.pop_front();
         }
     }
@@ -173,7 +179,7 @@
                 silent.push(*id);
             } else if now.since(agent.last_heartbeat) >= agent.heartbeat_interval(&self.timing) {
                 agent.last_heartbeat = now;
-                out.push(Action::Send(*id, ToAgent::Heartbeat { heard: agent.load.at }));
+                out.push(Action::Send(*id, ToAgent::Heartbeat { agent_clock: agent.load.at }));
             }
         }
         silent.into_iter().for_each(|id| self.remove_agent(id, "silent", out));
--- a/components/dispatch/src/placement.rs
+++ b/components/dispatch/src/placement.rs
@@ -214,9 +214,9 @@
             let (Some(agent), Some(known)) = (self.agents.get(&id), self.jobs.get(&job)) else {
                 continue;
             };
-            let heard = agent.load.at;
+            let agent_clock = agent.load.at;
             let spec = known.request.spec.clone();
-            out.push(Action::Send(id, ToAgent::Start { heard, job, spec, tasks }));
+            out.push(Action::Send(id, ToAgent::Start { agent_clock, job, spec, tasks }));
             self.record_heartbeat_sent(now, id);
         }
     }
@@ -311,7 +311,7 @@
     median_slowdown: f64,
     policy: Policy,
 ) -> f64 {
-    let free = free.less(&request.shape.resources);
+    let free = free.saturating_sub(&request.shape.resources);
     let capacity = agent.capacity().cpu_milli.max(1);
     let mut score = free.cpu_milli as f64 / capacity as f64;
     let fills =
--- a/components/model/src/lib.rs
+++ b/components/model/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, time and the verdict shared by every role.
+//! Data types shared by all roles: identifiers, time, resources, failures and verdicts.
 
 mod cancelled;
 mod digest;
@@ -16,7 +16,7 @@
 pub use digest::Digest;
 pub use expiry::Expiry;
 pub use failure::{Code, Failure};
-pub use id::{Incarnation, InvalidSubmission, NodeName, NodeRef, SubmissionId, TaskKey};
+pub use id::{Incarnation, InvalidSubmissionId, NodeName, NodeRef, SubmissionId, TaskKey};
 pub use interner::{Interned, Interner};
 pub use job::{JobId, TaskId};
 pub use map::Map;
--- a/components/runner/src/sessions.rs
+++ b/components/runner/src/sessions.rs
@@ -88,8 +88,8 @@
         session.last_received = now;
         match message {
             ToAgent::Heartbeat { .. } => {}
-            ToAgent::Start { heard, job, spec, tasks } => {
-                let late = now.since(heard) > self.timing.max_start_age;
+            ToAgent::Start { agent_clock, job, spec, tasks } => {
+                let late = now.since(agent_clock) > self.timing.max_start_age;
                 for task in tasks {
                     self.request_start(now, id, &job, &spec, task, late);
                 }
@@ -175,7 +175,7 @@
     /// Ends the runs of a job that was cancelled at an entry, and forwards the cancellation to the
     /// other entries, one of which may own the job.
     fn cancel_job(&mut self, now: Time, from: SessionId, job: &JobId, out: &mut Vec<Action>) {
-        self.cancelled.add(now, job);
+        self.cancelled.insert(now, job);
         for task in self.tasks_of(job) {
             self.stop_run(now, &task, out);
         }
--- a/components/telemetry/src/decision.rs
+++ b/components/telemetry/src/decision.rs
@@ -1,4 +1,4 @@
-//! One line for each routing or placement decision.
+//! Log records of routing and placement decisions.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,54 +7,54 @@
 use model::{Code, NodeName, SubmissionId, Time};
 use serde::{Deserialize, Serialize};
 
-/// What was decided.
+/// The kind of a decision, with its result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "step")]
-pub enum Step {
-    /// A task goes to a target.
+pub enum DecisionKind {
+    /// A task was assigned to a target.
     Place {
-        /// The task's place in its submission.
+        /// Index of the task in its submission.
         index: u32,
-        /// The target's agent.
+        /// The agent of the target.
         target: NodeName,
-        /// Tokens that were idle in the target's hall and elsewhere.
+        /// Idle tokens that were available in all halls.
         idle: u32,
     },
-    /// A task is placed again.
+    /// A task will be placed again.
     PlaceAgain {
-        /// The task's place in its submission.
+        /// Index of the task in its submission.
         index: u32,
-        /// Which try this is, from 1.
+        /// Number of the new attempt; the first placement is attempt 0.
         attempt: u32,
     },
-    /// A request is refused or given up.
+    /// A request was refused or abandoned.
     Refuse {
-        /// Why.
+        /// The failure code.
         code: Code,
     },
-    /// A submission is handed to the entry that owns it.
+    /// A submission was forwarded to the entry that owns it.
     Relay {
-        /// The owner.
+        /// The owning entry.
         owner: NodeName,
     },
 }
 
-/// A decision with what it was based on.
+/// A decision and the inputs that it was based on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// When.
+    /// Time of the decision.
     pub time: Time,
-    /// The submission.
+    /// The id of the submission.
     pub submission: SubmissionId,
-    /// The team.
+    /// The team that made the request.
     pub team: Arc<str>,
-    /// The service and kind.
+    /// The service and kind of the request.
     pub kind: Arc<str>,
-    /// What was decided.
-    pub step: Step,
-    /// Tasks waiting in the queue of the service.
+    /// The decision.
+    pub step: DecisionKind,
+    /// Number of tasks waiting in the queue of the service.
     pub queue: usize,
-    /// Estimated time to the answer.
+    /// Estimated time until the answer is complete.
     pub estimate: Duration,
 }
 
@@ -62,14 +62,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {} team={} kind={} ", self.time, self.submission, self.team, self.kind)?;
         match &self.step {
-            Step::Place { index, target, idle } => {
+            DecisionKind::Place { index, target, idle } => {
                 write!(f, "place task={index} target={target} idle={idle}")?;
             }
-            Step::PlaceAgain { index, attempt } => {
+            DecisionKind::PlaceAgain { index, attempt } => {
                 write!(f, "place-again task={index} attempt={attempt}")?;
             }
-            Step::Refuse { code } => write!(f, "refuse why={code}")?,
-            Step::Relay { owner } => write!(f, "relay owner={owner}")?,
+            DecisionKind::Refuse { code } => write!(f, "refuse why={code}")?,
+            DecisionKind::Relay { owner } => write!(f, "relay owner={owner}")?,
         }
         write!(f, " queue={} estimate_ms={}", self.queue, self.estimate.as_millis())
     }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Messages between dockpass's own processes, and the tarpc services that carry them.
+//! Messages between the processes of dockpass, and the tarpc services that carry them.
 //!
-//! Every message is a plain typed value, so that tests and traces use the same ones as the daemon.
+//! Messages are plain data types that simulations and traces share with the daemon. They are encoded by position, so
+//! the order of fields and variants is part of the protocol.
 
-// The service macro makes items that it does not document.
+// `tarpc::service` generates undocumented public items.
 #![allow(missing_docs)]
 
 mod agent;
@@ -19,13 +20,13 @@
 };
 pub use document::{Document, DocumentPart, PART_BYTES_MAX, PartRequest};
 pub use entry::{EntryService, EntryServiceClient, RelayReply, RelayRequest};
-pub use halls::{BadHallName, EmptiedHalls, HallName, HallOrder};
+pub use halls::{EmptiedHalls, HallCommand, HallName, InvalidHallName};
 pub use keeper::{
     ChangeRequest, ChangeResult, KeeperService, KeeperServiceClient, PeerMessage, PullReply,
     PullRequest,
 };
 pub use registry::{
-    KeeperIsUp, KeeperNames, ListChange, ListNews, NodeInfo, NodeList, NodeRole, WatchReply,
-    WatchRequest,
+    KeeperNames, KeeperStarted, NodeInfo, NodeList, NodeListDelta, NodeListUpdate, NodeRole,
+    WatchReply, WatchRequest,
 };
 pub use session::{AgentProfile, Load, Refusal, StartTask, TaskEnd, TaskReport, ToAgent, ToEntry};
--- a/daemon/src/keeper_role/driver.rs
+++ b/daemon/src/keeper_role/driver.rs
@@ -49,7 +49,7 @@
     /// Read the current document.
     ReadDocument,
     /// Empty or refill a hall.
-    HallCommand(wire::HallOrder),
+    HallCommand(wire::HallCommand),
     /// Read which halls are emptied.
     ReadHalls,
     /// Register a node and wait for changes.
--- a/daemon/src/keeper_role/listen.rs
+++ b/daemon/src/keeper_role/listen.rs
@@ -15,13 +15,13 @@
 use keeper::Reply;
 use model::NodeName;
 use net::{Body, BodyError, Connections, Limits, Spawner};
-use platform::OperatorCall;
+use platform::OperatorRequest;
 use serde::Serialize;
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel};
 use wire::{
-    BadHallName, ChangeRequest, ChangeResult, DocumentPart, HallOrder, KeeperService, PartRequest,
-    PeerMessage, PullReply, PullRequest, WatchReply, WatchRequest,
+    ChangeRequest, ChangeResult, DocumentPart, HallCommand, InvalidHallName, KeeperService,
+    PartRequest, PeerMessage, PullReply, PullRequest, WatchReply, WatchRequest,
 };
 
 use super::driver::{Input, KeeperRequest};
@@ -193,7 +193,7 @@
     let input_sender = &context.input_sender;
     let (head, body) = request.into_parts();
     if context.capacity_scheduling
-        && let Some(call) = OperatorCall::read(&head.method, head.uri.path())
+        && let Some(call) = OperatorRequest::parse(&head.method, head.uri.path())
     {
         return handle_platform_call(context, call, head.uri.path(), body).await;
     }
@@ -242,7 +242,7 @@
         Ok(hall) => reply_response(
             submit(
                 &context.input_sender,
-                KeeperRequest::HallCommand(HallOrder { hall, takes_work }),
+                KeeperRequest::HallCommand(HallCommand { hall, takes_work }),
             )
             .await,
         ),
@@ -250,7 +250,7 @@
     }
 }
 
-fn invalid_hall_response(error: BadHallName) -> Response<Body> {
+fn invalid_hall_response(error: InvalidHallName) -> Response<Body> {
     error_response(400, "bad-hall", &error.to_string())
 }
 
@@ -258,19 +258,19 @@
 /// answer.
 async fn handle_platform_call(
     context: &OperatorContext,
-    call: OperatorCall,
+    call: OperatorRequest,
     path: &str,
     body: Result<Bytes, BodyError>,
 ) -> Response<Body> {
     let request = match (call, body) {
-        (OperatorCall::Fetch, _) => KeeperRequest::ReadDocument,
-        (OperatorCall::OrderHall(Ok(command)), _) => KeeperRequest::HallCommand(command),
-        (OperatorCall::OrderHall(Err(error)), _) => return invalid_hall_response(error),
-        (OperatorCall::Replace, Ok(body)) => match platform::read_document(&body) {
+        (OperatorRequest::FetchConfig, _) => KeeperRequest::ReadDocument,
+        (OperatorRequest::CommandHall(Ok(command)), _) => KeeperRequest::HallCommand(command),
+        (OperatorRequest::CommandHall(Err(error)), _) => return invalid_hall_response(error),
+        (OperatorRequest::ReplaceConfig, Ok(body)) => match platform::parse_document(&body) {
             Ok(document) => KeeperRequest::ReplaceDocument(document),
             Err(error) => return error_response(400, "invalid", &error.to_string()),
         },
-        (OperatorCall::Replace, Err(error)) => {
+        (OperatorRequest::ReplaceConfig, Err(error)) => {
             let status = if error == BodyError::TooLong { 413 } else { 400 };
             return error_response(status, "bad-body", &error.to_string());
         }
--- a/daemon/src/keeper_role/roster.rs
+++ b/daemon/src/keeper_role/roster.rs
@@ -10,7 +10,7 @@
 use async_channel::Receiver;
 use async_io::Async;
 use keeper::{RosterWork, StoredNode};
-use wire::KeeperIsUp;
+use wire::KeeperStarted;
 
 use super::log_lines;
 use crate::event_log::EventLog;
@@ -61,7 +61,7 @@
 /// Notifies hosts that this keeper is up. The roster repeats the notice to hosts that do not
 /// respond.
 async fn notify_hosts(socket: &Async<UdpSocket>, own_address: SocketAddr, hosts: &[IpAddr]) {
-    let message = bincode::serialize(&KeeperIsUp { keeper: own_address }).expect("an address");
+    let message = bincode::serialize(&KeeperStarted { keeper: own_address }).expect("an address");
     for host in hosts {
         let address = SocketAddr::new(*host, own_address.port());
         // The host may be down or not listening yet.
--- a/daemon/tests/room.rs
+++ b/daemon/tests/room.rs
@@ -40,7 +40,7 @@
     assert_eq!(ask("POST", "/q/0000000000000002", &"x".repeat(20_000)).status, 413);
     let kept = ask("POST", "/q/0000000000000002", "{\"steps\":[{\"count\":1}]}");
     assert_eq!(kept.status, 503);
-    assert!(kept.body.contains("kept"), "{kept:?}");
+    assert!(kept.body.contains("durable jobs"), "{kept:?}");
     assert_eq!(ask("GET", "/q/", "").body, "{\"waiting\":0}");
     assert_eq!(ask("GET", "/q/0000000000000001", "").status, 410);
 
