--- a/soak/src/keepers/checks.rs
+++ b/soak/src/keepers/checks.rs
@@ -19,7 +19,7 @@
     /// Reads answered.
     pub reads: u64,
     /// Versions that came into force at a node.
-    pub spread: u64,
+    pub settings_received: u64,
     /// Elections won.
     pub elections: u64,
     /// Disks lost.
@@ -31,7 +31,7 @@
     /// Faults that happened.
     pub faults: u64,
     /// Orders for halls that were acknowledged.
-    pub hall_orders: u64,
+    pub hall_commands: u64,
     /// Keepers that were moved to another host,
     pub moves: u64,
     /// and of these such as came back with the disk that they had.
@@ -47,13 +47,13 @@
         self.refused += other.refused;
         self.unknown += other.unknown;
         self.reads += other.reads;
-        self.spread += other.spread;
+        self.settings_received += other.settings_received;
         self.elections += other.elections;
         self.disks_lost += other.disks_lost;
         self.power_losses += other.power_losses;
         self.full_disks += other.full_disks;
         self.faults += other.faults;
-        self.hall_orders += other.hall_orders;
+        self.hall_commands += other.hall_commands;
         self.moves += other.moves;
         self.repaired += other.repaired;
         self.wiped_twice += other.wiped_twice;
@@ -74,7 +74,7 @@
     /// Changes that an operator was told of before.
     resent: HashSet<String>,
     /// The highest version that an operator was told of, or that was read.
-    newest_told: u64,
+    newest_reported: u64,
 }
 
 impl KeeperChecks {
@@ -83,7 +83,7 @@
     }
 
     /// A replica won an election: one a term.
-    pub fn leads(&mut self, time: Time, name: &str, term: u64) {
+    pub fn leader_elected(&mut self, time: Time, name: &str, term: u64) {
         self.summary.elections += 1;
         let first = self.leaders.entry(term).or_insert_with(|| name.to_owned()).clone();
         if first != name {
@@ -92,7 +92,7 @@
     }
 
     /// A tree was seen in a version: a version has one tree.
-    pub fn seen(&mut self, time: Time, version: u64, tree: &Tree) {
+    pub fn version_seen(&mut self, time: Time, version: u64, tree: &Tree) {
         let first = self.trees.entry(version).or_insert_with(|| tree.clone());
         if first != tree {
             self.violation(time, format!("version {version} has two trees"));
@@ -100,22 +100,22 @@
     }
 
     /// The newest version that anyone was told of up to now.
-    pub fn newest_told(&self) -> u64 {
-        self.newest_told
+    pub fn newest_reported(&self) -> u64 {
+        self.newest_reported
     }
 
     /// An operator read a version; `newest` was told to someone before it asked.
-    pub fn read(&mut self, time: Time, version: u64, tree: &Tree, newest: u64) {
+    pub fn version_read(&mut self, time: Time, version: u64, tree: &Tree, newest: u64) {
         self.summary.reads += 1;
-        self.seen(time, version, tree);
+        self.version_seen(time, version, tree);
         if version < newest {
             self.violation(time, format!("read version {version} after {newest} was told"));
         }
-        self.newest_told = self.newest_told.max(version);
+        self.newest_reported = self.newest_reported.max(version);
     }
 
     /// An operator was told that its change is accepted; `newest` was told before it first asked.
-    pub fn accepted(&mut self, time: Time, change: &str, version: u64, newest: u64) {
+    pub fn change_accepted(&mut self, time: Time, change: &str, version: u64, newest: u64) {
         self.summary.accepted += 1;
         let first = *self.accepted.entry(change.to_owned()).or_insert(version);
         if first != version {
@@ -131,11 +131,11 @@
             self.violation(time, description);
         }
         self.resent.insert(change.to_owned());
-        self.newest_told = self.newest_told.max(version);
+        self.newest_reported = self.newest_reported.max(version);
     }
 
     /// An operator was told that its change is refused.
-    pub fn refused(&mut self, time: Time, change: &str) {
+    pub fn change_refused(&mut self, time: Time, change: &str) {
         self.summary.refused += 1;
         if self.accepted.contains_key(change) {
             self.violation(time, format!("change {change} was accepted, then refused"));
--- a/soak/src/keepers/disks.rs
+++ b/soak/src/keepers/disks.rs
@@ -5,13 +5,13 @@
 use model::{NodeName, Time};
 use rand::Rng;
 
-use super::world::KeeperWorld;
+use super::simulation::KeeperSimulation;
 
 /// Most records of a batch that a loss of power leaves.
-const MOST_TORN: usize = 3;
+const MAX_TORN_RECORDS: usize = 3;
 
 /// One keeper with its disk.
-pub(crate) struct Disked {
+pub(crate) struct KeeperNode {
     pub name: NodeName,
     pub keeper: Option<Keeper>,
     pub disk: Vec<Record>,
@@ -21,12 +21,12 @@
     /// The disk takes nothing more.
     pub full: bool,
     /// What it has refused in this life.
-    pub refused: Vec<Action>,
+    pub refused_actions: Vec<Action>,
     /// It was moved to another host, and does not start here.
-    pub gone: bool,
+    pub removed: bool,
 }
 
-impl Disked {
+impl KeeperNode {
     /// One that has not started yet.
     pub fn new(name: NodeName, disk: Vec<Record>, now: Time) -> Self {
         Self {
@@ -37,13 +37,13 @@
             cut_off: false,
             tick_at: None,
             full: false,
-            refused: Vec::new(),
-            gone: false,
+            refused_actions: Vec::new(),
+            removed: false,
         }
     }
 
     /// Whether its disk holds all that it acknowledged.
-    pub fn holds_all(&self) -> bool {
+    pub fn holds_acknowledged(&self) -> bool {
         let states = self.disk.iter().rev().filter_map(|record| match record {
             Record::Blank(blank) => Some(!blank),
             _ => None,
@@ -52,7 +52,7 @@
     }
 
     /// The last entry on its disk.
-    pub fn last_entry(&self) -> u64 {
+    pub fn last_entry_index(&self) -> u64 {
         let entries = self.disk.iter().rev().find_map(|record| match record {
             Record::Append(entries) => entries.last().map(|entry| entry.index),
             Record::Snapshot(snapshot) => Some(snapshot.index),
@@ -66,7 +66,7 @@
     matches!(action, Action::Store(_) | Action::Rewrite(_))
 }
 
-impl KeeperWorld {
+impl KeeperSimulation {
     /// Stores what is to be stored; returns what the keeper does then, or instead where its disk is full.
     pub fn store_or_refuse(&mut self, number: usize, actions: Vec<Action>) -> Vec<Action> {
         if self.keepers[number].full && actions.iter().any(is_store) {
@@ -78,16 +78,16 @@
 
     /// Empties a dead keeper's disk.
     pub fn lose_disk(&mut self, number: usize) {
-        self.keepers[number].disk = self.arrangement.empty_disk();
+        self.keepers[number].disk = self.topology.empty_disk();
         self.checks.summary.disks_lost += 1;
     }
 
     /// Ends a keeper while it stores what the next message to it leads to: of that, some of the first
     /// records are on its disk, and nothing that was to follow is done.
-    pub fn die_while_storing(&mut self, number: usize) {
+    pub fn crash_while_storing(&mut self, number: usize) {
         let now = self.now;
         let message = self.next_message(number);
-        let kept = self.rng.random_range(0..=MOST_TORN);
+        let kept = self.rng.random_range(0..=MAX_TORN_RECORDS);
         let keeper = &mut self.keepers[number];
         let Some(mut machine) = keeper.keeper.take() else { return };
         let Some(event) = message else { return };
@@ -118,11 +118,12 @@
         let now = self.now;
         let keeper = &mut self.keepers[number];
         let Some(machine) = &mut keeper.keeper else { return Vec::new() };
-        if !keeper.refused.is_empty() {
+        if !keeper.refused_actions.is_empty() {
             self.checks.violation(now, "a keeper stores on a disk that it knows to be full");
             return Vec::new();
         }
-        keeper.refused = actions.iter().filter(|action| is_store(action)).cloned().collect();
+        keeper.refused_actions =
+            actions.iter().filter(|action| is_store(action)).cloned().collect();
         let mut instead = Vec::new();
         machine.disk_is_full(now, actions, &mut instead);
         self.checks.summary.full_disks += 1;
@@ -130,8 +131,8 @@
     }
 
     /// A disk has room: what it has refused is stored.
-    pub fn make_room(&mut self, number: usize) {
-        let refused = std::mem::take(&mut self.keepers[number].refused);
+    pub fn free_disk(&mut self, number: usize) {
+        let refused = std::mem::take(&mut self.keepers[number].refused_actions);
         self.keepers[number].full = false;
         let Some(machine) = &mut self.keepers[number].keeper else { return };
         machine.disk_is_writable();
--- a/soak/src/keepers/mod.rs
+++ b/soak/src/keepers/mod.rs
@@ -14,7 +14,7 @@
 mod moves;
 mod nodes;
 mod operators;
-mod world;
+mod simulation;
 
 pub use checks::KeeperSummary;
-pub use world::run_keepers;
+pub use simulation::run_keepers;
--- a/soak/src/keepers/moves.rs
+++ b/soak/src/keepers/moves.rs
@@ -12,102 +12,102 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::disks::Disked;
-use super::world::{Happening, KeeperWorld};
+use super::disks::KeeperNode;
+use super::simulation::{KeeperSimulation, SimEvent};
 
 /// Told apart from the seed of everything else.
-const STREAM: u64 = 0x0d0e_5a11_f0e5;
+const RNG_STREAM: u64 = 0x0d0e_5a11_f0e5;
 /// Longest time from one move to the next.
-const PAUSE: Duration = Duration::from_secs(6);
+const MAX_PAUSE: Duration = Duration::from_secs(6);
 /// Longest time until the keeper starts that was put in another's place.
-const LONGEST_AWAY: Duration = Duration::from_secs(4);
+const MAX_DOWNTIME: Duration = Duration::from_secs(4);
 /// How many of 100 moved keepers come back from repair, and after how long.
-const REPAIRED: u32 = 40;
-const REPAIR: (Duration, Duration) = (Duration::from_secs(3), Duration::from_secs(12));
+const REPAIRED_PERCENT: u32 = 40;
+const REPAIR_TIME: (Duration, Duration) = (Duration::from_secs(3), Duration::from_secs(12));
 /// How many of 100 moves are a disk that is lost twice instead, and how soon after its first return.
-const WIPED_TWICE: u32 = 25;
-const WIPED_AGAIN: Duration = Duration::from_millis(800);
+const WIPED_TWICE_PERCENT: u32 = 25;
+const MAX_SECOND_WIPE_DELAY: Duration = Duration::from_millis(800);
 
 /// The moves of a run.
 #[derive(Debug)]
-pub(crate) struct Moves {
+pub(crate) struct KeeperMoves {
     rng: ChaCha8Rng,
 }
 
-impl Moves {
-    fn within(&mut self, longest: Duration) -> Duration {
+impl KeeperMoves {
+    fn random_duration(&mut self, longest: Duration) -> Duration {
         Duration::from_micros(self.rng.random_range(0..=longest.as_micros() as u64))
     }
 }
 
-impl KeeperWorld {
+impl KeeperSimulation {
     /// Plans the first move, in runs whose members change.
     pub(super) fn set_up_moves(&mut self, seed: u64) {
-        if !self.arrangement.members_change {
+        if !self.topology.membership_changes {
             return;
         }
-        let mut moves = Moves { rng: ChaCha8Rng::seed_from_u64(seed ^ STREAM) };
-        let first = moves.within(PAUSE);
+        let mut moves = KeeperMoves { rng: ChaCha8Rng::seed_from_u64(seed ^ RNG_STREAM) };
+        let first = moves.random_duration(MAX_PAUSE);
         self.moves = Some(moves);
-        self.after(first, Happening::Move);
+        self.schedule_after(first, SimEvent::MoveKeeper);
     }
 
     /// Moves a keeper, or wipes one twice, where the cluster bears that; plans the next.
-    pub(super) fn move_any(&mut self) {
-        if self.now >= self.calm_from {
+    pub(super) fn move_random_keeper(&mut self) {
+        if self.now >= self.calm_start {
             return;
         }
         let Some(moves) = &mut self.moves else { return };
-        let next = moves.within(PAUSE);
-        let twice = moves.rng.random_ratio(WIPED_TWICE, 100);
-        let there: Vec<usize> =
-            (0..self.keepers.len()).filter(|number| !self.keepers[*number].gone).collect();
-        let number = there[moves.rng.random_range(0..there.len())];
-        self.after(next, Happening::Move);
-        if self.now < self.faults_from || self.losses_left(&[number]) == 0 {
+        let next = moves.random_duration(MAX_PAUSE);
+        let wipes_twice = moves.rng.random_ratio(WIPED_TWICE_PERCENT, 100);
+        let present: Vec<usize> =
+            (0..self.keepers.len()).filter(|number| !self.keepers[*number].removed).collect();
+        let number = present[moves.rng.random_range(0..present.len())];
+        self.schedule_after(next, SimEvent::MoveKeeper);
+        if self.now < self.faults_start || self.tolerable_losses(&[number]) == 0 {
             return;
         }
-        match twice {
+        match wipes_twice {
             true => self.wipe_twice(number),
-            false => self.move_to_another_host(number),
+            false => self.replace_keeper(number),
         }
     }
 
-    fn move_to_another_host(&mut self, number: usize) {
+    fn replace_keeper(&mut self, number: usize) {
         let Some(moves) = &mut self.moves else { return };
-        let away = moves.within(LONGEST_AWAY);
-        let repaired = moves.rng.random_ratio(REPAIRED, 100);
-        let repair = REPAIR.0 + moves.within(REPAIR.1 - REPAIR.0);
+        let downtime = moves.random_duration(MAX_DOWNTIME);
+        let is_repaired = moves.rng.random_ratio(REPAIRED_PERCENT, 100);
+        let repair = REPAIR_TIME.0 + moves.random_duration(REPAIR_TIME.1 - REPAIR_TIME.0);
         self.keepers[number].keeper = None;
-        self.keepers[number].gone = true;
-        if repaired {
-            self.after(repair, Happening::Repaired(number));
+        self.keepers[number].removed = true;
+        if is_repaired {
+            self.schedule_after(repair, SimEvent::ReturnKeeper(number));
         }
         let name = NodeName::new(&format!("k{}", self.keepers.len()));
-        self.keepers.push(Disked::new(name, self.arrangement.empty_disk(), self.now));
-        self.after(away, Happening::KeeperStarts(self.keepers.len() - 1));
+        self.keepers.push(KeeperNode::new(name, self.topology.empty_disk(), self.now));
+        self.schedule_after(downtime, SimEvent::StartKeeper(self.keepers.len() - 1));
         self.checks.summary.moves += 1;
-        self.name_keepers();
+        self.update_contacts();
     }
 
     /// A keeper is back that was moved, with the disk that it had.
-    pub(super) fn repaired(&mut self, number: usize) {
-        self.keepers[number].gone = false;
+    pub(super) fn return_keeper(&mut self, number: usize) {
+        self.keepers[number].removed = false;
         self.checks.summary.repaired += 1;
         self.start_keeper(number);
     }
 
     fn wipe_twice(&mut self, number: usize) {
         let Some(moves) = &mut self.moves else { return };
-        let again = moves.within(WIPED_AGAIN);
+        let delay = moves.random_duration(MAX_SECOND_WIPE_DELAY);
         self.wipe(number);
         self.start_keeper(number);
-        self.after(again, Happening::WipedAgain(number));
+        self.schedule_after(delay, SimEvent::WipeAgain(number));
     }
 
     /// A keeper whose disk was lost loses the new one, however much of it was written, where the others still bear that.
-    pub(super) fn wiped_again(&mut self, number: usize) {
-        if self.keepers[number].gone || self.losses_left(&[number]) == 0 {
+    pub(super) fn wipe_again(&mut self, number: usize) {
+        if self.keepers[number].removed || self.tolerable_losses(&[number]) == 0 {
             return;
         }
         self.wipe(number);
@@ -121,36 +121,39 @@
     }
 
     /// The settings of all living keepers name those that there are, in any order.
-    fn name_keepers(&mut self) {
+    fn update_contacts(&mut self) {
         let names = self.present();
         let Some(moves) = &mut self.moves else { return };
-        let mut named = names;
-        named.shuffle(&mut moves.rng);
-        named.truncate(self.arrangement.voters);
-        self.contacts = named;
+        let mut contacts = names;
+        contacts.shuffle(&mut moves.rng);
+        contacts.truncate(self.topology.voters);
+        self.contacts = contacts;
         for keeper in self.keepers.iter_mut().filter_map(|keeper| keeper.keeper.as_mut()) {
             keeper.set_contacts(self.contacts.clone());
         }
     }
 
     fn present(&self) -> Vec<NodeName> {
-        let there = self.keepers.iter().filter(|keeper| !keeper.gone);
-        there.map(|keeper| keeper.name.clone()).collect()
+        let present = self.keepers.iter().filter(|keeper| !keeper.removed);
+        present.map(|keeper| keeper.name.clone()).collect()
     }
 
     /// How many of those that are gone may still vote: all that the leader has not had removed by a majority. One that
     /// only the leader has removed votes again where that entry is lost with the leader's disk.
-    pub(super) fn gone_voters(&self, now: Time) -> usize {
+    pub(super) fn removed_voters(&self, now: Time) -> usize {
         let living = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
         let leader =
             living.map(|keeper| keeper.replica()).find(|replica| replica.is_confirmed_leader(now));
-        let gone = self.keepers.iter().filter(|keeper| keeper.gone);
-        gone.filter(|keeper| !leader.is_some_and(|leader| self.have_removed(leader, &keeper.name)))
+        let removed = self.keepers.iter().filter(|keeper| keeper.removed);
+        removed
+            .filter(|keeper| {
+                !leader.is_some_and(|leader| self.majority_removed(leader, &keeper.name))
+            })
             .count()
     }
 
     /// Whether a leader and a majority of its voters no longer count a keeper among them.
-    fn have_removed(&self, leader: &Replica, name: &NodeName) -> bool {
+    fn majority_removed(&self, leader: &Replica, name: &NodeName) -> bool {
         let voters = leader.voters();
         let voting = self.keepers.iter().filter(|keeper| voters.contains(&keeper.name));
         let living = voting.filter_map(|keeper| keeper.keeper.as_ref());
--- a/soak/src/keepers/nodes.rs
+++ b/soak/src/keepers/nodes.rs
@@ -8,68 +8,68 @@
 use settings::Tree;
 use wire::{PullReply, PullRequest};
 
-use super::operators::Asker;
-use super::world::{Happening, KeeperWorld};
+use super::operators::Requester;
+use super::simulation::{KeeperSimulation, SimEvent};
 
 /// A node's settings.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeState {
-    life: u64,
-    have: Option<(u64, Tree)>,
+    incarnation: u64,
+    settings: Option<(u64, Tree)>,
     /// The keeper that it asks.
     keeper: usize,
 }
 
 impl NodeState {
     pub fn version(&self) -> Option<u64> {
-        self.have.as_ref().map(|(version, _)| *version)
+        self.settings.as_ref().map(|(version, _)| *version)
     }
 }
 
-impl KeeperWorld {
+impl KeeperSimulation {
     /// A node asks for newer settings.
     pub fn pull(&mut self, number: usize) {
         let node = &self.nodes[number];
-        let (keeper, life) = (node.keeper, node.life);
+        let (keeper, incarnation) = (node.keeper, node.incarnation);
         let request = PullRequest { node: NodeName::new("n"), have: node.version() };
-        let asker = Asker::Pull { node: number, life };
-        self.ask(keeper, asker, |ticket| Event::Pull(ticket, request));
+        let requester = Requester::Pull { node: number, incarnation };
+        self.send_request(keeper, requester, |call_id| Event::Pull(call_id, request));
     }
 
     /// A node starts anew, without settings.
-    pub fn node_starts(&mut self, number: usize) {
+    pub fn restart_node(&mut self, number: usize) {
         let node = &mut self.nodes[number];
-        node.life += 1;
-        node.have = None;
+        node.incarnation += 1;
+        node.settings = None;
         self.pull(number);
     }
 
     /// A node got a reply to its pull, or will get none.
-    pub fn pulled(&mut self, number: usize, life: u64, reply: Option<Reply>) {
-        if self.nodes[number].life != life {
+    pub fn deliver_pull_reply(&mut self, number: usize, incarnation: u64, reply: Option<Reply>) {
+        if self.nodes[number].incarnation != incarnation {
             return;
         }
-        let taken = match reply {
-            Some(Reply::Pull(reply)) => self.take_settings(number, reply),
+        let is_useful = match reply {
+            Some(Reply::Pull(reply)) => self.apply_settings(number, reply),
             _ => false,
         };
-        if !taken {
+        if !is_useful {
             // As a node's link does: the next one.
             let next = (self.nodes[number].keeper + 1) % self.keepers.len();
             self.nodes[number].keeper = next;
         }
-        let restarts = self.now < self.calm_from && self.rng.random_bool(0.01);
+        let restarts = self.now < self.calm_start && self.rng.random_bool(0.01);
         if restarts {
-            let away = self.within(Duration::from_secs(8));
-            return self.after(away, Happening::NodeStarts(number));
+            let downtime = self.random_duration(Duration::from_secs(8));
+            return self.schedule_after(downtime, SimEvent::RestartNode(number));
         }
-        let pause = if taken { Duration::from_millis(1) } else { Duration::from_millis(200) };
-        self.after(pause, Happening::Pull(number));
+        let pause = if is_useful { Duration::from_millis(1) } else { Duration::from_millis(200) };
+        self.schedule_after(pause, SimEvent::Pull(number));
     }
 
     /// Takes settings as a node's link does; false where the reply is of no use.
-    fn take_settings(&mut self, number: usize, reply: PullReply) -> bool {
-        let have = self.nodes[number].have.clone();
+    fn apply_settings(&mut self, number: usize, reply: PullReply) -> bool {
+        let have = self.nodes[number].settings.clone();
         let (version, tree) = match reply {
             PullReply::Unsure { .. } => return false,
             PullReply::Current => return true,
@@ -88,9 +88,9 @@
             self.checks.violation(self.now, format!("node {number} was given an older version"));
             return false;
         }
-        self.checks.seen(self.now, version, &tree);
-        self.checks.summary.spread += 1;
-        self.nodes[number].have = Some((version, tree));
+        self.checks.version_seen(self.now, version, &tree);
+        self.checks.summary.settings_received += 1;
+        self.nodes[number].settings = Some((version, tree));
         true
     }
 }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -32,9 +32,9 @@
     /// Makes the run.
     pub seed: u64,
     /// How long faults happen.
-    pub faulty: Duration,
+    pub fault_period: Duration,
     /// How long the run goes on without faults, until everything has to work again.
-    pub calm: Duration,
+    pub calm_period: Duration,
     /// Operators empty and refill halls; only runs of room and of keepers have that.
     pub halls: bool,
     /// Operators move keepers to other hosts; only runs of keepers have that.
@@ -51,8 +51,8 @@
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
-            faulty: Duration::from_secs(25),
-            calm: Duration::from_secs(15),
+            fault_period: Duration::from_secs(25),
+            calm_period: Duration::from_secs(15),
             halls: false,
             moves: false,
             unstable_targets: false,
@@ -193,8 +193,8 @@
         Self {
             rng,
             now: START,
-            calm_from: START + options.faulty,
-            end: START + options.faulty + options.calm,
+            calm_from: START + options.fault_period,
+            end: START + options.fault_period + options.calm_period,
             entries: (0..entries).map(entry_node).collect(),
             agents: (0..agents).map(agent_node).collect(),
             network: Network::default(),
@@ -214,7 +214,8 @@
     /// The world of a trace: nothing is left to chance.
     pub fn for_script(script: &Script, frame_time: Duration) -> Self {
         let time = Duration::from_millis(script.end_ms);
-        let options = Options { faulty: time, calm: Duration::ZERO, ..Options::new(0) };
+        let options =
+            Options { fault_period: time, calm_period: Duration::ZERO, ..Options::new(0) };
         let behaviour =
             Behaviour { delay: frame_time, doubled: 0.0, overtaking: 0.0, late_after_break: 0.0 };
         let size = Size {
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -63,7 +63,7 @@
     assert!(total.accepted > 2_000 && total.refused > 500, "{total:?}");
     assert!(total.elections > 400 && total.disks_lost > 100, "{total:?}");
     assert!(total.power_losses > 100 && total.full_disks > 200, "{total:?}");
-    assert!(total.spread > 2_000 && total.reads > 2_000, "{total:?}");
+    assert!(total.settings_received > 2_000 && total.reads > 2_000, "{total:?}");
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let runner = |options| run_keepers(&Options { halls: true, ..options });
     let total = run_all(HALL_SEEDS, runner, KeeperSummary::add);
     // The runs have to reach what they are for.
-    assert!(total.hall_orders > 1_500 && total.power_losses > 150, "{total:?}");
+    assert!(total.hall_commands > 1_500 && total.power_losses > 150, "{total:?}");
     assert!(total.disks_lost > 100 && total.full_disks > 200, "{total:?}");
 }
 
