--- a/soak/src/capacity/mod.rs
+++ b/soak/src/capacity/mod.rs
@@ -26,7 +26,7 @@
 pub use load::{Cut, Load, LoadResult, SlowLinks, Surge, Workload, run_load};
 
 use crate::checks::Violation;
-use crate::world::Options;
+use crate::simulation::Options;
 
 /// The times that entries and agents of a run keep to.
 #[derive(Clone, Copy, Debug, Default)]
--- a/soak/src/capacity/simulation.rs
+++ b/soak/src/capacity/simulation.rs
@@ -26,7 +26,7 @@
 use super::target::{Behavior, MAX_LEASE, Target};
 use super::unstable_targets::UnstableTargets;
 use crate::checks::Violation;
-use crate::world::Options;
+use crate::simulation::Options;
 
 pub(super) const START: Time = Time::from_millis(1_000_000);
 /// Faults and jobs come for so long,
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -55,35 +55,35 @@
 
 /// The work of one submission, as its client made it.
 #[derive(Clone, Debug)]
-pub(crate) struct Work {
+pub(crate) struct SubmissionSpec {
     pub tasks: Vec<String>,
     pub repeatable: bool,
 }
 
 /// What is known of one submission from outside.
 #[derive(Debug, Default)]
-struct Fate {
+struct SubmissionState {
     /// Tasks started at a target.
     started: HashSet<u32>,
     /// The answer that was given.
     answer: Option<Vec<String>>,
     /// Requests that wait for an outcome.
-    open: u32,
+    open_requests: u32,
     /// "Not run" was said and nobody has asked again since.
-    said_not_run: bool,
+    reported_not_run: bool,
 }
 
 /// Watches every start and every outcome.
 #[derive(Debug, Default)]
 pub(crate) struct Checks {
-    works: HashMap<SubmissionId, Work>,
-    fates: HashMap<SubmissionId, Fate>,
+    specs: HashMap<SubmissionId, SubmissionSpec>,
+    states: HashMap<SubmissionId, SubmissionState>,
     pub violations: Vec<Violation>,
     pub summary: Summary,
 }
 
 /// The answer that a target gives to a task.
-pub(crate) fn answer_to(task: &str) -> String {
+pub(crate) fn expected_answer(task: &str) -> String {
     format!("done: {task}")
 }
 
@@ -92,85 +92,86 @@
         self.violations.push(Violation { time, description: description.into() });
     }
 
-    pub fn add_work(&mut self, id: SubmissionId, work: Work) {
-        self.works.insert(id, work);
+    pub fn register(&mut self, id: SubmissionId, spec: SubmissionSpec) {
+        self.specs.insert(id, spec);
     }
 
-    pub fn work(&self, id: SubmissionId) -> Option<&Work> {
-        self.works.get(&id)
+    pub fn spec(&self, id: SubmissionId) -> Option<&SubmissionSpec> {
+        self.specs.get(&id)
     }
 
     /// A request was sent.
-    pub fn asked(&mut self, id: SubmissionId) {
-        let fate = self.fates.entry(id).or_default();
-        fate.open += 1;
-        fate.said_not_run = false;
+    pub fn request_sent(&mut self, id: SubmissionId) {
+        let state = self.states.entry(id).or_default();
+        state.open_requests += 1;
+        state.reported_not_run = false;
     }
 
     /// How many tasks of a submission were started.
-    pub fn starts(&self, id: SubmissionId) -> usize {
-        self.fates.get(&id).map_or(0, |fate| fate.started.len())
+    pub fn started_tasks(&self, id: SubmissionId) -> usize {
+        self.states.get(&id).map_or(0, |state| state.started.len())
     }
 
     /// A task began to run at a target.
-    pub fn started(&mut self, time: Time, id: SubmissionId, index: u32) {
+    pub fn task_started(&mut self, time: Time, id: SubmissionId, index: u32) {
         self.summary.started += 1;
-        let repeatable = self.works.get(&id).is_some_and(|work| work.repeatable);
-        let fate = self.fates.entry(id).or_default();
-        let first = fate.started.insert(index);
-        let (said_not_run, open) = (fate.said_not_run, fate.open);
+        let repeatable = self.specs.get(&id).is_some_and(|spec| spec.repeatable);
+        let state = self.states.entry(id).or_default();
+        let first = state.started.insert(index);
+        let (reported_not_run, open_requests) = (state.reported_not_run, state.open_requests);
         if !first && !repeatable {
             self.violation(time, format!("task {id}/{index} started twice"));
         }
-        if said_not_run && open == 0 {
+        if reported_not_run && open_requests == 0 {
             self.violation(time, format!("task {id}/{index} started after 'not run' was said"));
         }
     }
 
     /// A request's entry died: it gets no outcome.
-    pub fn unanswered(&mut self, id: SubmissionId) {
+    pub fn request_lost(&mut self, id: SubmissionId) {
         self.summary.unanswered += 1;
         // What the dead entry had sent may start yet, so the request stays open.
-        self.fates.entry(id).or_default().said_not_run = false;
+        self.states.entry(id).or_default().reported_not_run = false;
     }
 
     /// A request got its outcome.
-    pub fn answered(&mut self, time: Time, id: SubmissionId, reply: &RelayReply) {
-        let fate = self.fates.entry(id).or_default();
-        fate.open = fate.open.saturating_sub(1);
+    pub fn request_answered(&mut self, time: Time, id: SubmissionId, reply: &RelayReply) {
+        let state = self.states.entry(id).or_default();
+        state.open_requests = state.open_requests.saturating_sub(1);
         match reply {
-            Ok(answers) => self.whole(time, id, answers.iter().map(|a| a.to_string()).collect()),
-            Err(failure) => self.failed(time, id, failure.verdict, &failure.message),
+            Ok(answers) => {
+                self.request_completed(time, id, answers.iter().map(|a| a.to_string()).collect())
+            }
+            Err(failure) => self.request_failed(time, id, failure.verdict, &failure.message),
         }
     }
 
-    fn whole(&mut self, time: Time, id: SubmissionId, answers: Vec<String>) {
+    fn request_completed(&mut self, time: Time, id: SubmissionId, answers: Vec<String>) {
         self.summary.complete += 1;
-        let expected = self
-            .works
-            .get(&id)
-            .map(|work| work.tasks.iter().map(|task| answer_to(task)).collect::<Vec<String>>());
+        let expected = self.specs.get(&id).map(|spec| {
+            spec.tasks.iter().map(|task| expected_answer(task)).collect::<Vec<String>>()
+        });
         if expected.as_ref() != Some(&answers) {
             self.violation(time, format!("answer of {id} is not its own or not whole"));
         }
-        let fate = self.fates.entry(id).or_default();
-        if fate.answer.as_ref().is_some_and(|first| *first != answers) {
+        let state = self.states.entry(id).or_default();
+        if state.answer.as_ref().is_some_and(|first| *first != answers) {
             self.violation(time, format!("{id} has two answers"));
         } else {
-            fate.answer = Some(answers);
+            state.answer = Some(answers);
         }
     }
 
-    fn failed(&mut self, time: Time, id: SubmissionId, verdict: Verdict, message: &str) {
-        let tasks = self.works.get(&id).map_or(0, |work| work.tasks.len());
-        let repeatable = self.works.get(&id).is_some_and(|work| work.repeatable);
-        let fate = self.fates.entry(id).or_default();
-        let started = fate.started.len();
+    fn request_failed(&mut self, time: Time, id: SubmissionId, verdict: Verdict, message: &str) {
+        let tasks = self.specs.get(&id).map_or(0, |spec| spec.tasks.len());
+        let repeatable = self.specs.get(&id).is_some_and(|spec| spec.repeatable);
+        let state = self.states.entry(id).or_default();
+        let started = state.started.len();
         match verdict {
             Verdict::NotRun => {
                 self.summary.not_run += 1;
                 // A request that is still open may make it start.
-                fate.said_not_run = !repeatable && fate.open == 0;
+                state.reported_not_run = !repeatable && state.open_requests == 0;
                 if started > 0 && !repeatable {
                     let description =
                         format!("'not run' said of {id}, {started} started: {message}");
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -7,31 +7,31 @@
 use settings::Edit;
 
 use crate::nodes::Caller;
-use crate::world::{Happening, World};
+use crate::simulation::{SimEvent, Simulation};
 
 /// Longest stall of a process.
-const LONGEST_STALL: Duration = Duration::from_secs(3);
+const MAX_STALL: Duration = Duration::from_secs(3);
 /// Longest time that a dead process stays away.
-const LONGEST_AWAY: Duration = Duration::from_secs(6);
+const MAX_DOWNTIME: Duration = Duration::from_secs(6);
 /// Longest lag of the platform's list.
-const LIST_LAG: Duration = Duration::from_secs(4);
+const MAX_LIST_LAG: Duration = Duration::from_secs(4);
 
-impl World {
+impl Simulation {
     /// Makes one fault, or two at once, and plans the next.
-    pub fn fault(&mut self) {
-        if self.now >= self.calm_from {
+    pub fn inject_faults(&mut self) {
+        if self.now >= self.calm_start {
             return;
         }
-        let wait = self.within(Duration::from_millis(1_500));
-        self.after(wait, Happening::Fault);
+        let wait = self.random_duration(Duration::from_millis(1_500));
+        self.schedule_after(wait, SimEvent::Fault);
         let count = if self.rng.random_bool(0.25) { 2 } else { 1 };
         for _ in 0..count {
             self.checks.summary.faults += 1;
-            self.one_fault();
+            self.inject_fault();
         }
     }
 
-    fn one_fault(&mut self) {
+    fn inject_fault(&mut self) {
         let entry = self.rng.random_range(0..self.entries.len());
         let agent = self.rng.random_range(0..self.agents.len());
         match self.rng.random_range(0..12) {
@@ -39,11 +39,11 @@
             1 | 2 => self.kill_agent(agent),
             3 => self.stall_entry(entry),
             4 => self.stall_agent(agent),
-            5 | 6 => self.break_one(entry, agent),
-            7 => self.cut_off_agent(agent),
-            8 => self.leave(agent),
-            9 => self.target_unreachable(agent),
-            10 => self.change_view(),
+            5 | 6 => self.break_connection(entry, agent),
+            7 => self.disconnect_agent(agent),
+            8 => self.drain_agent(agent),
+            9 => self.make_target_unreachable(agent),
+            10 => self.change_claim_view(),
             _ => self.kill_rack(agent),
         }
     }
@@ -53,33 +53,36 @@
             return;
         }
         let callers = std::mem::take(&mut self.entries[number].callers);
-        let mut waiting: Vec<_> = callers.into_iter().collect();
-        waiting.sort_by_key(|(ticket, _)| *ticket);
-        for (_, caller) in waiting {
+        let mut pending: Vec<_> = callers.into_iter().collect();
+        pending.sort_by_key(|(call_id, _)| *call_id);
+        for (_, caller) in pending {
             match caller {
-                Caller::Client { id, .. } => self.checks.unanswered(id),
-                Caller::Peer { entry, life, call, id } => {
-                    let wait = self.within(Duration::from_millis(50));
-                    self.after(wait, Happening::PeerReply(entry, life, call, id, None));
+                Caller::Client { id, .. } => self.checks.request_lost(id),
+                Caller::Peer { entry, incarnation, call, id } => {
+                    let wait = self.random_duration(Duration::from_millis(50));
+                    self.schedule_after(
+                        wait,
+                        SimEvent::PeerReply(entry, incarnation, call, id, None),
+                    );
                 }
             }
         }
-        for link in self.network.matching(|link| link.entry == number) {
+        for link in self.network.open_links(|link| link.entry == number) {
             self.break_link(link);
         }
-        let wait = self.within(LONGEST_AWAY);
-        self.after(wait, Happening::EntryStarts(number));
+        let wait = self.random_duration(MAX_DOWNTIME);
+        self.schedule_after(wait, SimEvent::StartEntry(number));
     }
 
     pub fn kill_agent(&mut self, number: usize) {
         if self.agents[number].node.machine.take().is_none() {
             return;
         }
-        for link in self.network.matching(|link| link.agent == number) {
+        for link in self.network.open_links(|link| link.agent == number) {
             self.break_link(link);
         }
-        let wait = self.within(LONGEST_AWAY);
-        self.after(wait, Happening::AgentStarts(number));
+        let wait = self.random_duration(MAX_DOWNTIME);
+        self.schedule_after(wait, SimEvent::StartAgent(number));
     }
 
     fn kill_rack(&mut self, agent: usize) {
@@ -92,77 +95,77 @@
     }
 
     fn stall_entry(&mut self, number: usize) {
-        let stall = self.within(LONGEST_STALL);
+        let stall = self.random_duration(MAX_STALL);
         self.entries[number].node.stalled_until = self.now + stall;
     }
 
     fn stall_agent(&mut self, number: usize) {
-        let stall = self.within(LONGEST_STALL);
+        let stall = self.random_duration(MAX_STALL);
         self.agents[number].node.stalled_until = self.now + stall;
     }
 
-    pub fn break_one(&mut self, entry: usize, agent: usize) {
-        if let Some(link) = self.network.between(entry, agent) {
+    pub fn break_connection(&mut self, entry: usize, agent: usize) {
+        if let Some(link) = self.network.open_link(entry, agent) {
             self.break_link(link);
         }
     }
 
-    fn cut_off_agent(&mut self, number: usize) {
-        for link in self.network.matching(|link| link.agent == number) {
+    fn disconnect_agent(&mut self, number: usize) {
+        for link in self.network.open_links(|link| link.agent == number) {
             self.break_link(link);
         }
     }
 
     /// A target leaves: its agent is told, and the list tells the entries some time later. It
     /// comes back as a new process.
-    fn leave(&mut self, number: usize) {
+    fn drain_agent(&mut self, number: usize) {
         if self.agents[number].node.machine.is_none() {
             return;
         }
-        let (life, now) = (self.agents[number].node.life, self.now);
+        let (incarnation, now) = (self.agents[number].node.incarnation, self.now);
         if self.agents[number].node.stalled_until <= now {
             self.agents[number].leaving_since.get_or_insert(now);
         }
-        self.deliver_to_agent(number, life, agent::Event::Leave);
+        self.deliver_to_agent(number, incarnation, agent::Event::Leave);
         for entry in 0..self.entries.len() {
-            let wait = self.within(LIST_LAG);
-            self.after(wait, Happening::ListedLeaving(entry, number, life));
+            let wait = self.random_duration(MAX_LIST_LAG);
+            self.schedule_after(wait, SimEvent::HostListedLeaving(entry, number, incarnation));
         }
-        let wait = Duration::from_secs(1) + self.within(LONGEST_AWAY);
-        self.after(wait, Happening::AgentLeft(number, life));
+        let wait = Duration::from_secs(1) + self.random_duration(MAX_DOWNTIME);
+        self.schedule_after(wait, SimEvent::AgentExit(number, incarnation));
     }
 
     /// A leaving agent ends once nothing runs at its target, and comes back.
-    pub fn agent_left(&mut self, number: usize, life: u64) {
+    pub fn finish_draining(&mut self, number: usize, incarnation: u64) {
         let agent = &self.agents[number];
-        if agent.node.life != life {
+        if agent.node.incarnation != incarnation {
             return;
         }
-        if agent.at_target > 0 {
+        if agent.running_tasks > 0 {
             let wait = Duration::from_millis(200);
-            return self.after(wait, Happening::AgentLeft(number, life));
+            return self.schedule_after(wait, SimEvent::AgentExit(number, incarnation));
         }
         self.kill_agent(number);
     }
 
     /// The list tells an entry that an agent's host leaves.
-    pub fn listed_leaving(&mut self, entry: usize, agent: usize, life: u64) {
-        if self.agents[agent].node.life != life {
+    pub fn list_agent_leaving(&mut self, entry: usize, agent: usize, incarnation: u64) {
+        if self.agents[agent].node.incarnation != incarnation {
             return;
         }
         let name = self.agents[agent].node.name.clone();
-        let entry_life = self.entries[entry].node.life;
-        self.deliver_to_entry(entry, entry_life, Event::AgentLeaving { agent: name });
+        let entry_incarnation = self.entries[entry].node.incarnation;
+        self.deliver_to_entry(entry, entry_incarnation, Event::AgentLeaving { agent: name });
     }
 
-    fn target_unreachable(&mut self, number: usize) {
-        let time = self.within(Duration::from_secs(3));
+    fn make_target_unreachable(&mut self, number: usize) {
+        let time = self.random_duration(Duration::from_secs(3));
         self.agents[number].target_down_until = self.now + time;
     }
 
     /// Takes one member out of the claim view, or puts all agents back in. The view before has to
     /// agree as well for the rest of the run, as the keeper writes it.
-    fn change_view(&mut self) {
+    fn change_claim_view(&mut self) {
         let (section, members) = self.claim_view();
         if self.catalogs.len() > 1 || members.len() < 4 {
             return;
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -6,17 +6,17 @@
 //! of a cluster: time passes only where a message or a task takes some.
 
 mod agents;
-mod callers;
 mod capacity;
 mod checks;
-mod configuration;
+mod clients;
 mod entries;
 mod faults;
 mod keepers;
 mod network;
 mod nodes;
 mod script;
-mod world;
+mod settings_rollout;
+mod simulation;
 
 pub use capacity::{
     CapacitySummary, CapacityTiming, Cut, Load, LoadResult, SlowLinks, Surge, Workload,
@@ -24,5 +24,5 @@
 };
 pub use checks::{Summary, Violation};
 pub use keepers::{KeeperSummary, run_keepers};
-pub use script::{Expectation, Frame, Outcome, Script, ScriptError, Step, TimedStep, Way};
-pub use world::{Options, run};
+pub use script::{Direction, Expectation, Frame, Outcome, Script, ScriptError, Step, TimedStep};
+pub use simulation::{Options, run};
--- a/soak/src/nodes.rs
+++ b/soak/src/nodes.rs
@@ -8,7 +8,7 @@
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, Time};
 
 /// More lives than a node has in a run.
-const LIVES: u64 = 1_000;
+const INCARNATIONS_PER_NODE: u64 = 1_000;
 
 /// What entries and agents have in common.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     /// The state machine, while the process lives.
     pub machine: Option<M>,
     /// Counts the lives.
-    pub life: u64,
+    pub incarnation: u64,
     /// The process stands still until then.
     pub stalled_until: Time,
     /// How far its clock is ahead of the slowest allowed, at most the bound on clocks.
@@ -34,7 +34,7 @@
             name: NodeName::new(name),
             number,
             machine: None,
-            life: 0,
+            incarnation: 0,
             stalled_until: Time::default(),
             clock_ahead: Duration::ZERO,
             tick_at: None,
@@ -43,12 +43,12 @@
 
     /// The node's reference in its present life.
     pub fn reference(&self) -> NodeRef {
-        let incarnation = Incarnation(self.number * LIVES + self.life);
+        let incarnation = Incarnation(self.number * INCARNATIONS_PER_NODE + self.incarnation);
         NodeRef { name: self.name.clone(), incarnation }
     }
 
     /// The time that the node's clock shows.
-    pub fn local(&self, now: Time) -> Time {
+    pub fn local_time(&self, now: Time) -> Time {
         now + self.clock_ahead
     }
 }
@@ -59,16 +59,16 @@
     pub node: Node<Entry>,
     pub callers: HashMap<CallId, Caller>,
     /// Settings version that it has.
-    pub settings: u64,
+    pub settings_version: u64,
 }
 
 /// Who waits for an outcome.
 #[derive(Clone, Debug)]
 pub(crate) enum Caller {
     /// A client, with the number of its request.
-    Client { id: SubmissionId, asked: Time, deadline: Duration },
+    Client { id: SubmissionId, requested_at: Time, deadline: Duration },
     /// Another entry, in a life, for a submission.
-    Peer { entry: usize, life: u64, call: OwnerCall, id: SubmissionId },
+    Peer { entry: usize, incarnation: u64, call: OwnerCall, id: SubmissionId },
 }
 
 /// An agent with its target.
@@ -78,7 +78,7 @@
     pub rack: String,
     pub slots: u32,
     /// Tasks that this life has at the target.
-    pub at_target: u32,
+    pub running_tasks: u32,
     /// Since when it takes no new work, in this life.
     pub leaving_since: Option<Time>,
     /// The target can't be reached until then.
--- a/soak/src/script.rs
+++ b/soak/src/script.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 
 use crate::checks::Violation;
-use crate::world::{Happening, World};
+use crate::simulation::{SimEvent, Simulation};
 
 /// How long frames take in a trace.
 const FRAME_TIME: Duration = Duration::from_millis(1);
@@ -22,29 +22,29 @@
 pub enum ScriptError {
     /// The file is not a trace.
     #[error("not a trace: {0}")]
-    Unreadable(String),
+    Malformed(String),
     /// What must always hold did not.
     #[error("violated: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
-    Violated(Vec<Violation>),
+    InvariantViolated(Vec<Violation>),
     /// Another outcome than stated.
-    #[error("submission {submission}: expected {expected:?}, got {got:?}")]
-    OtherOutcome {
+    #[error("submission {submission}: expected {expected:?}, got {actual:?}")]
+    UnexpectedOutcome {
         /// The submission's number in the trace.
         submission: u32,
         /// What the trace states, in the order of answering.
         expected: Vec<Outcome>,
         /// What came.
-        got: Vec<Outcome>,
+        actual: Vec<Outcome>,
     },
     /// Another number of task starts than stated.
-    #[error("submission {submission}: expected {expected} task starts, got {got}")]
-    OtherStarts {
+    #[error("submission {submission}: expected {expected} task starts, got {actual}")]
+    UnexpectedStarts {
         /// The submission's number in the trace.
         submission: u32,
         /// What the trace states.
         expected: usize,
         /// What came.
-        got: usize,
+        actual: usize,
     },
 }
 
@@ -63,7 +63,7 @@
 /// The way of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum Direction {
     /// From an entry to an agent.
     ToAgent,
     /// From an agent to an entry.
@@ -97,7 +97,7 @@
         /// Its kind.
         frame: Frame,
         /// Its way.
-        way: Way,
+        way: Direction,
         /// The entry.
         entry: usize,
         /// The agent.
@@ -207,7 +207,7 @@
 #[derive(Debug)]
 pub(crate) struct Replay {
     pub task_time: Duration,
-    pub losses: Vec<(Frame, Way, usize, usize)>,
+    pub frames_to_drop: Vec<(Frame, Direction, usize, usize)>,
     pub ids: BTreeMap<u32, SubmissionId>,
     pub outcomes: BTreeMap<SubmissionId, Vec<Outcome>>,
 }
@@ -215,61 +215,65 @@
 impl Script {
     /// Reads a trace.
     pub fn parse(text: &str) -> Result<Self, ScriptError> {
-        serde_json::from_str(text).map_err(|error| ScriptError::Unreadable(error.to_string()))
+        serde_json::from_str(text).map_err(|error| ScriptError::Malformed(error.to_string()))
     }
 
     /// Replays it and checks every stated outcome.
     pub fn replay(&self) -> Result<(), ScriptError> {
-        let mut world = World::for_script(self, FRAME_TIME);
-        world.start_nodes();
+        let mut simulation = Simulation::for_script(self, FRAME_TIME);
+        simulation.start_nodes();
         for timed in &self.steps {
-            let at = world.start_time() + Duration::from_millis(timed.at_ms);
-            world.at(at, Happening::Step(timed.step));
+            let at = simulation.start_time() + Duration::from_millis(timed.at_ms);
+            simulation.schedule_at(at, SimEvent::ScriptStep(timed.step));
         }
-        world.go_on();
-        if !world.checks.violations.is_empty() {
-            return Err(ScriptError::Violated(world.checks.violations));
+        simulation.run_to_end();
+        if !simulation.checks.violations.is_empty() {
+            return Err(ScriptError::InvariantViolated(simulation.checks.violations));
         }
-        self.expect.iter().try_for_each(|expected| expected.check(&world))
+        self.expect.iter().try_for_each(|expected| expected.check(&simulation))
     }
 }
 
 impl Expectation {
-    fn check(&self, world: &World) -> Result<(), ScriptError> {
+    fn check(&self, simulation: &Simulation) -> Result<(), ScriptError> {
         let submission = self.submission;
-        let Some(replay) = &world.replay else { return Ok(()) };
+        let Some(replay) = &simulation.replay else { return Ok(()) };
         let id = replay.ids.get(&submission).copied();
-        let got = id.and_then(|id| replay.outcomes.get(&id)).cloned().unwrap_or_default();
-        if got != self.outcomes {
+        let actual = id.and_then(|id| replay.outcomes.get(&id)).cloned().unwrap_or_default();
+        if actual != self.outcomes {
             let expected = self.outcomes.clone();
-            return Err(ScriptError::OtherOutcome { submission, expected, got });
+            return Err(ScriptError::UnexpectedOutcome { submission, expected, actual });
         }
-        let got = id.map_or(0, |id| world.checks.starts(id));
-        if got != self.starts {
-            return Err(ScriptError::OtherStarts { submission, expected: self.starts, got });
+        let actual = id.map_or(0, |id| simulation.checks.started_tasks(id));
+        if actual != self.starts {
+            return Err(ScriptError::UnexpectedStarts {
+                submission,
+                expected: self.starts,
+                actual,
+            });
         }
         Ok(())
     }
 }
 
-impl World {
+impl Simulation {
     /// Takes a step of a trace.
-    pub fn step(&mut self, step: Step) {
+    pub fn apply_step(&mut self, step: Step) {
         match step {
             Step::Submit { submission, entry, tasks, deadline_ms } => {
-                let id = self.scripted_id(submission, tasks);
+                let id = self.submission_id(submission, tasks);
                 self.submit_at(entry, id, Duration::from_millis(deadline_ms));
             }
             Step::Fetch { submission, entry } => {
-                let id = self.scripted_id(submission, 1);
+                let id = self.submission_id(submission, 1);
                 self.fetch_from(entry, id);
             }
             Step::Lose { frame, way, entry, agent } => {
                 if let Some(replay) = &mut self.replay {
-                    replay.losses.push((frame, way, entry, agent));
+                    replay.frames_to_drop.push((frame, way, entry, agent));
                 }
             }
-            Step::Break { entry, agent } => self.break_one(entry, agent),
+            Step::Break { entry, agent } => self.break_connection(entry, agent),
             Step::KillEntry { entry } => self.kill_entry(entry),
             Step::KillAgent { agent } => self.kill_agent(agent),
             Step::StartEntry { entry } => self.start_entry(entry),
@@ -278,18 +282,19 @@
                 self.agents[agent].node.stalled_until = self.now + Duration::from_millis(ms);
             }
             Step::ListLeaving { agent } => {
-                let life = self.agents[agent].node.life;
-                (0..self.entries.len()).for_each(|entry| self.listed_leaving(entry, agent, life));
+                let incarnation = self.agents[agent].node.incarnation;
+                (0..self.entries.len())
+                    .for_each(|entry| self.list_agent_leaving(entry, agent, incarnation));
             }
             Step::Leave { agent } => {
-                let life = self.agents[agent].node.life;
-                self.deliver_to_agent(agent, life, agent::Event::Leave);
+                let incarnation = self.agents[agent].node.incarnation;
+                self.deliver_to_agent(agent, incarnation, agent::Event::Leave);
             }
         }
     }
 
     /// The id of a trace's submission; made at its first use.
-    fn scripted_id(&mut self, submission: u32, tasks: u32) -> SubmissionId {
+    fn submission_id(&mut self, submission: u32, tasks: u32) -> SubmissionId {
         let now: Time = self.now;
         let Some(replay) = &mut self.replay else { return SubmissionId::from_parts(now, 0) };
         if let Some(id) = replay.ids.get(&submission) {
@@ -298,18 +303,26 @@
         let id = SubmissionId::from_parts(now, u128::from(submission) << 64);
         replay.ids.insert(submission, id);
         let tasks = (0..tasks).map(|index| format!("{id} task {index}")).collect();
-        self.checks.add_work(id, crate::checks::Work { tasks, repeatable: false });
+        self.checks.register(id, crate::checks::SubmissionSpec { tasks, repeatable: false });
         id
     }
 
     /// Whether a frame is one that the trace loses; each loss takes one frame.
-    pub fn is_lost(&mut self, frame: Option<Frame>, way: Way, entry: usize, agent: usize) -> bool {
+    pub fn drops_frame(
+        &mut self,
+        frame: Option<Frame>,
+        way: Direction,
+        entry: usize,
+        agent: usize,
+    ) -> bool {
         let (Some(replay), Some(frame)) = (&mut self.replay, frame) else { return false };
         let wanted = (frame, way, entry, agent);
-        let Some(position) = replay.losses.iter().position(|loss| *loss == wanted) else {
+        let Some(position) =
+            replay.frames_to_drop.iter().position(|frame_to_drop| *frame_to_drop == wanted)
+        else {
             return false;
         };
-        replay.losses.remove(position);
+        replay.frames_to_drop.remove(position);
         true
     }
 }
--- a/soak/src/configuration.rs
+++ b/soak/src/settings_rollout.rs
@@ -7,9 +7,9 @@
 use entry::Event;
 use settings::{Catalog, Edit, SectionPath};
 
-use crate::world::{Happening, World};
+use crate::simulation::{SimEvent, Simulation};
 
-impl World {
+impl Simulation {
     /// Changes the settings; every node gets them within a few seconds.
     pub fn change_settings(&mut self, edits: Vec<Edit>) {
         let Ok(tree) = self.tree.with(&edits) else { return };
@@ -17,12 +17,12 @@
         let version = self.catalogs.len() as u64 + 1;
         self.catalogs.push(Arc::new(Catalog::new(version, &self.tree)));
         for entry in 0..self.entries.len() {
-            let wait = self.within(Duration::from_secs(3));
-            self.after(wait, Happening::Settings(true, entry, version));
+            let wait = self.random_duration(Duration::from_secs(3));
+            self.schedule_after(wait, SimEvent::SettingsArrive(true, entry, version));
         }
         for agent in 0..self.agents.len() {
-            let wait = self.within(Duration::from_secs(3));
-            self.after(wait, Happening::Settings(false, agent, version));
+            let wait = self.random_duration(Duration::from_secs(3));
+            self.schedule_after(wait, SimEvent::SettingsArrive(false, agent, version));
         }
     }
 
@@ -32,22 +32,22 @@
         (SectionPath::fleet(), newest.fleet().claim_view.clone())
     }
 
-    pub fn settings_arrive(&mut self, to_entry: bool, number: usize, version: u64) {
+    pub fn deliver_settings(&mut self, to_entry: bool, number: usize, version: u64) {
         let catalog = self.catalogs[version as usize - 1].clone();
         if to_entry {
             // A node's link hands on rising versions only.
-            if self.entries[number].settings >= version {
+            if self.entries[number].settings_version >= version {
                 return;
             }
-            self.entries[number].settings = version;
-            let life = self.entries[number].node.life;
-            return self.deliver_to_entry(number, life, Event::Settings { catalog });
+            self.entries[number].settings_version = version;
+            let incarnation = self.entries[number].node.incarnation;
+            return self.deliver_to_entry(number, incarnation, Event::Settings { catalog });
         }
-        let life = self.agents[number].node.life;
+        let incarnation = self.agents[number].node.incarnation;
         let known = self.agents[number].node.machine.as_ref().map(Agent::settings_version);
         if known.is_some_and(|known| known < version) {
             let fleet = Arc::new(catalog.fleet().clone());
-            self.deliver_to_agent(number, life, agent::Event::Settings { version, fleet });
+            self.deliver_to_agent(number, incarnation, agent::Event::Settings { version, fleet });
         }
     }
 }
--- a/soak/src/world.rs
+++ b/soak/src/simulation.rs
@@ -15,7 +15,7 @@
 use wire::RelayReply;
 
 use crate::checks::{Checks, Summary, Violation};
-use crate::network::{Behaviour, Network};
+use crate::network::{Network, NetworkConditions};
 use crate::nodes::{AgentNode, EntryNode, Node};
 use crate::script::{Replay, Script, Step};
 
@@ -63,7 +63,7 @@
 
 /// Something that happens at a moment.
 #[derive(Debug)]
-pub(crate) enum Happening {
+pub(crate) enum SimEvent {
     /// Something reaches an entry, in a life.
     ToEntry(usize, u64, Event),
     /// Something reaches an agent, in a life.
@@ -73,7 +73,7 @@
     /// An entry tries to reach an agent.
     Dial(usize, usize),
     /// A target ends a task, of an agent in a life.
-    TargetEnds(usize, u64, TaskKey, TaskOutcome),
+    TaskEnds(usize, u64, TaskKey, TaskOutcome),
     /// Another entry's outcome reaches the entry that relayed.
     PeerReply(usize, u64, OwnerCall, SubmissionId, Option<RelayReply>),
     /// A tick of an entry's timers.
@@ -89,22 +89,22 @@
     /// A fault begins.
     Fault,
     /// A step of a trace.
-    Step(Step),
+    ScriptStep(Step),
     /// A dead entry comes back.
-    EntryStarts(usize),
+    StartEntry(usize),
     /// A dead agent comes back.
-    AgentStarts(usize),
+    StartAgent(usize),
     /// A leaving agent ends, in a life, once nothing runs at its target.
-    AgentLeft(usize, u64),
+    AgentExit(usize, u64),
     /// Settings reach a node: entry (true) or agent.
-    Settings(bool, usize, u64),
+    SettingsArrive(bool, usize, u64),
     /// The platform's list tells an entry that an agent's host leaves, in a life.
-    ListedLeaving(usize, usize, u64),
+    HostListedLeaving(usize, usize, u64),
 }
 
 /// How many of each there are.
 #[derive(Clone, Copy, Debug)]
-struct Size {
+struct ClusterSize {
     entries: usize,
     agents: usize,
     racks: usize,
@@ -112,22 +112,22 @@
 }
 
 /// One run.
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub rng: ChaCha8Rng,
     pub now: Time,
-    pub calm_from: Time,
+    pub calm_start: Time,
     pub end: Time,
     pub entries: Vec<EntryNode>,
     pub agents: Vec<AgentNode>,
     pub network: Network,
-    pub behaviour: Behaviour,
+    pub conditions: NetworkConditions,
     pub checks: Checks,
     pub catalogs: Vec<Arc<Catalog>>,
     pub tree: Tree,
-    happenings: BinaryHeap<Reverse<(Time, u64)>>,
-    waiting: HashMap<u64, Happening>,
+    event_queue: BinaryHeap<Reverse<(Time, u64)>>,
+    scheduled: HashMap<u64, SimEvent>,
     sequence: u64,
-    pub next_ticket: u64,
+    pub next_call_id: u64,
     trace: Option<String>,
     /// The state of a trace's replay; none in a randomised run.
     pub replay: Option<Replay>,
@@ -135,37 +135,37 @@
 
 /// Runs one seed; the violations it found, if any.
 pub fn run(options: Options) -> Result<Summary, Vec<Violation>> {
-    let mut world = World::new(options);
-    world.start();
-    world.go_on();
-    world.check_end();
-    if world.checks.violations.is_empty() {
-        Ok(world.checks.summary)
+    let mut simulation = Simulation::new(options);
+    simulation.start();
+    simulation.run_to_end();
+    simulation.check_end();
+    if simulation.checks.violations.is_empty() {
+        Ok(simulation.checks.summary)
     } else {
-        Err(world.checks.violations)
+        Err(simulation.checks.violations)
     }
 }
 
-impl World {
+impl Simulation {
     fn new(options: Options) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
-        let size = Size {
+        let size = ClusterSize {
             agents: rng.random_range(4..=8),
             racks: rng.random_range(3..=4),
             slots: rng.random_range(1..=4),
             entries: rng.random_range(2..=4),
         };
-        let behaviour = Behaviour {
-            delay: Duration::from_micros(rng.random_range(300..20_000)),
-            doubled: rng.random_range(0.0..0.15),
-            overtaking: rng.random_range(0.0..0.1),
-            late_after_break: rng.random_range(0.0..1.0),
+        let conditions = NetworkConditions {
+            max_delay: Duration::from_micros(rng.random_range(300..20_000)),
+            duplicate_rate: rng.random_range(0.0..0.15),
+            reorder_rate: rng.random_range(0.0..0.1),
+            late_delivery_rate: rng.random_range(0.0..1.0),
         };
-        Self { rng, ..Self::with(options, size, behaviour) }
+        Self { rng, ..Self::with_cluster(options, size, conditions) }
     }
 
-    fn with(options: Options, size: Size, behaviour: Behaviour) -> Self {
-        let Size { entries, agents, racks, slots } = size;
+    fn with_cluster(options: Options, size: ClusterSize, conditions: NetworkConditions) -> Self {
+        let ClusterSize { entries, agents, racks, slots } = size;
         let rng = ChaCha8Rng::seed_from_u64(options.seed);
         let members: Vec<String> =
             (0..agents).map(|number| format!("a{number}@r{}", number % racks)).collect();
@@ -181,31 +181,31 @@
             node: Node::new(&format!("a{number}"), number as u64 + 1),
             rack: format!("r{}", number % racks),
             slots,
-            at_target: 0,
+            running_tasks: 0,
             leaving_since: None,
             target_down_until: START,
         };
         let entry_node = |number: usize| EntryNode {
             node: Node::new(&format!("e{number}"), number as u64 + 101),
             callers: HashMap::new(),
-            settings: 1,
+            settings_version: 1,
         };
         Self {
             rng,
             now: START,
-            calm_from: START + options.fault_period,
+            calm_start: START + options.fault_period,
             end: START + options.fault_period + options.calm_period,
             entries: (0..entries).map(entry_node).collect(),
             agents: (0..agents).map(agent_node).collect(),
             network: Network::default(),
-            behaviour,
+            conditions,
             checks: Checks::default(),
             catalogs: vec![Arc::new(Catalog::new(1, &tree))],
             tree,
-            happenings: BinaryHeap::new(),
-            waiting: HashMap::new(),
+            event_queue: BinaryHeap::new(),
+            scheduled: HashMap::new(),
             sequence: 0,
-            next_ticket: 0,
+            next_call_id: 0,
             trace: options.trace,
             replay: None,
         }
@@ -216,22 +216,26 @@
         let time = Duration::from_millis(script.end_ms);
         let options =
             Options { fault_period: time, calm_period: Duration::ZERO, ..Options::new(0) };
-        let behaviour =
-            Behaviour { delay: frame_time, doubled: 0.0, overtaking: 0.0, late_after_break: 0.0 };
-        let size = Size {
+        let conditions = NetworkConditions {
+            max_delay: frame_time,
+            duplicate_rate: 0.0,
+            reorder_rate: 0.0,
+            late_delivery_rate: 0.0,
+        };
+        let size = ClusterSize {
             entries: script.entries,
             agents: script.agents,
             racks: script.agents,
             slots: script.slots,
         };
-        let mut world = Self::with(options, size, behaviour);
-        world.replay = Some(Replay {
+        let mut simulation = Self::with_cluster(options, size, conditions);
+        simulation.replay = Some(Replay {
             task_time: Duration::from_millis(script.task_ms),
-            losses: Vec::new(),
+            frames_to_drop: Vec::new(),
             ids: BTreeMap::new(),
             outcomes: BTreeMap::new(),
         });
-        world
+        simulation
     }
 
     /// When the run began.
@@ -247,86 +251,94 @@
 
     fn start(&mut self) {
         self.start_nodes();
-        self.after(Duration::from_millis(500), Happening::NewSubmission);
-        self.after(Duration::from_secs(1), Happening::Fault);
+        self.schedule_after(Duration::from_millis(500), SimEvent::NewSubmission);
+        self.schedule_after(Duration::from_secs(1), SimEvent::Fault);
     }
 
     /// Lets everything happen until the end.
-    pub fn go_on(&mut self) {
-        while let Some(Reverse((time, sequence))) = self.happenings.pop() {
+    pub fn run_to_end(&mut self) {
+        while let Some(Reverse((time, sequence))) = self.event_queue.pop() {
             if time > self.end {
                 return;
             }
             self.now = time;
-            if let Some(happening) = self.waiting.remove(&sequence) {
-                self.happen(happening);
+            if let Some(event) = self.scheduled.remove(&sequence) {
+                self.handle_event(event);
             }
         }
     }
 
     /// Plans something.
-    pub fn at(&mut self, time: Time, happening: Happening) {
+    pub fn schedule_at(&mut self, time: Time, event: SimEvent) {
         self.sequence += 1;
-        self.happenings.push(Reverse((time, self.sequence)));
-        self.waiting.insert(self.sequence, happening);
+        self.event_queue.push(Reverse((time, self.sequence)));
+        self.scheduled.insert(self.sequence, event);
     }
 
     /// Plans something after a while.
-    pub fn after(&mut self, time: Duration, happening: Happening) {
-        self.at(self.now + time, happening);
+    pub fn schedule_after(&mut self, time: Duration, event: SimEvent) {
+        self.schedule_at(self.now + time, event);
     }
 
     /// A random time up to a bound.
-    pub fn within(&mut self, longest: Duration) -> Duration {
+    pub fn random_duration(&mut self, longest: Duration) -> Duration {
         let micros = longest.as_micros() as u64;
         Duration::from_micros(self.rng.random_range(0..=micros))
     }
 
     /// Prints what is traced.
-    pub fn trace(&self, description: &str, node: usize, thing: &dyn std::fmt::Debug) {
+    pub fn trace(&self, kind: &str, node: usize, value: &dyn std::fmt::Debug) {
         let Some(wanted) = &self.trace else { return };
-        let text = format!("{thing:?}");
+        let text = format!("{value:?}");
         if text.contains(wanted) {
-            println!("{} {description} {node}: {text}", self.now);
+            println!("{} {kind} {node}: {text}", self.now);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        self.trace("happens", 0, &happening);
-        match happening {
-            Happening::ToEntry(entry, life, event) => self.deliver_to_entry(entry, life, event),
-            Happening::ToAgent(agent, life, event) => self.deliver_to_agent(agent, life, event),
-            Happening::Reply { link, call, reply } => self.reply_arrives(link, call, reply),
-            Happening::Dial(entry, agent) => self.dial(entry, agent),
-            Happening::TargetEnds(agent, life, key, outcome) => {
-                self.target_ends(agent, life, key, outcome);
+    fn handle_event(&mut self, event: SimEvent) {
+        self.trace("happens", 0, &event);
+        match event {
+            SimEvent::ToEntry(entry, incarnation, event) => {
+                self.deliver_to_entry(entry, incarnation, event)
+            }
+            SimEvent::ToAgent(agent, incarnation, event) => {
+                self.deliver_to_agent(agent, incarnation, event)
+            }
+            SimEvent::Reply { link, call, reply } => self.deliver_reply(link, call, reply),
+            SimEvent::Dial(entry, agent) => self.dial(entry, agent),
+            SimEvent::TaskEnds(agent, incarnation, key, outcome) => {
+                self.task_ended(agent, incarnation, key, outcome);
             }
-            Happening::PeerReply(entry, life, call, submission, reply) => {
-                self.deliver_to_entry(entry, life, Event::OwnerReplied { call, submission, reply });
+            SimEvent::PeerReply(entry, incarnation, call, submission, reply) => {
+                self.deliver_to_entry(
+                    entry,
+                    incarnation,
+                    Event::OwnerReplied { call, submission, reply },
+                );
             }
-            Happening::EntryTick(entry) => {
+            SimEvent::EntryTick(entry) => {
                 self.entries[entry].node.tick_at = None;
-                let life = self.entries[entry].node.life;
-                self.deliver_to_entry(entry, life, Event::Tick);
+                let incarnation = self.entries[entry].node.incarnation;
+                self.deliver_to_entry(entry, incarnation, Event::Tick);
             }
-            Happening::AgentTick(agent) => {
+            SimEvent::AgentTick(agent) => {
                 self.agents[agent].node.tick_at = None;
-                let life = self.agents[agent].node.life;
-                self.deliver_to_agent(agent, life, agent::Event::Tick);
+                let incarnation = self.agents[agent].node.incarnation;
+                self.deliver_to_agent(agent, incarnation, agent::Event::Tick);
             }
-            Happening::NewSubmission => self.new_submission(),
-            Happening::Resubmit(id) => self.resubmit(id),
-            Happening::Fetch(id) => self.fetch(id),
-            Happening::Fault => self.fault(),
-            Happening::Step(step) => self.step(step),
-            Happening::EntryStarts(entry) => self.start_entry(entry),
-            Happening::AgentStarts(agent) => self.start_agent(agent),
-            Happening::AgentLeft(agent, life) => self.agent_left(agent, life),
-            Happening::Settings(to_entry, node, version) => {
-                self.settings_arrive(to_entry, node, version);
+            SimEvent::NewSubmission => self.new_submission(),
+            SimEvent::Resubmit(id) => self.resubmit(id),
+            SimEvent::Fetch(id) => self.fetch_outcome(id),
+            SimEvent::Fault => self.inject_faults(),
+            SimEvent::ScriptStep(step) => self.apply_step(step),
+            SimEvent::StartEntry(entry) => self.start_entry(entry),
+            SimEvent::StartAgent(agent) => self.start_agent(agent),
+            SimEvent::AgentExit(agent, incarnation) => self.finish_draining(agent, incarnation),
+            SimEvent::SettingsArrive(to_entry, node, version) => {
+                self.deliver_settings(to_entry, node, version);
             }
-            Happening::ListedLeaving(entry, agent, life) => {
-                self.listed_leaving(entry, agent, life);
+            SimEvent::HostListedLeaving(entry, agent, incarnation) => {
+                self.list_agent_leaving(entry, agent, incarnation);
             }
         }
     }
