--- a/soak/src/capacity/checks.rs
+++ b/soak/src/capacity/checks.rs
@@ -1,4 +1,4 @@
-//! What must always hold where targets have room, checked from outside the libraries.
+//! Invariants of runs with capacity scheduling, checked only by what targets and clients observe.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,18 +10,18 @@
 use super::target::Target;
 use crate::checks::Violation;
 
-/// A start may be on its way for so long when its job is answered.
+/// Longest time between the answer to a job and the arrival of a start that was already in flight.
 const MAX_START_DELAY: Duration = Duration::from_millis(400);
-/// A cancel that was acknowledged has reached everyone after so long, and what runs has been stopped: an
-/// entry or agent that can't be reached gives its jobs up within 450 ms, a lease ends within 805 ms after,
-/// and a stop takes 50 ms.
+/// Longest time from an acknowledged cancel until nothing of the job runs: covers the loss of an
+/// unreachable entry or agent, the end of its lease, and the stop itself.
 const MAX_CANCEL_TIME: Duration = Duration::from_millis(1_400);
-/// A task under which so many targets have crashed may be given up.
+/// Number of target crashes under one task after which its job may fail.
 const CRASHES_BEFORE_FAILURE: u32 = 2;
-/// After a target's notice that it leaves reached its agent, nothing starts there.
+/// Longest time during which a task may still start at a target after its agent received the notice
+/// that the target drains.
 const MAX_DRAIN_DELAY: Duration = Duration::from_millis(200);
 
-/// What a run did.
+/// Counters of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CapacitySummary {
     /// Jobs answered as completed.
@@ -32,28 +32,28 @@
     pub not_run: u64,
     /// Jobs answered as may have run.
     pub may_have_run: u64,
-    /// Jobs that were handed in again.
+    /// Jobs that were submitted again.
     pub resubmitted: u64,
-    /// Tasks that began to run.
+    /// Tasks that started to run.
     pub started: u64,
-    /// Runs that were stopped or lapsed.
+    /// Runs that were stopped or whose lease expired.
     pub aborted: u64,
-    /// Starts that targets refused for want of room.
+    /// Starts that targets refused for lack of capacity.
     pub refused_no_capacity: u64,
-    /// Faults that happened.
+    /// Injected faults.
     pub faults: u64,
     /// Jobs that were cancelled.
     pub cancelled: u64,
-    /// Jobs handed in after the last fault, and completed.
+    /// Jobs submitted after the last fault that completed.
     pub completed_after_faults: u64,
-    /// Targets that crashed under a task that crashes them.
+    /// Target crashes caused by a task.
     pub target_crashes: u64,
-    /// Times that a target had less room than before.
+    /// Times that the capacity of a target was reduced.
     pub capacity_reductions: u64,
 }
 
 impl CapacitySummary {
-    /// Adds another run's numbers.
+    /// Adds the counters of another run.
     pub fn add(&mut self, other: &Self) {
         self.completed += other.completed;
         self.failed += other.failed;
@@ -71,10 +71,10 @@
     }
 }
 
-/// What is known of one job.
+/// Observed state of one job.
 #[derive(Debug, Default)]
 struct JobRecord {
-    /// When it was handed in last.
+    /// Time of the last submission.
     submitted: Time,
     answered: Option<(Time, Outcome)>,
     done: BTreeSet<u32>,
@@ -82,13 +82,13 @@
     tasks: u32,
     max_attempts: u32,
     last_start: Option<Time>,
-    /// When a client's cancel was acknowledged.
+    /// Time at which a client's cancel was acknowledged.
     cancelled: Option<Time>,
-    /// Targets that crashed under each task, in all tries.
+    /// Number of target crashes under each task, over all submissions of the job.
     crashes: BTreeMap<u32, u32>,
 }
 
-/// Watches targets and clients.
+/// Checks the events at targets and clients, and counts them.
 #[derive(Debug, Default)]
 pub(super) struct Checks {
     pub summary: CapacitySummary,
@@ -114,7 +114,8 @@
         record.max_attempts = max_attempts;
     }
 
-    /// A task begins to run; `elsewhere` says whether another run of it goes on.
+    /// Records that a task started; `running_elsewhere` says whether another run of the task is
+    /// active.
     pub fn task_started(
         &mut self,
         now: Time,
@@ -127,38 +128,41 @@
             self.violation(now, format!("{task} runs twice at once"));
         }
         if draining_since.is_some_and(|since| now.since(since) > MAX_DRAIN_DELAY) {
-            self.violation(now, format!("{task} starts at a target that leaves"));
+            self.violation(now, format!("{task} starts at a draining target"));
         }
         let Some(record) = self.jobs.get_mut(&task.job) else {
-            return self.violation(now, format!("{task} starts though nobody asked for it"));
+            return self.violation(now, format!("{task} starts but its job was never submitted"));
         };
         record.last_start = Some(now);
         if let Some(at) = record.cancelled
             && now.since(at) > MAX_CANCEL_TIME
         {
-            self.violation(now, format!("{task} starts though cancelled at {at}"));
+            self.violation(now, format!("{task} starts but its job was cancelled at {at}"));
         }
         let Some(record) = self.jobs.get(&task.job) else { return };
         if let Some((at, outcome)) = record.answered {
             let not_run = matches!(outcome, Outcome::NotRun { .. });
             if not_run || now.since(at) > MAX_START_DELAY {
-                self.violation(now, format!("{task} starts after {outcome:?} at {at}"));
+                self.violation(
+                    now,
+                    format!("{task} starts after its job was answered with {outcome:?} at {at}"),
+                );
             }
         }
     }
 
-    /// A client's cancel of a job is acknowledged.
+    /// Records that a client's cancel was acknowledged.
     pub fn cancel_acknowledged(&mut self, now: Time, id: &JobId) {
         self.summary.cancelled += 1;
         self.jobs.entry(id.clone()).or_default().cancelled.get_or_insert(now);
     }
 
-    /// A task runs; it must not where its job was cancelled long enough ago. Told once a job.
+    /// Checks that a running task was not cancelled too long ago. Reports each job once.
     pub fn still_running(&mut self, now: Time, task: &TaskId) {
         let Some(record) = self.jobs.get_mut(&task.job) else { return };
         if record.cancelled.is_some_and(|at| now.since(at) > MAX_CANCEL_TIME) {
             let at = record.cancelled.take();
-            self.violation(now, format!("{task} runs on though cancelled at {at:?}"));
+            self.violation(now, format!("{task} still runs but its job was cancelled at {at:?}"));
         }
     }
 
@@ -176,7 +180,7 @@
         }
     }
 
-    /// A target crashes; tasks that run there may be the cause.
+    /// Counts the crash against every task that runs at the target.
     pub fn target_crashed(&mut self, target: Option<&Target>) {
         for task in target.iter().flat_map(|target| target.running()) {
             let Some(record) = self.jobs.get_mut(&task.job) else { continue };
@@ -184,7 +188,7 @@
         }
     }
 
-    /// How many targets have crashed under a task.
+    /// Returns the number of target crashes under a task.
     pub fn crash_count(&self, task: &TaskId) -> u32 {
         let record = self.jobs.get(&task.job);
         record.and_then(|record| record.crashes.get(&task.index)).copied().unwrap_or(0)
@@ -215,7 +219,7 @@
             Outcome::Cancelled => false,
         };
         if contradicted {
-            self.violation(now, format!("{id}: answered {outcome:?}, which is not so"));
+            self.violation(now, format!("the answer {outcome:?} to job {id} contradicts its runs"));
         }
     }
 }
--- a/soak/src/capacity/client.rs
+++ b/soak/src/capacity/client.rs
@@ -1,4 +1,4 @@
-//! Clients: they hand in jobs, wait, and send again what may have run.
+//! Clients, which submit a job, wait for the answer, and resubmit jobs that may have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,32 +8,32 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// How long after a broken try a client sends again.
+/// Time from a failed try to the next submission.
 pub(super) const RESEND_DELAY: Duration = Duration::from_millis(1_300);
-/// Most tries of a client.
+/// Submissions of one job at most.
 pub(super) const MAX_TRIES: u32 = 3;
 
 /// One client with its job.
 #[derive(Clone, Debug)]
 pub(super) struct Client {
     pub request: JobRequest,
-    /// How long each task takes, and whether it fails by its own fault.
+    /// The duration of each task, and whether the task fails.
     pub work: Vec<(Duration, bool)>,
     pub tries: u32,
-    /// The entry and ticket of the present try.
+    /// The entry and the call id of the open request.
     pub pending_call: Option<(usize, u64)>,
-    /// Handed in after the last fault.
+    /// Whether the job is submitted after the last fault.
     pub calm: bool,
     pub first_submitted: Time,
-    /// By when the job had better end: by how long its tasks take, not by what is thought of them.
+    /// Time within which the job counts as in time, by the true duration of its tasks.
     pub objective: Duration,
-    /// What its job is worth under a load.
+    /// Weight of the job in the results of a load.
     pub worth: f64,
-    /// The entry that it always reaches, if so.
+    /// The entry that receives all requests; a random one for each request if `None`.
     pub fixed_entry: Option<usize>,
-    /// Whether a task of its job has started.
+    /// Whether a task of the job has started.
     pub started: bool,
-    /// It has cancelled the job: it does not send it any more.
+    /// Whether the client cancelled the job; it is not submitted again.
     pub cancelled: bool,
 }
 
@@ -75,7 +75,8 @@
         Self { calm, ..Self::with_request(request, work, now) }
     }
 
-    /// One that hands in a job of which each task takes a time, and fails by its own fault or not.
+    /// Creates a client with a given job; `work` has the duration of each task and whether it
+    /// fails.
     pub fn with_request(
         request: JobRequest,
         work: Vec<(Duration, bool)>,
--- a/soak/src/capacity/commands.rs
+++ b/soak/src/capacity/commands.rs
@@ -1,4 +1,4 @@
-//! Orders at targets, and what targets report.
+//! Commands to targets, and the reports of targets to their agents.
 
 use std::time::Duration;
 
@@ -8,9 +8,10 @@
 
 use super::simulation::{Call, HEARTBEAT_INTERVAL, SimEvent, Simulation, TARGET_TICK};
 
-/// Part of the reports that are held up on their way.
+/// Share of reports that are delayed.
 const DELAYED_REPORT_SHARE: f64 = 0.1;
-/// Longer than any target or agent is away after a crash.
+/// Exceeds the longest restart of a target or an agent, so that reports of an earlier instance
+/// arrive.
 const MAX_REPORT_DELAY_MS: u64 = 4_000;
 
 impl Simulation {
@@ -134,7 +135,8 @@
         self.schedule_after(HEARTBEAT_INTERVAL, SimEvent::Heartbeat(agent));
     }
 
-    /// An agent takes a report, of whichever life of its target; a leave is acknowledged by that.
+    /// Delivers a report, possibly of an earlier instance of the target. A drain notice of the
+    /// present instance is acknowledged by its delivery.
     pub(super) fn deliver_report(&mut self, agent: usize, report: TargetReport) {
         let now = self.now;
         let process = &mut self.agents[agent];
--- a/soak/src/capacity/documents.rs
+++ b/soak/src/capacity/documents.rs
@@ -1,4 +1,4 @@
-//! Entries that fetch the configuration from agents: in these runs no keeper can be reached.
+//! Entries that fetch the configuration from agents; these runs have no keepers.
 
 use keeper::{DocumentFetch, DocumentSource, FetchStep, PART_TIMEOUT};
 use model::Time;
@@ -8,7 +8,7 @@
 use super::simulation::{SimEvent, Simulation};
 
 impl Simulation {
-    /// Tells an entry's fetch of what has happened, and does what follows.
+    /// Applies an event to the document fetch of an entry and carries out the steps that follow.
     pub(super) fn drive_fetch(
         &mut self,
         entry: usize,
@@ -30,14 +30,14 @@
         }
     }
 
-    /// A part that was asked for may be late.
+    /// Lets the fetch continue if the entry has not restarted since the request.
     pub(super) fn part_timed_out(&mut self, entry: usize, incarnation: u64) {
         if self.entries[entry].incarnation == incarnation {
             self.drive_fetch(entry, DocumentFetch::next_step);
         }
     }
 
-    /// How many entries have the configuration.
+    /// Returns the number of entries that have the configuration.
     pub(super) fn entries_with_document(&self) -> usize {
         self.entries.iter().filter(|entry| entry.fetch.version() > 0).count()
     }
--- a/soak/src/capacity/entry_link.rs
+++ b/soak/src/capacity/entry_link.rs
@@ -1,4 +1,5 @@
-//! The link of an entry: all that agents send to it shares one bandwidth, a segment of each session in turn.
+//! Links with limited bandwidth: messages of all sessions to one entry share its link, one segment
+//! of each session in turn.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,14 +7,14 @@
 use super::session::Packet;
 use super::simulation::{SimEvent, Simulation};
 
-/// What one session sends before the next one's turn.
+/// Bytes that one session sends before the next session has its turn.
 const SEGMENT_BYTES: u64 = 16 * 1024;
 
-/// What is on its way to one entry.
+/// The incoming link of one entry.
 #[derive(Debug)]
 pub(super) struct EntryLink {
     bytes_per_s: u64,
-    /// Parcels by session, each with the bytes of it that are still to be sent.
+    /// Queued packets by session, each with its bytes that are not sent yet.
     queues: BTreeMap<usize, VecDeque<(u64, Packet)>>,
     /// The session whose segment is being sent.
     sending: Option<usize>,
@@ -24,18 +25,18 @@
         Self { bytes_per_s, queues: BTreeMap::new(), sending: None }
     }
 
-    /// Adds a parcel; returns how long the first segment takes where nothing was being sent.
+    /// Queues a packet; returns the duration of the first segment if the link was idle.
     fn enqueue(&mut self, session: usize, bytes: u64, packet: Packet) -> Option<Duration> {
         self.queues.entry(session).or_default().push_back((bytes, packet));
         if self.sending.is_some() { None } else { self.next_segment() }
     }
 
-    /// Forgets what a session that is closed had not sent yet.
+    /// Discards the queue of a closed session.
     fn drop_session(&mut self, session: usize) {
         self.queues.remove(&session);
     }
 
-    /// The segment is sent; returns the session and the parcel that it completed.
+    /// Completes the current segment; returns the session and the packet if it was the last of one.
     fn segment_sent(&mut self) -> Option<(usize, Packet)> {
         let session = self.sending?;
         let queue = self.queues.get_mut(&session)?;
@@ -51,7 +52,7 @@
         Some((session, packet))
     }
 
-    /// Begins the next session's segment; returns how long it takes.
+    /// Starts the segment of the next session in turn; returns its duration.
     fn next_segment(&mut self) -> Option<Duration> {
         let after = self.sending.take().map_or(0, |session| session + 1);
         let next = self.queues.range(after..).next().or_else(|| self.queues.iter().next());
@@ -64,20 +65,21 @@
 }
 
 impl Simulation {
-    /// All entries' links carry so many bytes a second.
+    /// Limits the bandwidth of the links of all entries.
     pub(super) fn limit_links(&mut self, bytes_per_s: u64) {
         for entry in &mut self.entries {
             entry.link = Some(EntryLink::new(bytes_per_s));
         }
     }
 
-    /// Queues a parcel at the link of its entry; gives it back where that has no limit.
+    /// Queues a packet at the link of its entry; returns it where it needs no queueing.
     pub(super) fn send_by_link(&mut self, number: usize, packet: Packet) -> Option<Packet> {
         let entry = self.sessions[number].entry;
         let Some(link) = &mut self.entries[entry].link else { return Some(packet) };
         match &packet {
             Packet::ToEntry(message) => {
-                let bytes = bincode::serialized_size(message).expect("plain enums have a size");
+                let bytes =
+                    bincode::serialized_size(message).expect("wire messages can be serialized");
                 if let Some(time) = link.enqueue(number, bytes, packet) {
                     self.schedule_after(time, SimEvent::LinkSent(entry));
                 }
@@ -91,7 +93,7 @@
         }
     }
 
-    /// A segment has been sent to an entry.
+    /// Completes a segment on the link of an entry.
     pub(super) fn link_sent(&mut self, entry: usize) {
         let Some(link) = &mut self.entries[entry].link else { return };
         let completed = link.segment_sent();
--- a/soak/src/capacity/fault_injection.rs
+++ b/soak/src/capacity/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults as they strike.
+//! Applies faults to entries, agents, targets and connections.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/soak/src/capacity/faults.rs
+++ b/soak/src/capacity/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run.
+//! The kinds of faults of a run, and their random choice.
 
 use std::time::Duration;
 
@@ -7,28 +7,29 @@
 
 use super::target::Behavior;
 
-/// One fault.
+/// A fault and its parameters.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Fault {
-    /// An entry's process is killed; it comes back.
+    /// Kills an entry and restarts it after `downtime`; `silent` leaves its connections open at
+    /// agents.
     KillEntry { entry: usize, downtime: Duration, silent: bool },
-    /// An agent's process is killed; it comes back. The target goes on.
+    /// Kills an agent and restarts it after `downtime`; its target keeps running.
     KillAgent { agent: usize, downtime: Duration },
-    /// An entry stands still.
+    /// Pauses an entry.
     PauseEntry { entry: usize, duration: Duration },
-    /// An agent stands still.
+    /// Pauses an agent.
     PauseAgent { agent: usize, duration: Duration },
-    /// A target's process dies; another life comes.
+    /// Kills a target and starts a new instance after `downtime`.
     CrashTarget { agent: usize, downtime: Duration },
-    /// Nothing passes between an entry and an agent.
+    /// Holds back all messages between an entry and an agent.
     Cut { entry: usize, agent: usize, duration: Duration },
-    /// A session's connection is reset.
+    /// Resets the connection of a session.
     Reset { entry: usize, agent: usize },
-    /// A target treats what it starts in another way for a while.
+    /// Changes what a target does with the tasks that it starts.
     Behavior { agent: usize, behavior: Behavior, duration: Duration },
-    /// A target's orders are not answered and carried out late.
+    /// Makes a target carry out part of its commands late, without an answer.
     Unresponsive { agent: usize, duration: Duration },
-    /// A target says that it leaves, and does so.
+    /// Drains a target; it restarts some time later.
     Drain { agent: usize, duration: Duration },
 }
 
--- a/soak/src/capacity/halls.rs
+++ b/soak/src/capacity/halls.rs
@@ -1,8 +1,8 @@
-//! Halls that operators empty and refill while faults strike.
+//! Halls that operators empty and refill during faults.
 //!
-//! The halls are those of the agents, by turns. Here the world is the keepers: it tells an order to some processes a
-//! moment after it was acknowledged, and to those that start or thaw later; the others hear of it from the sessions.
-//! All that is drawn here comes from a stream of its own, and only in runs that have such orders.
+//! Agents are assigned to halls in turn. The simulation plays the keepers: after a command is
+//! acknowledged, it notifies some of the processes, also those that restart later; the others
+//! receive the change from their sessions. A separate random stream keeps other runs unchanged.
 
 use std::time::Duration;
 
@@ -14,21 +14,21 @@
 use super::faults::Fault;
 use super::simulation::{CALM_START, FAULT_PERIOD, SimEvent, Simulation};
 
-/// Told apart from the seed of everything else.
+/// Separates this random stream from the others of the seed.
 const RNG_STREAM: u64 = 0x4a11_0f0f_2b2b;
-/// Halls of a run.
+/// The halls of a run.
 const HALLS: [&str; 2] = ["h0", "h1"];
-/// How long a keeper's news is under way at most.
+/// Longest delay of a notice from a keeper.
 const MAX_NOTICE_DELAY_MS: u64 = 300;
-/// How often a process that could not be told is tried again.
+/// Interval at which a notice to an unavailable process is retried.
 const NOTICE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// After an order was acknowledged, and after whatever else hit those who carry it out, nothing starts in the hall.
-/// The users allow 5 s; a keeper's news takes 0.3 s here, a session opens within 0.12 s and dies within 0.9 s.
+/// Time after an acknowledged command, and after the last fault at the processes that enforce it,
+/// from which nothing may start in an emptied hall.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
-/// All halls take work again before the calm.
+/// When all halls are refilled, before the period without faults.
 const REFILL_TIME: Duration = Duration::from_millis(CALM_START.as_millis() as u64 - 1_500);
 
-/// Whom the keepers reach in a run.
+/// The processes that keepers notify in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Notified {
     Everyone,
@@ -36,16 +36,16 @@
     EntriesOnly,
 }
 
-/// The orders of a run.
+/// The state of the halls and of the processes that enforce it.
 #[derive(Debug)]
 pub(super) struct HallCommands {
     rng: ChaCha8Rng,
     notified: Notified,
-    /// What was acknowledged last.
+    /// The state after the last acknowledged command.
     pub emptied: EmptiedHalls,
-    /// When each hall's last order was acknowledged.
+    /// When the last command for each hall was acknowledged.
     changed_at: [Time; HALLS.len()],
-    /// Until when a fault hits each agent, and each entry.
+    /// Until when each agent and each entry is affected by faults.
     agents_faulty_until: Vec<Time>,
     entries_faulty_until: Vec<Time>,
 }
@@ -65,12 +65,12 @@
         }
     }
 
-    /// The hall that an agent's target stands in.
+    /// Returns the hall of an agent's target.
     pub fn of_agent(agent: usize) -> &'static str {
         HALLS[agent % HALLS.len()]
     }
 
-    /// Takes note of whom a fault hits, and until when.
+    /// Records which processes a fault affects, and until when.
     pub fn record_fault(&mut self, now: Time, fault: Fault) {
         let (entry, agent, duration) = match fault {
             Fault::KillEntry { entry, downtime, .. } => (Some(entry), None, downtime),
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Whether nothing may start at an agent any more: its hall was emptied, and whoever carries that out was
-    /// in order, for long enough.
+    /// Whether a start at an agent violates the emptied state of its hall: the command is in force,
+    /// and no recent fault excuses the processes that enforce it.
     fn forbids_start(&self, now: Time, agent: usize) -> bool {
         let hall = agent % HALLS.len();
         if !self.emptied.contains(HALLS[hall]) {
@@ -109,7 +109,7 @@
 }
 
 impl Simulation {
-    /// Draws when halls are emptied and refilled.
+    /// Schedules the commands that empty and refill halls.
     pub(super) fn set_up_halls(&mut self, seed: u64) {
         let mut halls = HallCommands::new(seed, self.now, self.entries.len(), self.agents.len());
         let mut after = Duration::from_millis(halls.rng.random_range(300..2_000));
@@ -125,10 +125,10 @@
         self.halls = Some(halls);
     }
 
-    /// An operator's order is acknowledged.
+    /// Applies an acknowledged command and notifies the processes.
     pub(super) fn apply_hall_command(&mut self, hall: usize, takes_work: bool) {
         let Some(halls) = &mut self.halls else { return };
-        let name: HallName = HALLS[hall].parse().expect("a name");
+        let name: HallName = HALLS[hall].parse().expect("the hall names of the run are valid");
         halls.changed_at[hall] = self.now;
         halls.emptied.apply(HallOrder { hall: name, takes_work });
         let (entries, agents) = (self.entries.len(), self.agents.len());
@@ -136,7 +136,7 @@
         (0..agents).for_each(|agent| self.schedule_hall_notice(false, agent));
     }
 
-    /// The keepers tell a process what is emptied, if they reach it in this run.
+    /// Schedules a notice to a process, if keepers notify this kind of process in the run.
     pub(super) fn schedule_hall_notice(&mut self, is_entry: bool, number: usize) {
         let Some(halls) = &mut self.halls else { return };
         let skipped = if is_entry { Notified::AgentsOnly } else { Notified::EntriesOnly };
@@ -170,7 +170,7 @@
         }
     }
 
-    /// A target begins a task.
+    /// Checks that a task does not start in an emptied hall.
     pub(super) fn check_hall(&mut self, agent: usize, task: &TaskId, carried_out_late: bool) {
         let Some(halls) = &self.halls else { return };
         if !carried_out_late && halls.forbids_start(self.now, agent) {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// At the end everyone knows what was ordered last.
+    /// Checks that all processes have the last state of the halls at the end.
     pub(super) fn check_halls_end(&mut self) {
         let Some(halls) = &self.halls else { return };
         let last = halls.emptied.revision;
@@ -192,7 +192,8 @@
             .map(|agent| agent.runner.as_ref().map_or(last, |runner| runner.halls().revision));
         let behind = entries.chain(agents).filter(|revision| *revision != last).count();
         if behind > 0 {
-            let description = format!("{behind} processes don't know the halls of revision {last}");
+            let description =
+                format!("{behind} processes lack revision {last} of the emptied halls");
             self.checks.violation(self.now, description);
         }
     }
--- a/soak/src/capacity/load.rs
+++ b/soak/src/capacity/load.rs
@@ -1,7 +1,7 @@
-//! A load played in virtual time: what callers get where many entries place tasks at many targets.
+//! Simulated loads: the results that callers get when many entries place tasks at many targets.
 //!
-//! The decisions are those of the product; time passes on links and in tasks alone. Used for choices of
-//! policy and sizes, and for tests that hold what they gain.
+//! The scheduling code is the real one; only links and tasks take simulated time. Used to compare
+//! policies and sizes, and by tests that guard their effect.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,46 +19,47 @@
 use super::simulation::{START, SimEvent, Simulation};
 use super::subsets::EntrySubsets;
 
-/// Processes have found each other by then.
+/// Time before the first job, in which sessions open.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// Jobs are answered so long after the last came.
+/// Time after the last job, in which open jobs end.
 const COOL_DOWN: Duration = Duration::from_secs(6);
-/// What part of its worth a job earns that ends after its objective.
+/// Share of its worth that a job earns when it ends after its objective.
 const LATE_WORTH_SHARE: f64 = 0.2;
-/// Standard deviations of the logarithms of tasks a job, of a task's time, and of what an estimate is off.
+/// Standard deviation of the logarithm of the task count, the task duration and the estimate error.
 const LOG_STD_DEV: f64 = 0.4;
-/// How much a job may take against its estimate, and what is added, in ms.
+/// Ratio of a job's objective to the duration of its longest task, to which the target latency is
+/// added.
 const OBJECTIVE_FACTOR: f64 = 1.6;
 const TARGET_LATENCY_MS: f64 = 60.0;
 
-/// How many kinds of jobs there are; each has a priority of its own.
+/// Number of job kinds; each has its own priority.
 const JOB_KINDS: usize = 3;
 
-/// One kind of jobs.
+/// A kind of jobs.
 #[derive(Clone, Copy, Debug)]
 struct JobKind {
-    /// What part of all jobs are of it.
+    /// Share of all jobs that are of this kind.
     share: f64,
-    /// Tasks of one.
+    /// Mean number of tasks.
     tasks: u32,
-    /// A task's mean time, in ms.
+    /// Mean duration of a task, in milliseconds.
     mean_ms: f64,
     priority: u8,
     worth: f64,
 }
 
-/// What callers ask for, and the targets that it is for.
+/// A mix of jobs and the size of the targets that run them.
 #[derive(Clone, Copy, Debug)]
 pub struct Workload {
-    /// What targets have, by turns, in thousandths of a core.
+    /// Capacity of targets in thousandths of a core, assigned in turn.
     target_cpu: [u64; 3],
-    /// Mean processor of a task, in thousandths of a core.
+    /// Mean CPU of a task, in thousandths of a core.
     task_cpu: f64,
     job_kinds: [JobKind; JOB_KINDS],
 }
 
 impl Workload {
-    /// A task takes a fifth of a target. The users' ticketing service, by the page of their large deployment.
+    /// Tasks that take about a fifth of a target.
     pub const LARGE_TASKS: Self = Self {
         target_cpu: [16_000, 16_000, 24_000],
         task_cpu: 3_800.0,
@@ -68,8 +69,7 @@
             JobKind { share: 0.044, tasks: 4, mean_ms: 900.0, priority: 2, worth: 17.8 },
         ],
     };
-    /// A task takes a tenth of a target, and there are twice as many long jobs. The same service some months
-    /// later, by its page.
+    /// Tasks that take about a tenth of a target, with a larger share of long jobs.
     pub const SMALL_TASKS: Self = Self {
         target_cpu: [32_000, 32_000, 48_000],
         task_cpu: 3_300.0,
@@ -81,108 +81,108 @@
     };
 }
 
-/// More jobs than usual for a while.
+/// A temporary increase in the rate of jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct Surge {
-    /// When it begins, after the first job.
+    /// Start, counted from the first job.
     pub from: Duration,
-    /// How long it lasts.
+    /// Length of the increase.
     pub duration: Duration,
-    /// How many times as many jobs come.
+    /// Factor on the usual rate.
     pub factor: f64,
 }
 
-/// Agents that no entry reaches for a while.
+/// A temporary loss of the connections of some agents.
 #[derive(Clone, Copy, Debug)]
 pub struct Cut {
-    /// When it begins, after the first job.
+    /// Start, counted from the first job.
     pub from: Duration,
-    /// How long it lasts.
+    /// Length of the loss.
     pub duration: Duration,
-    /// What part of the agents is cut off.
+    /// Share of the agents that are disconnected.
     pub share: f64,
 }
 
-/// Entries whose links carry little, and a configuration that every agent knows from its start.
+/// Slow links to entries, with a configuration that all agents have from the start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowLinks {
-    /// What one entry's link carries.
+    /// Bandwidth of the link of one entry, in bytes per second.
     pub bytes_per_s: u64,
-    /// How large the configuration is.
+    /// Size of the configuration, in bytes.
     pub document_bytes: usize,
 }
 
-/// A load.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Makes the run.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How many entries there are.
+    /// Number of entries.
     pub entries: usize,
-    /// How many agents, each with a target.
+    /// Number of agents, each with one target.
     pub agents: usize,
-    /// How many entries an agent serves; all of them where none is given.
+    /// Sizes of the subsets of entries that agents serve; all entries if `None`.
     pub sizes: Option<Sizes>,
-    /// What callers ask for.
+    /// The mix of jobs.
     pub work: Workload,
-    /// What part of all room jobs take on the mean.
+    /// Mean share of the total capacity that jobs take.
     pub utilization: f64,
-    /// How long jobs come.
+    /// Period in which jobs are submitted.
     pub duration: Duration,
-    /// More jobs for a while.
+    /// A temporary increase in jobs.
     pub surge: Option<Surge>,
-    /// Fewer targets for a while.
+    /// A temporary loss of agents.
     pub cut: Option<Cut>,
-    /// What part of their orders targets leave unanswered and carry out late.
+    /// Share of commands that targets leave unanswered and carry out late.
     pub unanswered: f64,
-    /// Links that hold up what is sent to entries; none carries all at once.
+    /// Slow links to entries; messages take no transmission time if `None`.
     pub links: Option<SlowLinks>,
-    /// The times of entries and agents.
+    /// Timing and policy of entries and agents.
     pub timing: CapacityTiming,
 }
 
-/// What callers got.
+/// Results of a load.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadResult {
-    /// Jobs handed in.
+    /// Jobs that were submitted.
     pub jobs: u64,
-    /// Completed within their objective.
+    /// Jobs that completed within their objective.
     pub in_time: u64,
-    /// Completed later.
+    /// Jobs that completed after their objective.
     pub late: u64,
-    /// Answered as not run.
+    /// Jobs answered as not run.
     pub not_run: u64,
-    /// What part of the worth of all jobs was earned,
+    /// Earned share of the worth of all jobs.
     pub worth: f64,
-    /// and of those of each priority.
+    /// Earned share of the worth of the jobs of each priority.
     pub worth_by_priority: [f64; JOB_KINDS],
-    /// Starts for each task that was started.
+    /// Starts that entries sent, per task that started.
     pub starts_per_task: f64,
-    /// Messages in sessions for each job.
+    /// Messages sent in sessions, per job.
     pub messages_per_job: f64,
-    /// From handing in to the first start, in ms: half of the jobs, and 95 of 100.
+    /// Time from the submission to the first start: median and 95th percentile, in milliseconds.
     pub first_start_ms: (f64, f64),
-    /// Sessions of each entry, fewest and most.
+    /// Lowest and highest number of sessions of an entry.
     pub sessions: (usize, usize),
     /// Entries that have the configuration at the end.
     pub entries_with_document: usize,
 }
 
 impl LoadResult {
-    /// The part of the jobs that ended within their objective.
+    /// Returns the share of jobs that completed within their objective.
     pub fn in_time_share(&self) -> f64 {
         self.in_time as f64 / self.jobs.max(1) as f64
     }
 }
 
-/// What is counted while a run goes on.
+/// Counters of a running load.
 #[derive(Debug, Default)]
 pub(super) struct LoadStats {
     pub messages: u64,
     in_time: u64,
     late: u64,
     not_run: u64,
-    /// Worth that was asked for and earned, by priority.
+    /// Submitted and earned worth, by priority.
     worth: [(f64, f64); JOB_KINDS],
     first_starts: Vec<Duration>,
 }
@@ -215,7 +215,7 @@
     }
 }
 
-/// Plays a load.
+/// Runs a load to its end.
 pub fn run_load(load: &Load) -> LoadResult {
     let rng = ChaCha8Rng::seed_from_u64(load.seed);
     let subsets = EntrySubsets::fixed(load.seed, subsets_of(load));
@@ -253,14 +253,14 @@
     (0..load.agents).map(change_subset).collect()
 }
 
-/// Draws the clients; returns how many there are.
+/// Schedules the submissions of all clients; returns their number.
 fn schedule_clients(simulation: &mut Simulation, load: &Load) -> u64 {
     let capacity: u64 = simulation.agents.iter().map(|agent| agent.capacity.cpu_milli).sum();
     let cpu_time_of = |kind: &JobKind| kind.share * f64::from(kind.tasks) * kind.mean_ms;
     let mean_cpu_time =
         load.work.job_kinds.iter().map(cpu_time_of).sum::<f64>() * load.work.task_cpu;
     let per_ms = capacity as f64 * load.utilization / mean_cpu_time;
-    // The balancer hands clients out by a hash, so that entries get uneven shares.
+    // The load balancer assigns clients by a hash, so that entries get uneven shares.
     let shares: Vec<f64> =
         (0..load.entries).map(|_| simulation.rng.random_range(0.2_f64..1.8)).collect();
     let all_shares: f64 = shares.iter().sum();
@@ -343,7 +343,7 @@
     client
 }
 
-/// A factor whose logarithm is spread evenly, with the spread's standard deviation.
+/// Returns a random factor that is log-uniform around 1.
 fn log_uniform_factor(rng: &mut ChaCha8Rng) -> f64 {
     let half_width = LOG_STD_DEV * 3.0_f64.sqrt();
     rng.random_range(-half_width..half_width).exp()
@@ -352,7 +352,7 @@
 fn limit_entry_links(simulation: &mut Simulation, load: &Load) {
     let Some(links) = load.links else { return };
     simulation.limit_links(links.bytes_per_s);
-    // It travels packed: what is told apart by nothing takes its length on a link.
+    // Random text, as documents are compressed on the wire.
     let mut rng = ChaCha8Rng::seed_from_u64(load.seed);
     let text: String = (0..links.document_bytes).map(|_| rng.random_range('!'..='~')).collect();
     simulation.document = Some(Document::new(1, text));
--- a/soak/src/capacity/mod.rs
+++ b/soak/src/capacity/mod.rs
@@ -1,8 +1,7 @@
-//! Randomised runs of entries, agents and targets that have room.
+//! Randomised runs of entries, agents and targets with scheduling by reported capacity.
 //!
-//! Like the runs of slots, a run is made by its seed alone, and nothing here decides anything for
-//! dockpass: it carries messages between the libraries and checks what must always hold, by what
-//! targets and clients see.
+//! A run is determined by its seed. The harness only carries messages between the libraries, and
+//! checks invariants by what targets and clients observe.
 
 mod checks;
 mod client;
@@ -28,23 +27,23 @@
 use crate::checks::Violation;
 use crate::simulation::Options;
 
-/// The times that entries and agents of a run keep to.
+/// Timing and policy of the processes of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CapacityTiming {
-    /// Those of entries.
+    /// Timing of entries.
     pub entry: dispatch::Timing,
-    /// Those of agents.
+    /// Timing of agents.
     pub agent: runner::Timing,
-    /// The parts of an entry's policy that are in force.
+    /// Policy of entries.
     pub policy: dispatch::Policy,
 }
 
-/// Runs one seed to its end.
+/// Runs one seed with the default timing; returns its counters, or the violations found.
 pub fn run_capacity(options: &Options) -> Result<CapacitySummary, Vec<Violation>> {
     run_capacity_with(options, CapacityTiming::default())
 }
 
-/// Runs one seed to its end, with other times than the default ones.
+/// Runs one seed with a given timing; returns its counters, or the violations found.
 pub fn run_capacity_with(
     options: &Options,
     timing: CapacityTiming,
--- a/soak/src/capacity/processes.rs
+++ b/soak/src/capacity/processes.rs
@@ -1,4 +1,4 @@
-//! Entries and agents: what they are told, and what they do.
+//! Delivery of events to entries and agents, and the execution of their actions.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::session::Packet;
 use super::simulation::{Call, SimEvent, Simulation};
 
-/// What part of the orders a mute target leaves unanswered.
+/// Share of commands that an unresponsive target leaves unanswered.
 const UNRESPONSIVE_SHARE: f64 = 0.6;
 
 impl Simulation {
@@ -108,7 +108,8 @@
         }
     }
 
-    /// How long an order takes to the target, and whether it is carried out late, unanswered.
+    /// Returns the delay of a command to the target, and whether it is carried out late and
+    /// unanswered.
     pub(super) fn command_delay(&mut self, agent: usize) -> (Duration, bool) {
         let unresponsive =
             self.agents[agent].target.as_ref().is_some_and(|target| target.unresponsive);
@@ -126,7 +127,7 @@
         Call { agent, incarnation, number: self.sequence }
     }
 
-    /// An answer, or its absence, reaches the agent; the first that comes counts.
+    /// Delivers the answer to a command, or its timeout, to the agent. Only the first one counts.
     pub(super) fn deliver_answer(&mut self, call: Call, event: runner::Event) {
         if !self.open_calls.contains(&call.number) {
             return;
--- a/soak/src/capacity/session.rs
+++ b/soak/src/capacity/session.rs
@@ -1,26 +1,26 @@
-//! Sessions between entries and agents: ordered messages, held up by cuts, lost with the session.
+//! Sessions between entries and agents, which deliver messages in order.
 
 use model::Time;
 use wire::{ToAgent, ToEntry};
 
-/// One session.
+/// The state of a session at both ends.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Session {
     pub entry: usize,
     pub agent: usize,
     pub open_at_entry: bool,
     pub open_at_agent: bool,
-    /// When the last message sent each way arrives: later ones arrive no earlier.
+    /// Arrival of the last message in each direction; later messages arrive no earlier.
     pub last_to_entry: Time,
     pub last_to_agent: Time,
 }
 
-/// What travels in a session.
+/// A message in a session.
 #[derive(Clone, Debug)]
 pub(super) enum Packet {
     ToAgent(ToAgent),
     ToEntry(ToEntry),
-    /// The other side has closed.
+    /// The other side has closed the session.
     CloseAtAgent,
     CloseAtEntry,
 }
--- a/soak/src/capacity/simulation.rs
+++ b/soak/src/capacity/simulation.rs
@@ -1,4 +1,4 @@
-//! The world of one run: its state, and what happens next.
+//! The state of a run, its event queue, and the dispatch of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -29,28 +29,29 @@
 use crate::simulation::Options;
 
 pub(super) const START: Time = Time::from_millis(1_000_000);
-/// Faults and jobs come for so long,
+/// Period in which faults are injected.
 pub(super) const FAULT_PERIOD: Duration = Duration::from_secs(8);
-/// and jobs alone from then
+/// Start of the period without faults.
 pub(super) const CALM_START: Duration = Duration::from_millis(13_500);
-/// until then.
+/// End of the last submissions.
 const CALM_END: Duration = Duration::from_millis(15_500);
-/// All has to be over by then.
+/// End of the run; all jobs have to be answered by then.
 const RUN_END: Duration = Duration::from_secs(24);
 pub(super) const TARGET_TICK: Duration = Duration::from_millis(5);
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// The hall of all targets where nobody empties halls.
+/// The hall of all targets in runs without hall commands.
 pub(super) const DEFAULT_HALL: &str = "hall";
 pub(super) const DIAL_INTERVAL: Duration = Duration::from_millis(120);
 
-/// What happens next.
+/// A scheduled event. Where an event has the incarnation of a process, it is dropped if the process
+/// has restarted since.
 pub(super) enum SimEvent {
     EntryTick(usize, u64),
     AgentTick(usize, u64),
     Packet(usize, Packet),
-    /// The link of an entry has carried a segment.
+    /// The link of an entry has sent a segment.
     LinkSent(usize),
-    /// A part of the configuration may be late at one life of an entry.
+    /// The timeout of a requested part of the configuration, with the incarnation of the entry.
     PartTimeout(usize, u64),
     Start(Call, StartCommand, bool),
     Stop(Call, StopCommand, bool),
@@ -61,23 +62,23 @@
     HoldAnswered(Call, HoldCommand, HoldReply),
     AdvanceTargets,
     Heartbeat(usize),
-    /// A report of a target that was held up on its way.
+    /// A delayed report of a target.
     DelayedReport(usize, TargetReport),
     Dial(usize, usize),
-    /// No entry reaches an agent for a while.
+    /// All entries lose an agent for a while.
     DisconnectAgent(usize, Duration),
-    /// An agent is to serve other entries, or all.
+    /// Changes the entries that an agent serves, to all or to a random subset.
     ChangeSubset(usize, bool),
-    /// An order for a hall is acknowledged: its targets take work, or none.
+    /// A command for a hall is acknowledged: its targets take work, or none.
     HallCommand(usize, bool),
-    /// A keeper tells an entry, or an agent, which halls are emptied.
+    /// A keeper notifies an entry or an agent of the emptied halls.
     HallNotice {
         is_entry: bool,
         number: usize,
         emptied: EmptiedHalls,
     },
     Cancel(JobId),
-    /// One life of an entry is told that a job is cancelled.
+    /// A cancel of a job reaches another entry, with its incarnation.
     CancelNotice(usize, u64, JobId),
     Submit(JobId),
     QueuedSubmit(usize, u64, CallId, JobRequest),
@@ -89,15 +90,15 @@
     StartTarget(usize),
     RestoreBehavior(usize),
     RestoreAnswers(usize),
-    /// A target has another room, in percent of what it had at first.
+    /// Sets the capacity of a target, in percent of its initial one.
     Resize(usize, u64),
-    /// One life of an agent finds that nothing listens at the address of its target.
+    /// An agent, with its incarnation, finds that its target does not listen.
     NoListener(usize, u64, TargetInstance),
-    /// A task crashes the life of its target in which it began.
+    /// Crashes the target instance that started a task.
     CrashTarget(usize, TargetInstance),
 }
 
-/// An order of one life of an agent; it is answered once, or not in time.
+/// A command of one incarnation of an agent. It gets one answer, or a timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Call {
     pub agent: usize,
@@ -112,7 +113,7 @@
     pub sessions: BTreeMap<u64, usize>,
     pub jobs: BTreeMap<CallId, JobId>,
     pub next_id: u64,
-    /// None where all arrives at once, however much it is.
+    /// `None` where messages take no transmission time.
     pub link: Option<EntryLink>,
     pub fetch: DocumentFetch,
 }
@@ -127,9 +128,9 @@
     pub slow_clock: bool,
     pub sessions: BTreeMap<u64, usize>,
     pub next_id: u64,
-    /// When the agent heard that its target leaves.
+    /// When the agent received the drain notice of its target.
     pub draining_since: Option<Time>,
-    /// The hold that waits at the target.
+    /// The hold command that waits at the target.
     pub waiting_hold: Option<(Call, HoldCommand)>,
 }
 
@@ -149,18 +150,18 @@
     pub(super) timing: CapacityTiming,
     pub(super) subsets: EntrySubsets,
     pub(super) load_stats: LoadStats,
-    /// What agents know from their start.
+    /// The configuration that agents have from the start.
     pub(super) document: Option<Document>,
-    /// None where nobody empties halls.
+    /// `None` in runs without hall commands.
     pub(super) halls: Option<HallCommands>,
-    /// None where targets are what they were at first.
+    /// `None` in runs with stable targets.
     pub(super) unstable_targets: Option<UnstableTargets>,
-    /// What part of their orders targets leave unanswered and carry out late.
+    /// Share of commands that targets leave unanswered and carry out late.
     pub(super) unanswered: f64,
 }
 
 impl Simulation {
-    /// The run that a seed makes: few entries and agents, and faults.
+    /// Creates the run of a seed: a small cluster with random faults and jobs.
     pub fn new(options: &Options, timing: CapacityTiming) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
         let entries = rng.random_range(2..=3);
@@ -186,7 +187,7 @@
         simulation
     }
 
-    /// A world without processes and clients.
+    /// Creates a simulation without processes and clients.
     pub fn empty(rng: ChaCha8Rng, timing: CapacityTiming, subsets: EntrySubsets) -> Self {
         Self {
             now: START,
@@ -284,7 +285,7 @@
         self.set_up_subsets();
     }
 
-    /// Runs for a time. What happens later stays to happen.
+    /// Handles all events up to `end`; later ones stay scheduled.
     pub fn run_until(&mut self, end: Time) {
         while let Some(next) = self.event_queue.first_entry()
             && next.key().0 <= end
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Runs to the end.
+    /// Runs to the end and returns the counters, or the violations found.
     pub fn run(mut self) -> Result<CapacitySummary, Vec<Violation>> {
         self.run_until(START + RUN_END);
         self.check_end();
@@ -312,7 +313,7 @@
         for (index, entry) in self.entries.iter().enumerate() {
             let active = entry.dispatcher.as_ref().map_or(0, Dispatcher::active_jobs);
             if active > 0 {
-                failures.push(format!("entry {index} has {active} jobs at the end"));
+                failures.push(format!("entry {index} has {active} open jobs at the end"));
             }
         }
         for (index, agent) in self.agents.iter().enumerate() {
@@ -323,7 +324,7 @@
             }
         }
         for client in self.clients.values().filter(|client| client.pending_call.is_some()) {
-            failures.push(format!("{} is not answered", client.request.id));
+            failures.push(format!("job {} has no answer at the end", client.request.id));
         }
         failures.into_iter().for_each(|description| self.checks.violation(now, description));
     }
@@ -461,7 +462,7 @@
                 }
             }
             SimEvent::StartTarget(agent) => {
-                // Where it crashed once more while it was down, this life takes the place of the one before.
+                // A target that crashed again during its downtime is replaced by this instance.
                 self.checks.target_crashed(self.agents[agent].target.as_ref());
                 let process = &mut self.agents[agent];
                 process.target_instances += 1;
--- a/soak/src/capacity/submissions.rs
+++ b/soak/src/capacity/submissions.rs
@@ -1,4 +1,4 @@
-//! Clients: what they hand in and what they are answered.
+//! Submission of jobs by clients, timeouts, and answers.
 
 use dispatch::{CallId, Outcome};
 use model::JobId;
@@ -17,7 +17,7 @@
         let tries = client.tries;
         let process = &mut self.entries[entry];
         if process.dispatcher.is_none() {
-            // No connection: it tries again.
+            // The entry is down, so the connection fails and the client tries again.
             if tries < MAX_TRIES {
                 self.schedule_after(RESEND_DELAY, SimEvent::Submit(id.clone()));
             }
@@ -32,7 +32,7 @@
         self.schedule_after(request.deadline, SimEvent::ClientTimeout(id.clone(), tries));
         let paused_until = self.entries[entry].paused_until;
         if paused_until > self.now {
-            // It lies unread for so long.
+            // The request stays unread until the entry resumes.
             let incarnation = self.entries[entry].incarnation;
             return self.schedule_at(
                 paused_until,
@@ -42,13 +42,13 @@
         self.deliver_to_entry(entry, dispatch::Event::Submit(CallId(call_id), request));
     }
 
-    /// The entry that the balancer hands a client to: any one, or always the same.
+    /// Returns the fixed entry of a client, or a random one as the load balancer would choose.
     fn entry_of(&mut self, id: &JobId) -> usize {
         let fixed = self.clients.get(id).and_then(|client| client.fixed_entry);
         fixed.unwrap_or_else(|| self.rng.random_range(0..self.entries.len()))
     }
 
-    /// The client's time is over.
+    /// Ends a try that was not answered within the client's deadline.
     pub(super) fn client_timed_out(&mut self, id: &JobId, tries: u32) {
         let Some(client) = self.clients.get_mut(id).filter(|client| client.tries == tries) else {
             return;
--- a/soak/src/capacity/subsets.rs
+++ b/soak/src/capacity/subsets.rs
@@ -1,6 +1,6 @@
-//! Agents that serve some of the entries, and cancels that reach an entry which has not the job.
+//! Agents that serve a subset of the entries, and cancels that reach an entry without the job.
 //!
-//! All that is drawn here comes from a stream of its own, so that seeds keep the faults that they had.
+//! A separate random stream keeps the faults of a seed unchanged.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 
 use super::simulation::{CALM_START, FAULT_PERIOD, SimEvent, Simulation};
 
-/// Told apart from the seed of everything else.
+/// Separates this random stream from the others of the seed.
 const RNG_STREAM: u64 = 0x5e70_fe77_1e55;
-/// What part of the runs has sets.
+/// Share of the runs that have subsets.
 const SUBSET_RUN_SHARE: f64 = 0.5;
-/// What part of their jobs is cancelled.
+/// Share of the jobs that are cancelled in these runs.
 const CANCELLED_SHARE: f64 = 0.06;
-/// All sets are whole again by then, so that the last jobs find room as in runs without sets.
+/// When all agents serve all entries again, ahead of the jobs without faults.
 const FULL_SUBSETS_FROM: Duration = Duration::from_millis(CALM_START.as_millis() as u64 - 2_000);
 
-/// Which entries each agent serves.
+/// The entries that each agent serves.
 #[derive(Debug)]
 pub(super) struct EntrySubsets {
     rng: ChaCha8Rng,
     serves: Vec<BTreeSet<usize>>,
-    /// Sets never change, so that agents dial only the entries that they serve.
+    /// Subsets never change, so that agents dial only the entries that they serve.
     fixed: bool,
 }
 
@@ -35,12 +35,12 @@
         Self { rng: ChaCha8Rng::seed_from_u64(seed ^ RNG_STREAM), serves, fixed: false }
     }
 
-    /// Sets that never change.
+    /// Creates subsets that never change.
     pub fn fixed(seed: u64, serves: Vec<BTreeSet<usize>>) -> Self {
         Self { rng: ChaCha8Rng::seed_from_u64(seed ^ RNG_STREAM), serves, fixed: true }
     }
 
-    /// Whether an agent ever serves an entry.
+    /// Whether an agent serves an entry at any time of the run.
     pub fn may_serve(&self, agent: usize, entry: usize) -> bool {
         !self.fixed || self.serves(agent, entry)
     }
@@ -49,7 +49,7 @@
         self.serves[agent].contains(&entry)
     }
 
-    /// Draws another set for an agent, which serves one entry at least.
+    /// Draws a random subset for an agent, with at least one entry.
     fn redraw(&mut self, agent: usize, entries: usize) {
         let always = self.rng.random_range(0..entries);
         let drawn = (0..entries).filter(|entry| *entry == always || self.rng.random_bool(0.5));
@@ -58,7 +58,7 @@
 }
 
 impl Simulation {
-    /// Draws when sets change and which jobs are cancelled.
+    /// Schedules the changes of subsets and the cancels of jobs.
     pub(super) fn set_up_subsets(&mut self) {
         if !self.subsets.rng.random_bool(SUBSET_RUN_SHARE) {
             return;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// An agent is to serve other entries, or all.
+    /// Changes the subset of an agent to all entries, or to a random one.
     pub(super) fn change_subset(&mut self, agent: usize, all: bool) {
         let entries = self.entries.len();
         match all {
@@ -93,7 +93,7 @@
             false => self.subsets.redraw(agent, entries),
         }
         if self.agents[agent].paused_until > self.now {
-            // What it serves is looked at when it dials next.
+            // A paused agent applies its subset at the next dial.
             return;
         }
         let retired: Vec<u64> = self.agents[agent]
@@ -107,12 +107,12 @@
         }
     }
 
-    /// A client cancels its job at any entry.
+    /// A client cancels its job at a random entry.
     pub(super) fn cancel(&mut self, id: &JobId) {
         let entry = self.subsets.rng.random_range(0..self.entries.len());
         let process = &self.entries[entry];
         if process.dispatcher.is_none() || process.paused_until > self.now {
-            // It is not acknowledged, so nothing is owed.
+            // The cancel is not acknowledged, so it guarantees nothing.
             return;
         }
         if let Some(client) = self.clients.get_mut(id) {
@@ -122,7 +122,7 @@
         self.deliver_to_entry(entry, dispatch::Event::Cancel(id.clone()));
     }
 
-    /// An entry tells the others that a job is cancelled.
+    /// Notifies the other entries of a cancelled job.
     pub(super) fn notify_entries(&mut self, from: usize, job: &JobId) {
         for entry in (0..self.entries.len()).filter(|entry| *entry != from) {
             let delay = Duration::from_micros(self.subsets.rng.random_range(200..4_000));
--- a/soak/src/capacity/target.rs
+++ b/soak/src/capacity/target.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a target that takes orders: runs under a lease, ends, fencing, a clock of its
-//! own.
+//! A simulated target that takes commands, with leases, fencing tokens, reported ends and its own
+//! clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,27 +13,27 @@
 
 use super::simulation::DEFAULT_HALL;
 
-/// How much slower than true time its clock may run, in thousandths.
+/// How much a slow clock lags behind true time, in thousandths.
 const CLOCK_DRIFT_PERMILLE: u64 = 20;
-/// How long a stop takes.
+/// Duration of a stop.
 const STOP_TIME: Duration = Duration::from_millis(40);
-/// The longest lease that it grants.
+/// The longest lease that a target grants.
 pub(crate) const MAX_LEASE: Duration = Duration::from_secs(1);
 
-/// How a target treats what it starts.
+/// What a target does with the tasks that it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Behavior {
-    /// As it should.
+    /// Tasks take their time and end as drawn.
     Normal,
-    /// It fails what it starts.
+    /// Tasks fail early.
     Fails,
-    /// What it starts never ends.
+    /// Tasks never end.
     Hangs,
-    /// It takes this many times as long.
+    /// Tasks take a multiple of their time.
     Slow(u32),
 }
 
-/// A run at the target.
+/// A run of a task at the target.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub run: u64,
@@ -42,18 +42,18 @@
     reason: EndReason,
 }
 
-/// One life of a target.
+/// One instance of a target.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub instance: TargetInstance,
-    /// The hall that it stands in.
+    /// The hall in which the target stands.
     pub hall: &'static str,
     pub capacity: Resources,
-    /// Whether it refuses what it has no room for.
+    /// Whether the target refuses starts that exceed its capacity.
     pub enforces_capacity: bool,
     pub behavior: Behavior,
     pub draining: bool,
-    /// Its orders are not answered, and carried out later.
+    /// Whether part of the commands is carried out late, without an answer.
     pub unresponsive: bool,
     started_at: Time,
     slow_clock: bool,
@@ -62,11 +62,11 @@
     pub runs: BTreeMap<TaskId, Run>,
     ends: Vec<TargetEnd>,
     next_end: u64,
-    /// The highest run of each task that was stopped or has ended.
+    /// For each task, the highest run number that was stopped or has ended.
     highest_closed_run: BTreeMap<TaskId, u64>,
 }
 
-/// A run that ended, for the checks.
+/// A run that ended, as reported to the checks.
 pub(crate) struct EndedRun {
     pub task: TaskId,
     pub reason: EndReason,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Lets time pass: runs end, the lease may lapse.
+    /// Ends all runs that are due, or all runs once the lease has expired.
     pub fn advance(&mut self, now: Time) -> Vec<EndedRun> {
         if self.clock_ms(now) > self.lease_end_ms {
             let runs: Vec<TaskId> = self.runs.keys().cloned().collect();
@@ -152,8 +152,8 @@
             self.lease_end_ms.max(deadline_ms.min(clock + MAX_LEASE.as_millis() as u64));
     }
 
-    /// Takes a start; `work` is how long the task takes, `fails` whether by its own fault. The
-    /// second part of what is returned says whether it began to run.
+    /// Carries out a start, where `work` is the duration of the task and `fails` whether it fails.
+    /// Returns the reply and whether a new run started.
     pub fn start(
         &mut self,
         now: Time,
@@ -224,7 +224,7 @@
         StopReply::Acknowledged
     }
 
-    /// Takes a hold; `None` where the answer waits for an end.
+    /// Carries out a hold; `None` if the answer has to wait for a run to end.
     pub fn hold(&mut self, now: Time, command: &HoldCommand, timed_out: bool) -> Option<HoldReply> {
         let clock_ms = self.clock_ms(now);
         if command.target.id != self.instance.id {
@@ -253,12 +253,12 @@
         })
     }
 
-    /// What runs takes, in thousandths of a core.
+    /// Returns the CPU that runs take, in thousandths of a core.
     pub fn used_cpu_milli(&self) -> u64 {
         self.runs.values().map(|run| run.resources.cpu_milli).sum()
     }
 
-    /// The tasks that run.
+    /// Returns the running tasks.
     pub fn running(&self) -> BTreeSet<&TaskId> {
         self.runs.keys().collect()
     }
--- a/soak/src/capacity/transport.rs
+++ b/soak/src/capacity/transport.rs
@@ -1,4 +1,4 @@
-//! Sessions between entries and agents.
+//! Opening and closing of sessions, and delivery of their messages.
 
 use std::collections::BTreeMap;
 
@@ -41,7 +41,7 @@
         self.deliver_to_agent(agent, runner::Event::SessionOpened(runner::SessionId(at_agent)));
     }
 
-    /// Sends in a session, by the link of its entry where that is limited.
+    /// Sends a packet in a session, by the link of the entry where that is limited.
     pub(super) fn send(&mut self, number: usize, packet: Packet) {
         self.load_stats.messages += 1;
         if let Some(packet) = self.send_by_link(number, packet) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Lets a parcel arrive: in order, and not before a cut is over.
+    /// Schedules the arrival of a packet: in order, and after any cut has ended.
     pub(super) fn transmit(&mut self, number: usize, packet: Packet) {
         let delay = self.random_hop();
         let session = self.sessions[number];
--- a/soak/src/capacity/unstable_targets.rs
+++ b/soak/src/capacity/unstable_targets.rs
@@ -1,7 +1,6 @@
-//! Targets that change: they start again under the id that they had, have more or less room by turns, and crash under some
-//! tasks.
+//! Targets that restart under the same id, change their capacity, and crash under some tasks.
 //!
-//! What is drawn for this comes from a generator of its own, so that the rest of a run is what its seed makes without it.
+//! A separate random stream keeps the other events of a seed unchanged.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,34 +13,34 @@
 use super::faults::Fault;
 use super::simulation::{Call, FAULT_PERIOD, HEARTBEAT_INTERVAL, SimEvent, Simulation};
 
-/// Keeps the generator apart from those that other parts of a run make of its seed.
+/// Separates this random stream from the others of the seed.
 const RNG_STREAM: u64 = 0x5e57;
-/// A start brings a target over its room rightly for so long after that has shrunk: the agent hears of it with the next report,
-/// which may be held up for 4 s.
+/// How long after a reduction a start may exceed the capacity: the agent learns the new capacity
+/// from the next report, which may be delayed.
 const REDUCTION_GRACE: Duration =
     Duration::from_millis(HEARTBEAT_INTERVAL.as_millis() as u64 + 4_100);
-/// Of so many jobs, the first task of one crashes the targets that start it.
+/// One of this many jobs has a first task that crashes its target.
 const CRASHING_JOB_INTERVAL: u64 = 40;
-/// How long such a task runs until then.
+/// Time from the start of such a task to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(30);
-/// A target that crashes under a task is back after so long.
+/// Downtime of a target that crashes under a task, in milliseconds.
 const RESTART_DELAY_MS: std::ops::Range<u64> = 200..2_500;
-/// Most targets that may crash under one task, over all tries of its job.
+/// Most target crashes under one task, over all submissions of its job.
 const MAX_CRASHES: u32 = 5;
 
-/// What changes at the targets of a run.
+/// The changes at the targets of a run.
 pub(super) struct UnstableTargets {
     rng: ChaCha8Rng,
-    /// Each target refuses what it has no room for, or does not.
+    /// Whether each target refuses starts that exceed its capacity.
     enforces_capacity: Vec<bool>,
-    /// When each had less room than before last.
+    /// When the capacity of each target was last reduced.
     reduced_at: Vec<Time>,
-    /// The life of the target that has taken an order and lets it lie, by the number of the call.
+    /// The target instance that received an unanswered command, by call number.
     unanswered: BTreeMap<u64, TargetInstance>,
 }
 
 impl UnstableTargets {
-    /// Whether an order that lay unanswered is gone with the process that had taken it.
+    /// Whether an unanswered command was received by an earlier instance of the target.
     fn is_gone(&mut self, call: Call, present: &TargetInstance) -> bool {
         self.unanswered.remove(&call.number).is_some_and(|received_by| received_by != *present)
     }
@@ -52,7 +51,7 @@
 }
 
 impl Simulation {
-    /// Draws which targets guard their room, and when it changes.
+    /// Draws which targets enforce their capacity, and schedules the changes of capacity.
     pub(super) fn set_up_unstable_targets(&mut self, seed: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(RNG_STREAM);
@@ -74,7 +73,8 @@
         });
     }
 
-    /// An order may lie at its target, unanswered, and be carried out later: not by the next process, which has the id as well.
+    /// Records which instance received an unanswered command, as later instances with the same id
+    /// must not carry it out.
     pub(super) fn record_unanswered(&mut self, call: Call, late: bool) {
         let Some(unstable_targets) = self.unstable_targets.as_mut().filter(|_| late) else {
             return;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether the process that had taken an order is gone.
+    /// Whether the target instance that received a command is gone.
     pub(super) fn is_command_lost(&mut self, call: Call) -> bool {
         let (Some(unstable_targets), Some(target)) =
             (&mut self.unstable_targets, &self.agents[call.agent].target)
@@ -106,18 +106,18 @@
         target.capacity.cpu_milli = cpu_milli;
     }
 
-    /// A task has begun to run at a target: that must not bring it over its room.
+    /// Checks that a started task does not exceed the capacity of its target.
     pub(super) fn check_capacity(&mut self, agent: usize, task: &TaskId) {
         let (Some(unstable_targets), Some(target)) =
             (&self.unstable_targets, &self.agents[agent].target)
         else {
             return;
         };
-        // An agent that stood still hears of it afterwards.
+        // A paused agent receives the report only after it resumes.
         let reported_from = unstable_targets.reduced_at[agent].max(self.agents[agent].paused_until);
         let recently_reduced = self.now.since(reported_from) < REDUCTION_GRACE;
         if target.used_cpu_milli() > target.capacity.cpu_milli && !recently_reduced {
-            let description = format!("{task} brings target {agent} over its room");
+            let description = format!("{task} exceeds the capacity of target {agent}");
             self.checks.violation(self.now, description);
         }
     }
@@ -138,8 +138,7 @@
         let instance = target.instance.clone();
         let crashes = self.checks.crash_count(task);
         if crashes >= MAX_CRASHES {
-            let description =
-                format!("{task} is started though {crashes} targets have crashed under it");
+            let description = format!("{task} starts after {crashes} target crashes under it");
             self.checks.violation(self.now, description);
         }
         self.schedule_after(CRASH_DELAY, SimEvent::CrashTarget(agent, instance));
@@ -156,7 +155,7 @@
         self.inject_fault(Fault::CrashTarget { agent, downtime });
     }
 
-    /// An order goes to a target of which no process is there.
+    /// Schedules the connection error of a command to a target that is down.
     pub(super) fn report_no_listener(&mut self, agent: usize, instance: &TargetInstance) {
         if self.unstable_targets.is_some() && self.agents[agent].target.is_none() {
             self.schedule_after(
