--- a/soak/src/keepers/checks.rs
+++ b/soak/src/keepers/checks.rs
@@ -1,4 +1,4 @@
-//! What must always hold of the settings, checked from outside.
+//! Invariants of the settings, checked only by what operators, nodes and disks observe.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -7,41 +7,41 @@
 
 use crate::Violation;
 
-/// What a run of keepers did.
+/// Counters of one run of keepers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeeperSummary {
-    /// Changes that an operator was told are accepted.
+    /// Changes that were acknowledged as accepted.
     pub accepted: u64,
-    /// Changes that an operator was told are refused.
+    /// Changes that were acknowledged as refused.
     pub refused: u64,
-    /// Tries whose outcome stayed unknown to the operator.
+    /// Changes that an operator gave up without knowing their outcome.
     pub unknown: u64,
-    /// Reads answered.
+    /// Reads of the settings that were answered.
     pub reads: u64,
-    /// Versions that came into force at a node.
+    /// Settings that nodes received.
     pub settings_received: u64,
-    /// Elections won.
+    /// Elections that were won.
     pub elections: u64,
-    /// Disks lost.
+    /// Disks that were lost.
     pub disks_lost: u64,
-    /// Losses of all power, each right after an acknowledgement.
+    /// Power losses of all keepers, each right after an acknowledgement.
     pub power_losses: u64,
-    /// Times that a full disk refused what was to be stored.
+    /// Writes that were refused by a full disk.
     pub full_disks: u64,
-    /// Faults that happened.
+    /// Injected faults.
     pub faults: u64,
-    /// Orders for halls that were acknowledged.
+    /// Hall commands that were acknowledged.
     pub hall_commands: u64,
-    /// Keepers that were moved to another host,
+    /// Keepers that were replaced by one on another host.
     pub moves: u64,
-    /// and of these such as came back with the disk that they had.
+    /// Replaced keepers that returned with their old disk.
     pub repaired: u64,
-    /// Disks that were lost again right after their keeper's return.
+    /// Disks that were lost again right after the return of their keeper.
     pub wiped_twice: u64,
 }
 
 impl KeeperSummary {
-    /// Adds another run's numbers.
+    /// Adds the counters of another run.
     pub fn add(&mut self, other: &Self) {
         self.accepted += other.accepted;
         self.refused += other.refused;
@@ -60,20 +60,20 @@
     }
 }
 
-/// Watches every commit, answer and version.
+/// Checks every election, reply and version, and counts them.
 #[derive(Debug, Default)]
 pub(crate) struct KeeperChecks {
     pub violations: Vec<Violation>,
     pub summary: KeeperSummary,
     /// The leader of each term.
     leaders: HashMap<u64, String>,
-    /// The tree of each version that anyone has seen.
+    /// The tree of each version that was seen.
     trees: BTreeMap<u64, Tree>,
-    /// The version that each change was told to have made.
+    /// The version that each accepted change made.
     accepted: HashMap<String, u64>,
-    /// Changes that an operator was told of before.
+    /// Accepted changes, whose acknowledgement may be repeated.
     resent: HashSet<String>,
-    /// The highest version that an operator was told of, or that was read.
+    /// The highest version that was acknowledged or read.
     newest_reported: u64,
 }
 
@@ -82,16 +82,16 @@
         self.violations.push(Violation { time, description: description.into() });
     }
 
-    /// A replica won an election: one a term.
+    /// Checks that a term has only one leader.
     pub fn leader_elected(&mut self, time: Time, name: &str, term: u64) {
         self.summary.elections += 1;
         let first = self.leaders.entry(term).or_insert_with(|| name.to_owned()).clone();
         if first != name {
-            self.violation(time, format!("{first} and {name} lead in term {term}"));
+            self.violation(time, format!("keepers {first} and {name} both lead in term {term}"));
         }
     }
 
-    /// A tree was seen in a version: a version has one tree.
+    /// Checks that a version always has the same tree.
     pub fn version_seen(&mut self, time: Time, version: u64, tree: &Tree) {
         let first = self.trees.entry(version).or_insert_with(|| tree.clone());
         if first != tree {
@@ -99,50 +99,60 @@
         }
     }
 
-    /// The newest version that anyone was told of up to now.
+    /// Returns the highest version that was acknowledged or read so far.
     pub fn newest_reported(&self) -> u64 {
         self.newest_reported
     }
 
-    /// An operator read a version; `newest` was told to someone before it asked.
+    /// Checks a read of the settings, where `newest` was the highest reported version when it was
+    /// sent.
     pub fn version_read(&mut self, time: Time, version: u64, tree: &Tree, newest: u64) {
         self.summary.reads += 1;
         self.version_seen(time, version, tree);
         if version < newest {
-            self.violation(time, format!("read version {version} after {newest} was told"));
+            self.violation(
+                time,
+                format!("read version {version} after version {newest} was reported"),
+            );
         }
         self.newest_reported = self.newest_reported.max(version);
     }
 
-    /// An operator was told that its change is accepted; `newest` was told before it first asked.
+    /// Checks an accepted change, where `newest` was the highest reported version when it was first
+    /// sent.
     pub fn change_accepted(&mut self, time: Time, change: &str, version: u64, newest: u64) {
         self.summary.accepted += 1;
         let first = *self.accepted.entry(change.to_owned()).or_insert(version);
         if first != version {
-            self.violation(time, format!("change {change} made versions {first} and {version}"));
+            self.violation(
+                time,
+                format!("change {change} was accepted as versions {first} and {version}"),
+            );
         }
         let others = self.accepted.iter().filter(|(id, v)| **v == version && *id != change).count();
         if others > 0 {
-            self.violation(time, format!("version {version} was made twice"));
+            self.violation(time, format!("version {version} was assigned to two changes"));
         }
         let resent = self.resent.contains(change);
         if version <= newest && !resent {
-            let description = format!("change {change} made {version} after {newest} was told");
+            let description = format!(
+                "change {change} was accepted as version {version} after version {newest} was reported"
+            );
             self.violation(time, description);
         }
         self.resent.insert(change.to_owned());
         self.newest_reported = self.newest_reported.max(version);
     }
 
-    /// An operator was told that its change is refused.
+    /// Checks that a refused change was not accepted before.
     pub fn change_refused(&mut self, time: Time, change: &str) {
         self.summary.refused += 1;
         if self.accepted.contains_key(change) {
-            self.violation(time, format!("change {change} was accepted, then refused"));
+            self.violation(time, format!("change {change} was refused after it was accepted"));
         }
     }
 
-    /// The changes that operators were told of are all in a tree's history at the end.
+    /// Returns the versions of all acknowledged changes.
     pub fn accepted_versions(&self) -> impl Iterator<Item = u64> + '_ {
         self.accepted.values().copied()
     }
--- a/soak/src/keepers/disks.rs
+++ b/soak/src/keepers/disks.rs
@@ -1,4 +1,4 @@
-//! The keepers' disks: what is stored, refused and lost.
+//! The disks of keepers: writes, refusal of writes, and loss.
 
 use consensus::Record;
 use keeper::{Action, Keeper};
@@ -7,10 +7,10 @@
 
 use super::simulation::KeeperSimulation;
 
-/// Most records of a batch that a loss of power leaves.
+/// Most records of the last write that a power loss leaves on disk.
 const MAX_TORN_RECORDS: usize = 3;
 
-/// One keeper with its disk.
+/// A keeper with its disk.
 pub(crate) struct KeeperNode {
     pub name: NodeName,
     pub keeper: Option<Keeper>,
@@ -18,16 +18,16 @@
     pub stalled_until: Time,
     pub cut_off: bool,
     pub tick_at: Option<Time>,
-    /// The disk takes nothing more.
+    /// Whether the disk refuses writes.
     pub full: bool,
-    /// What it has refused in this life.
+    /// Writes that the full disk refused since the keeper started.
     pub refused_actions: Vec<Action>,
-    /// It was moved to another host, and does not start here.
+    /// Whether the keeper was replaced by one on another host.
     pub removed: bool,
 }
 
 impl KeeperNode {
-    /// One that has not started yet.
+    /// Creates a keeper that has not started yet.
     pub fn new(name: NodeName, disk: Vec<Record>, now: Time) -> Self {
         Self {
             name,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether its disk holds all that it acknowledged.
+    /// Whether the disk holds all records that the keeper acknowledged.
     pub fn holds_acknowledged(&self) -> bool {
         let states = self.disk.iter().rev().filter_map(|record| match record {
             Record::Blank(blank) => Some(!blank),
@@ -51,7 +51,7 @@
         states.into_iter().next().unwrap_or(false)
     }
 
-    /// The last entry on its disk.
+    /// Returns the index of the last log entry on the disk, or 0.
     pub fn last_entry_index(&self) -> u64 {
         let entries = self.disk.iter().rev().find_map(|record| match record {
             Record::Append(entries) => entries.last().map(|entry| entry.index),
@@ -67,7 +67,8 @@
 }
 
 impl KeeperSimulation {
-    /// Stores what is to be stored; returns what the keeper does then, or instead where its disk is full.
+    /// Applies the writes among `actions`. Returns the actions to carry out next, which the keeper
+    /// replaces if its disk is full.
     pub fn store_or_refuse(&mut self, number: usize, actions: Vec<Action>) -> Vec<Action> {
         if self.keepers[number].full && actions.iter().any(is_store) {
             return self.refuse(number, actions);
@@ -76,14 +77,14 @@
         actions
     }
 
-    /// Empties a dead keeper's disk.
+    /// Replaces the disk of a stopped keeper by an empty one.
     pub fn lose_disk(&mut self, number: usize) {
         self.keepers[number].disk = self.topology.empty_disk();
         self.checks.summary.disks_lost += 1;
     }
 
-    /// Ends a keeper while it stores what the next message to it leads to: of that, some of the first
-    /// records are on its disk, and nothing that was to follow is done.
+    /// Kills a keeper while it writes the result of its next message: only some of the first
+    /// records reach the disk, and no other action is carried out.
     pub fn crash_while_storing(&mut self, number: usize) {
         let now = self.now;
         let message = self.next_message(number);
@@ -101,7 +102,7 @@
         keeper.disk.extend(stores.flatten().take(kept));
     }
 
-    /// What is stored is synced before anything else is done.
+    /// Writes records; they count as synced before any other action.
     fn store(&mut self, number: usize, actions: &[Action]) {
         let disk = &mut self.keepers[number].disk;
         for action in actions {
@@ -113,13 +114,13 @@
         }
     }
 
-    /// A full disk refuses what is to be stored; returns what the keeper does instead.
+    /// Refuses all writes among `actions`; returns the actions that the keeper takes instead.
     fn refuse(&mut self, number: usize, actions: Vec<Action>) -> Vec<Action> {
         let now = self.now;
         let keeper = &mut self.keepers[number];
         let Some(machine) = &mut keeper.keeper else { return Vec::new() };
         if !keeper.refused_actions.is_empty() {
-            self.checks.violation(now, "a keeper stores on a disk that it knows to be full");
+            self.checks.violation(now, "a keeper writes to a disk that it knows to be full");
             return Vec::new();
         }
         keeper.refused_actions =
@@ -130,7 +131,7 @@
         instead
     }
 
-    /// A disk has room: what it has refused is stored.
+    /// Ends the refusal of writes and applies the refused ones.
     pub fn free_disk(&mut self, number: usize) {
         let refused = std::mem::take(&mut self.keepers[number].refused_actions);
         self.keepers[number].full = false;
--- a/soak/src/keepers/faults.rs
+++ b/soak/src/keepers/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with keepers.
+//! Random faults of keepers and their disks.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 
 use super::simulation::{KeeperSimulation, SimEvent};
 
-/// Longest time that a dead keeper stays away.
+/// Longest downtime of a killed keeper.
 const MAX_DOWNTIME: Duration = Duration::from_secs(6);
-/// Longest stall, and longest cut.
+/// Longest stall or isolation of a keeper.
 const MAX_STALL: Duration = Duration::from_secs(8);
 /// Longest time for which a disk is full.
 const MAX_FULL_TIME: Duration = Duration::from_secs(8);
-/// How many of 100 acknowledgements are followed by a loss of all power.
+/// Percentage of acknowledged changes that are followed by a power loss.
 const POWER_LOSS_PERCENT: u32 = 4;
-/// From an acknowledgement to the loss of power at most.
+/// Longest time from the acknowledgement to the power loss.
 const MAX_POWER_LOSS_DELAY: Duration = Duration::from_millis(3);
-/// Longest time until a keeper is back after a loss of power.
+/// Longest time until a keeper restarts after a power loss.
 const MAX_POWER_OUTAGE: Duration = Duration::from_millis(1_500);
-/// After all are back one leads within this: what users allow, less the time their own clients need.
+/// Time within which a leader must be elected after all keepers have restarted.
 const LEADER_DEADLINE: Duration = Duration::from_secs(10);
-/// How often it is looked whether one leads.
+/// Interval of the checks for a leader.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl KeeperSimulation {
-    /// Makes one fault, or two at once, and plans the next.
+    /// Injects one or two faults and schedules the next ones.
     pub fn inject_faults(&mut self) {
         if self.now >= self.calm_start {
             return;
@@ -77,7 +77,7 @@
         self.schedule_after(time, SimEvent::FreeDisk(number));
     }
 
-    /// Loses a keeper with its disk, where the cluster bears that.
+    /// Kills a keeper and loses its disk, if the cluster tolerates the loss.
     fn kill_and_lose_disk(&mut self, number: usize) {
         let is_tolerable = self.tolerable_losses(&[number]) > 0;
         self.kill(number);
@@ -86,8 +86,8 @@
         }
     }
 
-    /// How many more disks may be lost before others are repaired: a majority that has everything is
-    /// always left beside those that are to be lost.
+    /// Returns how many more disks may be lost before others are repaired, so that a majority with
+    /// all acknowledged records remains beside `to_lose`.
     pub(super) fn tolerable_losses(&self, to_lose: &[usize]) -> usize {
         let others =
             self.keepers.iter().enumerate().filter(|(number, _)| !to_lose.contains(number));
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether as many vote as are to: before, the cluster bears fewer losses.
+    /// Whether the cluster has its full number of voters; with fewer, it tolerates fewer losses.
     fn has_all_voters(&self) -> bool {
         if !self.topology.membership_changes {
             return true;
@@ -112,7 +112,7 @@
         })
     }
 
-    /// An operator is about to be told that its change is accepted: at times all power fails then.
+    /// Schedules a power loss after some of the replies that accept a change.
     pub fn maybe_lose_power(&mut self, reply: &Reply) {
         let accepted = matches!(reply, Reply::Change(ChangeResult::Accepted { .. }));
         let calm = self.now >= self.calm_start || self.now < self.faults_start;
@@ -123,7 +123,8 @@
         self.schedule_after(wait, SimEvent::PowerLoss);
     }
 
-    /// All keepers lose power, as many as the cluster bears their disks too; all come back in any order.
+    /// Stops all keepers, loses as many disks as the cluster tolerates, and restarts the keepers in
+    /// random order.
     pub fn lose_power(&mut self) {
         if self.now < self.faults_start {
             return;
@@ -145,7 +146,7 @@
         self.schedule_at(last, SimEvent::CheckLeader(due));
     }
 
-    /// Any disks, or those of the leader and of others that have the newest entry.
+    /// Chooses the disks to lose: random ones, those with the newest entry, or the leader's first.
     fn disks_to_lose(&mut self) -> Vec<usize> {
         let mut numbers: Vec<usize> = (0..self.keepers.len()).collect();
         numbers.shuffle(&mut self.rng);
@@ -165,12 +166,13 @@
         numbers
     }
 
-    /// Looks whether one leads after a loss of power; other faults wait for that.
+    /// Checks that a leader is elected after a power loss; other faults are paused until then.
     pub fn check_leader(&mut self, due: Time) {
         if self.has_leader() {
             self.faults_start = self.now;
         } else if self.now >= due {
-            self.checks.violation(self.now, "nobody leads long after a loss of power");
+            self.checks
+                .violation(self.now, "no confirmed leader within the deadline after a power loss");
         } else {
             self.schedule_after(LEADER_CHECK_INTERVAL, SimEvent::CheckLeader(due));
         }
--- a/soak/src/keepers/halls.rs
+++ b/soak/src/keepers/halls.rs
@@ -1,7 +1,8 @@
-//! Operators that have halls emptied and refilled: each hall has one operator, who sends an order until it is
-//! acknowledged, loses answers, and then perhaps orders the opposite. Orders have no version and no id.
+//! Operators that empty and refill halls.
 //!
-//! All that is drawn here comes from a stream of its own, and only in runs that have such orders.
+//! Each hall has one operator, who sends a command until it is acknowledged, may lose the answers,
+//! and may then send the opposite. Commands have no version and no id. A separate random stream
+//! keeps other runs unchanged.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,39 +16,39 @@
 use super::operators::Requester;
 use super::simulation::{KeeperSimulation, SimEvent};
 
-/// Told apart from the seed of everything else.
+/// Separates this random stream from the others of the seed.
 const RNG_STREAM: u64 = 0x4a11_5eed_0bad;
 const HALLS: [&str; 2] = ["north", "south"];
-/// Without an answer for so long an operator sends its order again, to any keeper.
+/// Time without an answer after which an operator sends a command again, to any keeper.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
-/// An operator gives up sending an order after so long; whether it was taken then is not known.
+/// Time after which an operator gives up a command, whose outcome is then unknown.
 const MAX_SEND_TIME: Duration = Duration::from_secs(5);
-/// Longest pause between two orders for one hall, or from an acknowledgement to the next order.
+/// Longest pause between two commands for a hall.
 const MAX_PAUSE: Duration = Duration::from_millis(2_500);
-/// How long the last orders are made before the end.
+/// Time before the end in which operators start no commands.
 const QUIET_BEFORE_END: Duration = Duration::from_secs(10);
 
 /// What an operator knows of its hall.
 #[derive(Clone, Debug)]
 struct HallState {
-    /// What was acknowledged last; none before, and while the outcome of a later order is not known.
+    /// The last acknowledged state; `None` while the outcome of a command is unknown.
     emptied: Option<bool>,
-    /// Counts the orders.
+    /// The number of the current command.
     command: u64,
     takes_work: bool,
     started_at: Time,
 }
 
-/// The orders of a run.
+/// The hall commands of a run.
 #[derive(Debug)]
 pub(crate) struct HallCommands {
     rng: ChaCha8Rng,
     halls: Vec<HallState>,
-    /// The newest revision that anyone was told of.
+    /// The newest revision that was reported.
     newest: EmptiedHalls,
-    /// Orders that were acknowledged.
+    /// Number of acknowledged commands.
     pub acknowledged: u64,
-    /// When each copy of an order was sent.
+    /// When each copy of a command was sent.
     sent_at: HashMap<CallId, Time>,
 }
 
@@ -66,7 +67,7 @@
 }
 
 fn hall_name(hall: usize) -> HallName {
-    HALLS[hall].parse().expect("a name")
+    HALLS[hall].parse().expect("the hall names of the run are valid")
 }
 
 impl KeeperSimulation {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// An operator gives the next order for its hall.
+    /// Starts the next command of a hall's operator.
     pub(super) fn start_hall_command(&mut self, number: usize) {
         let (now, end) = (self.now, self.end);
         let Some(halls) = &mut self.halls else { return };
@@ -88,7 +89,7 @@
         hall.command += 1;
         hall.started_at = now;
         hall.takes_work = halls.rng.random_bool(0.5);
-        // It may be taken from now on.
+        // The command may take effect from now on.
         hall.emptied = None;
         self.send_hall_command(number);
     }
@@ -109,14 +110,14 @@
         self.schedule_after(RETRY_INTERVAL, SimEvent::HallCommandTimeout(number, command));
     }
 
-    /// Whether whoever sent a copy of an order has closed its connection by now. A keeper that reads the order reads that
-    /// as well, and does not carry it out (`an_order_whose_operator_has_left_is_not_carried_out`).
+    /// Whether the sender of a command has timed out and closed its connection. Keepers do not
+    /// carry out commands of closed connections.
     pub(super) fn has_sender_disconnected(&self, call_id: CallId) -> bool {
         let sent = self.halls.as_ref().and_then(|halls| halls.sent_at.get(&call_id));
         sent.is_some_and(|at| self.now.since(*at) > RETRY_INTERVAL)
     }
 
-    /// An order got no clear answer in time: it is sent again, or given up.
+    /// Sends a command again after a timeout, or gives it up.
     pub(super) fn retry_hall_command(&mut self, number: usize, command: u64) {
         let now = self.now;
         let Some(halls) = &mut self.halls else { return };
@@ -128,12 +129,13 @@
             return self.send_hall_command(number);
         }
         hall.command += 1;
-        // A copy may be on its way yet: what the hall is, only the next acknowledged order says.
+        // A copy of the command may still arrive, so the state stays unknown until the next
+        // acknowledgement.
         let pause = Duration::from_millis(halls.rng.random_range(0..MAX_PAUSE.as_millis() as u64));
         self.schedule_after(pause, SimEvent::StartHallCommand(number));
     }
 
-    /// An operator got an answer to its order.
+    /// Checks the acknowledgement of a hall command and schedules the next one.
     pub(super) fn hall_command_answered(
         &mut self,
         number: usize,
@@ -156,8 +158,10 @@
             false => Duration::from_millis(halls.rng.random_range(0..MAX_PAUSE.as_millis() as u64)),
         };
         if reported.contains(HALLS[number]) != expected {
-            let description =
-                format!("order {command} for {} was acknowledged with {reported:?}", HALLS[number]);
+            let description = format!(
+                "command {command} for hall {} was acknowledged with {reported:?}",
+                HALLS[number]
+            );
             self.checks.violation(self.now, description);
         }
         self.schedule_after(pause, SimEvent::StartHallCommand(number));
@@ -165,7 +169,7 @@
         self.maybe_lose_power_after_command();
     }
 
-    /// Someone reads which halls are emptied.
+    /// Reads the emptied halls from a random keeper.
     fn read_halls(&mut self) {
         let keepers = self.keepers.len();
         let Some(halls) = &mut self.halls else { return };
@@ -175,7 +179,7 @@
         self.send_request(to, Requester::ReadHalls { known, newest }, Event::ReadHalls);
     }
 
-    /// Checks a read: no acknowledged order is missing that no later one may have undone.
+    /// Checks that a read contains all acknowledged commands that no later command may have undone.
     pub(super) fn halls_read(
         &mut self,
         known: &[(u64, Option<bool>)],
@@ -188,18 +192,18 @@
         let mut failures = Vec::new();
         if reported.revision < newest {
             failures.push(format!(
-                "halls of revision {} read after {newest} was told",
+                "read revision {} of the halls after revision {newest} was reported",
                 reported.revision
             ));
         }
         for (number, (command, emptied)) in known.iter().enumerate() {
-            // Nothing was ordered since that may have been taken before the read.
+            // No command started since the read was sent.
             let settled = halls.halls[number].command == *command;
             if let Some(emptied) = emptied.filter(|_| settled)
                 && reported.contains(HALLS[number]) != emptied
             {
                 failures.push(format!(
-                    "{}: ordered emptied={emptied}, read {reported:?}",
+                    "hall {}: commanded emptied={emptied}, read {reported:?}",
                     HALLS[number]
                 ));
             }
@@ -207,11 +211,14 @@
         failures.into_iter().for_each(|description| self.checks.violation(self.now, description));
     }
 
-    /// A revision has one set of halls.
+    /// Checks that a revision always has the same set of emptied halls.
     fn observe_halls(&mut self, reported: &EmptiedHalls) {
         let Some(halls) = &mut self.halls else { return };
         if reported.revision == halls.newest.revision && *reported != halls.newest {
-            let description = format!("one revision of halls: {:?} and {reported:?}", halls.newest);
+            let description = format!(
+                "two states for one revision of the halls: {:?} and {reported:?}",
+                halls.newest
+            );
             self.checks.violation(self.now, description);
         }
         if let Some(halls) = &mut self.halls {
@@ -228,7 +235,7 @@
         }
     }
 
-    /// At the end the leader has every order that was acknowledged last.
+    /// Checks that the leader has the last acknowledged state of each hall at the end.
     pub(super) fn check_halls_end(&mut self) {
         let Some(halls) = &self.halls else { return };
         let leader = self.keepers.iter().find_map(|keeper| {
@@ -243,7 +250,12 @@
             .filter(|(number, hall)| {
                 hall.emptied.is_some_and(|emptied| reported.contains(HALLS[*number]) != emptied)
             })
-            .map(|(number, hall)| format!("{}: {hall:?}, at the end {reported:?}", HALLS[number]))
+            .map(|(number, hall)| {
+                format!(
+                    "hall {}: commanded {hall:?}, the leader has {reported:?} at the end",
+                    HALLS[number]
+                )
+            })
             .collect();
         self.checks.summary.hall_commands = halls.acknowledged;
         failures.into_iter().for_each(|description| self.checks.violation(self.end, description));
--- a/soak/src/keepers/mod.rs
+++ b/soak/src/keepers/mod.rs
@@ -1,11 +1,10 @@
 //! Randomised runs of keepers, operators and nodes.
 //!
-//! Keepers have disks that keep what was synced, and may lose them, no more before their repair than the
-//! cluster bears; disks fill, and have room again. Operators race, resend and read. Nodes pull settings and come and go. Frames are
-//! lost, delayed, doubled and overtake each other; keepers die, stall and are cut off. Right after
-//! some acknowledgements all lose power, with what they had not synced, and as many as the cluster
-//! bears their disks. In most runs members change, and in most of these only a part of the keepers
-//! begin the cluster. Where it is asked for, operators empty halls, and move keepers to other hosts for good.
+//! Keepers store records on simulated disks, which may fill up or be lost within the tolerance of
+//! the cluster. Messages are lost, delayed, duplicated and reordered; keepers crash, stall, are
+//! isolated, and lose power right after acknowledgements. Most runs change the members of the
+//! cluster. Operators race to change settings, resend and read; nodes pull settings and restart.
+//! Optionally, operators also empty halls and replace keepers.
 
 mod checks;
 mod disks;
--- a/soak/src/keepers/moves.rs
+++ b/soak/src/keepers/moves.rs
@@ -1,8 +1,8 @@
-//! Operators that move keepers to other hosts: one is taken away for good, and another with an empty disk and a name of
-//! its own is started for it. The settings of all name the keepers that there are then. Some come back from repair with
-//! the disk that they had, when others have long taken their place; some lose their disk a second time as they return.
+//! Replacement of keepers by new ones on other hosts, with an empty disk and a new name.
 //!
-//! All that is drawn here comes from a stream of its own, and only in runs that have such moves.
+//! The contacts of all keepers then name the present ones. Some replaced keepers return with their
+//! old disk, and some keepers lose their disk a second time right after a restart. A separate
+//! random stream keeps other runs unchanged.
 
 use std::time::Duration;
 
@@ -15,20 +15,20 @@
 use super::disks::KeeperNode;
 use super::simulation::{KeeperSimulation, SimEvent};
 
-/// Told apart from the seed of everything else.
+/// Separates this random stream from the others of the seed.
 const RNG_STREAM: u64 = 0x0d0e_5a11_f0e5;
-/// Longest time from one move to the next.
+/// Longest time between two moves.
 const MAX_PAUSE: Duration = Duration::from_secs(6);
-/// Longest time until the keeper starts that was put in another's place.
+/// Longest time until the replacement of a keeper starts.
 const MAX_DOWNTIME: Duration = Duration::from_secs(4);
-/// How many of 100 moved keepers come back from repair, and after how long.
+/// Percentage of replaced keepers that return, and the shortest and longest time until then.
 const REPAIRED_PERCENT: u32 = 40;
 const REPAIR_TIME: (Duration, Duration) = (Duration::from_secs(3), Duration::from_secs(12));
-/// How many of 100 moves are a disk that is lost twice instead, and how soon after its first return.
+/// Percentage of moves that lose a disk twice instead, and the longest time between the two losses.
 const WIPED_TWICE_PERCENT: u32 = 25;
 const MAX_SECOND_WIPE_DELAY: Duration = Duration::from_millis(800);
 
-/// The moves of a run.
+/// The random stream of the moves of a run.
 #[derive(Debug)]
 pub(crate) struct KeeperMoves {
     rng: ChaCha8Rng,
@@ -41,7 +41,7 @@
 }
 
 impl KeeperSimulation {
-    /// Plans the first move, in runs whose members change.
+    /// Schedules the first move, in runs whose members change.
     pub(super) fn set_up_moves(&mut self, seed: u64) {
         if !self.topology.membership_changes {
             return;
@@ -52,7 +52,8 @@
         self.schedule_after(first, SimEvent::MoveKeeper);
     }
 
-    /// Moves a keeper, or wipes one twice, where the cluster bears that; plans the next.
+    /// Replaces a keeper, or loses its disk twice, if the cluster tolerates it; schedules the next
+    /// move.
     pub(super) fn move_random_keeper(&mut self) {
         if self.now >= self.calm_start {
             return;
@@ -90,7 +91,7 @@
         self.update_contacts();
     }
 
-    /// A keeper is back that was moved, with the disk that it had.
+    /// Restarts a replaced keeper with its old disk.
     pub(super) fn return_keeper(&mut self, number: usize) {
         self.keepers[number].removed = false;
         self.checks.summary.repaired += 1;
@@ -105,7 +106,8 @@
         self.schedule_after(delay, SimEvent::WipeAgain(number));
     }
 
-    /// A keeper whose disk was lost loses the new one, however much of it was written, where the others still bear that.
+    /// Loses a disk for the second time, however much of it was restored, if the cluster tolerates
+    /// it.
     pub(super) fn wipe_again(&mut self, number: usize) {
         if self.keepers[number].removed || self.tolerable_losses(&[number]) == 0 {
             return;
@@ -120,7 +122,7 @@
         self.lose_disk(number);
     }
 
-    /// The settings of all living keepers name those that there are, in any order.
+    /// Sets the contacts of all running keepers to a random selection of the present ones.
     fn update_contacts(&mut self) {
         let names = self.present();
         let Some(moves) = &mut self.moves else { return };
@@ -138,8 +140,8 @@
         present.map(|keeper| keeper.name.clone()).collect()
     }
 
-    /// How many of those that are gone may still vote: all that the leader has not had removed by a majority. One that
-    /// only the leader has removed votes again where that entry is lost with the leader's disk.
+    /// Returns how many replaced keepers may still vote: all whose removal is not stored by a
+    /// majority. A removal that only the leader stores is undone by the loss of its disk.
     pub(super) fn removed_voters(&self, now: Time) -> usize {
         let living = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
         let leader =
@@ -152,7 +154,7 @@
             .count()
     }
 
-    /// Whether a leader and a majority of its voters no longer count a keeper among them.
+    /// Whether the leader and a majority of its voters have removed a keeper from the voters.
     fn majority_removed(&self, leader: &Replica, name: &NodeName) -> bool {
         let voters = leader.voters();
         let voting = self.keepers.iter().filter(|keeper| voters.contains(&keeper.name));
--- a/soak/src/keepers/nodes.rs
+++ b/soak/src/keepers/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: they pull settings, and come back after a while without any.
+//! Nodes that pull settings, and lose them when they restart.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use super::operators::Requester;
 use super::simulation::{KeeperSimulation, SimEvent};
 
-/// A node's settings.
+/// The settings of a node and the keeper that it pulls from.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeState {
     incarnation: u64,
     settings: Option<(u64, Tree)>,
-    /// The keeper that it asks.
+    /// Index of the keeper that the node pulls from.
     keeper: usize,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl KeeperSimulation {
-    /// A node asks for newer settings.
+    /// Sends a pull request to the keeper of a node.
     pub fn pull(&mut self, number: usize) {
         let node = &self.nodes[number];
         let (keeper, incarnation) = (node.keeper, node.incarnation);
@@ -36,7 +36,7 @@
         self.send_request(keeper, requester, |call_id| Event::Pull(call_id, request));
     }
 
-    /// A node starts anew, without settings.
+    /// Restarts a node without settings.
     pub fn restart_node(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         node.incarnation += 1;
@@ -44,7 +44,7 @@
         self.pull(number);
     }
 
-    /// A node got a reply to its pull, or will get none.
+    /// Applies the reply to a pull, or its loss if `None`, and schedules the next pull.
     pub fn deliver_pull_reply(&mut self, number: usize, incarnation: u64, reply: Option<Reply>) {
         if self.nodes[number].incarnation != incarnation {
             return;
@@ -54,7 +54,7 @@
             _ => false,
         };
         if !is_useful {
-            // As a node's link does: the next one.
+            // Try the next keeper, as the link of a real node does.
             let next = (self.nodes[number].keeper + 1) % self.keepers.len();
             self.nodes[number].keeper = next;
         }
@@ -67,7 +67,7 @@
         self.schedule_after(pause, SimEvent::Pull(number));
     }
 
-    /// Takes settings as a node's link does; false where the reply is of no use.
+    /// Applies received settings; returns whether the reply was usable.
     fn apply_settings(&mut self, number: usize, reply: PullReply) -> bool {
         let have = self.nodes[number].settings.clone();
         let (version, tree) = match reply {
@@ -78,14 +78,14 @@
                 let Some((_, tree)) = &have else { return false };
                 let applied = edits.iter().try_fold(tree.clone(), |tree, edits| tree.with(edits));
                 let Ok(tree) = applied else {
-                    self.checks.violation(self.now, "a delta makes no valid tree");
+                    self.checks.violation(self.now, "a delta results in invalid settings");
                     return false;
                 };
                 (version, tree)
             }
         };
         if have.is_some_and(|(have, _)| version < have) {
-            self.checks.violation(self.now, format!("node {number} was given an older version"));
+            self.checks.violation(self.now, format!("node {number} received an older version"));
             return false;
         }
         self.checks.version_seen(self.now, version, &tree);
--- a/soak/src/keepers/operators.rs
+++ b/soak/src/keepers/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: they race, see the same versions, lose answers and resend.
+//! Operators that change settings concurrently, lose answers and resend requests.
 
 use std::time::Duration;
 
@@ -9,26 +9,28 @@
 
 use super::simulation::{KeeperSimulation, SimEvent};
 
-/// How long the last changes are made before the end, so that nodes can catch up.
+/// Time before the end in which operators make no changes, so that nodes catch up.
 const QUIET_BEFORE_END: Duration = Duration::from_secs(6);
 
-/// Who waits for a reply.
+/// The sender of a request that waits for a reply.
 #[derive(Clone, Debug)]
 pub(crate) enum Requester {
-    /// An operator with a change; `newest` was told to someone before it was first sent.
+    /// An operator that sent a change; `newest` was the highest reported version before its first
+    /// try.
     Change { operator: usize, request: ChangeRequest, newest: u64, tries: u32 },
-    /// An operator that reads.
+    /// An operator that reads the settings.
     Read { operator: usize, newest: u64 },
-    /// The operator of a hall, with the number of its order.
+    /// The operator of a hall, with the number of its command.
     Hall { hall: usize, command: u64 },
-    /// Someone who reads which halls are emptied; what their operators knew before, and the newest revision told.
+    /// A read of the emptied halls, with the command number and known state of each hall, and the
+    /// highest reported revision, when it was sent.
     ReadHalls { known: Vec<(u64, Option<bool>)>, newest: u64 },
-    /// A node that pulls, in a life.
+    /// A node that pulls settings, with its incarnation.
     Pull { node: usize, incarnation: u64 },
 }
 
 impl KeeperSimulation {
-    /// An operator reads the tree, to change it next.
+    /// Sends a read of the settings, on which the operator bases its next change.
     pub fn read_tree(&mut self, operator: usize) {
         if self.now + QUIET_BEFORE_END > self.end {
             return;
@@ -42,12 +44,14 @@
         self.rng.random_range(0..self.keepers.len())
     }
 
-    /// Someone got a reply, or noticed that there will be none.
+    /// Handles the reply to a request, or its loss if `None`.
     pub fn deliver_reply(&mut self, call_id: CallId, reply: Option<Reply>) {
         match (self.waiting.remove(&call_id), reply) {
             (Some(Requester::Read { operator, newest }), Some(Reply::Tree(tree))) => {
                 let Ok(parsed) = Tree::from_ini(&tree.tree) else {
-                    return self.checks.violation(self.now, "a tree that can't be read");
+                    return self
+                        .checks
+                        .violation(self.now, "a read returned settings that cannot be parsed");
                 };
                 self.checks.version_read(self.now, tree.version, &parsed, newest);
                 self.send_new_change(operator, tree.version);
@@ -74,12 +78,12 @@
         self.schedule_after(pause, SimEvent::ReadTree(operator));
     }
 
-    /// Changes one value on the version that the operator saw.
+    /// Sends a change of one value, based on the version that the operator read.
     fn send_new_change(&mut self, operator: usize, base_version: u64) {
         self.changes += 1;
         let sections = ["booking", "booking/holds", "matchdesk"];
         let section = sections[self.rng.random_range(0..sections.len())];
-        let section: SectionPath = section.parse().expect("a path");
+        let section: SectionPath = section.parse().expect("the section paths of the run are valid");
         let value = match self.rng.random_bool(0.1) {
             true => "soon".to_owned(),
             false => self.rng.random_range(1..600_000u32).to_string(),
@@ -110,7 +114,8 @@
             Some(Reply::Change(ChangeResult::Accepted { version })) => {
                 self.checks.change_accepted(now, &request.change, version, newest);
                 if self.rng.random_bool(0.1) && tries < 5 {
-                    // An operator that is not sure sends it once more.
+                    // Resend an accepted change, as an operator that is not sure of the outcome
+                    // would.
                     return self.send_change(operator, request, newest, tries + 1);
                 }
             }
--- a/soak/src/keepers/simulation.rs
+++ b/soak/src/keepers/simulation.rs
@@ -1,4 +1,4 @@
-//! One run of keepers: virtual time, disks, and the carrying of messages.
+//! The state of a run of keepers, its event queue, and the delivery of messages.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -19,71 +19,71 @@
 use super::operators::Requester;
 use crate::{Options, Violation};
 
-/// When every run begins.
+/// Time at the start of each run.
 const START: Time = Time::from_millis(1_764_000_000_000);
-/// The tree that every run begins with.
+/// Settings at the start of each run.
 const TREE: &str = "[booking]\n[booking/holds]\n[matchdesk]\n[matchdesk/moves]\n";
-/// Longest time between two ticks of a keeper.
+/// Longest interval between two ticks of a keeper.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Something that happens at a moment.
+/// A scheduled event.
 #[derive(Debug)]
 pub(crate) enum SimEvent {
-    /// A message reaches a keeper.
+    /// A message of another keeper arrives.
     Message { to: usize, from: usize, message: Message },
-    /// A question reaches a keeper, in a life.
+    /// A request arrives at a keeper.
     Request { to: usize, event: Event },
-    /// A reply reaches the one who asked.
+    /// A reply arrives at the sender of the request.
     Reply { call_id: CallId, reply: Reply },
-    /// A question or its reply was lost, and the one who asked notices.
+    /// The sender of a request finds that it gets no reply.
     RequestLost { call_id: CallId },
-    /// A keeper's timers.
+    /// The timer of a keeper.
     Tick(usize),
-    /// An operator does something.
+    /// An operator reads the settings to change them.
     ReadTree(usize),
-    /// A node pulls.
+    /// A node pulls settings.
     Pull(usize),
-    /// A node starts anew, without what it had.
+    /// A node restarts without settings.
     RestartNode(usize),
-    /// The operator of a hall gives its next order.
+    /// The operator of a hall starts its next command.
     StartHallCommand(usize),
-    /// An order for a hall may have got no answer.
+    /// The timeout of a hall command, with its number.
     HallCommandTimeout(usize, u64),
-    /// A fault begins.
+    /// Injects faults.
     Fault,
-    /// A dead keeper comes back.
+    /// A stopped keeper starts.
     StartKeeper(usize),
-    /// A keeper that was cut off is reached again.
+    /// The isolation of a keeper ends.
     Reconnect(usize),
-    /// A full disk has room again.
+    /// A full disk accepts writes again.
     FreeDisk(usize),
-    /// An operator moves a keeper to another host.
+    /// An operator replaces a keeper.
     MoveKeeper,
-    /// A keeper that was moved is back with its disk.
+    /// A replaced keeper returns with its old disk.
     ReturnKeeper(usize),
-    /// A keeper loses its new disk as well.
+    /// A keeper loses its disk for the second time.
     WipeAgain(usize),
-    /// All keepers lose power, some of them their disks.
+    /// All keepers lose power, and some of them their disks.
     PowerLoss,
-    /// All are back after a loss of power; one has to lead by then.
+    /// Checks for a leader after a power loss, up to the given deadline.
     CheckLeader(Time),
 }
 
-/// Which keepers there are.
+/// The size and the members of a cluster.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Topology {
-    /// Keepers that begin the cluster.
+    /// Number of keepers that bootstrap the cluster.
     initial_members: usize,
-    /// All keepers; those that did not begin it join.
+    /// Number of all keepers; the others join the cluster.
     count: usize,
-    /// How many vote.
+    /// Number of voters.
     pub voters: usize,
-    /// Whether one that is silent for long is replaced. A lost disk then holds not even the names of the
-    /// others; those that began the cluster are known from the settings.
+    /// Whether keepers that stay unreachable are replaced as voters. An empty disk then has no
+    /// member names, and a keeper finds the cluster by the contacts in its settings.
     pub membership_changes: bool,
 }
 
-/// The arrangements that runs are drawn from.
+/// The topologies of which each run has one.
 const TOPOLOGIES: [Topology; 6] = [
     Topology { initial_members: 3, count: 3, voters: 3, membership_changes: false },
     Topology { initial_members: 5, count: 5, voters: 5, membership_changes: false },
@@ -93,7 +93,7 @@
     Topology { initial_members: 3, count: 6, voters: 5, membership_changes: true },
 ];
 
-/// One run.
+/// A run of keepers.
 pub(crate) struct KeeperSimulation {
     pub rng: ChaCha8Rng,
     pub now: Time,
@@ -105,13 +105,13 @@
     pub waiting: HashMap<CallId, Requester>,
     pub changes: u64,
     pub topology: Topology,
-    /// None where nobody empties halls.
+    /// `None` in runs without hall commands.
     pub halls: Option<HallCommands>,
-    /// None where nobody moves keepers.
+    /// `None` in runs without moves.
     pub moves: Option<KeeperMoves>,
-    /// Whom a keeper that is no member asks, by the settings.
+    /// The keepers that one without membership contacts, by its settings.
     pub contacts: Vec<NodeName>,
-    /// No fault begins before: one has to lead first after a loss of power.
+    /// No faults are injected before; after a power loss, they wait for a leader.
     pub faults_start: Time,
     loss_rate: f64,
     max_delay: Duration,
@@ -122,7 +122,7 @@
     sequence: u64,
 }
 
-/// Runs one seed of keepers; the violations it found, if any.
+/// Runs one seed of keepers; returns its counters, or the violations found.
 pub fn run_keepers(options: &Options) -> Result<KeeperSummary, Vec<Violation>> {
     let mut simulation = KeeperSimulation::new(options);
     simulation.start();
@@ -156,7 +156,7 @@
         Timing { voters, ..Timing::default() }
     }
 
-    /// Disks that may be lost at once.
+    /// Returns the number of disks that may be lost at once.
     pub fn tolerated_losses(&self) -> usize {
         self.voters / 2
     }
@@ -167,7 +167,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
         let topology = TOPOLOGIES[rng.random_range(0..TOPOLOGIES.len())];
         let names = topology.names();
-        let tree = Tree::from_ini(TREE).expect("the run's tree is valid");
+        let tree = Tree::from_ini(TREE).expect("the initial settings are valid");
         let initial_members = names[..topology.initial_members].to_vec();
         let records = initial_records(initial_members.clone(), tree);
         let disk = |name: &NodeName| match initial_members.contains(name) {
@@ -238,12 +238,12 @@
         Duration::from_micros(self.rng.random_range(0..=longest.as_micros() as u64))
     }
 
-    /// Whether a frame is lost; none is in the calm.
+    /// Draws whether a message is lost; none is in the period without faults.
     pub fn loses_frame(&mut self) -> bool {
         self.now < self.calm_start && self.rng.random_bool(self.loss_rate)
     }
 
-    /// How long a frame takes.
+    /// Draws the delay of a message.
     pub fn frame_delay(&mut self) -> Duration {
         Duration::from_micros(50) + self.random_duration(self.max_delay)
     }
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Starts a keeper on what is on its disk.
+    /// Starts a keeper with the records on its disk.
     pub fn start_keeper(&mut self, number: usize) {
         self.next_seed += 1;
         let (seed, now) = (self.next_seed, self.now);
@@ -294,12 +294,14 @@
                 recovered.set_contacts(contacts);
                 keeper.keeper = Some(recovered);
             }
-            Err(error) => self.checks.violation(now, format!("a disk can't be read: {error}")),
+            Err(error) => {
+                self.checks.violation(now, format!("keeper cannot recover from its disk: {error}"))
+            }
         }
         self.schedule_tick(number);
     }
 
-    /// The message that is to reach a keeper first.
+    /// Returns the next message that would arrive at a keeper.
     pub fn next_message(&self, number: usize) -> Option<Event> {
         let scheduled_at = self.event_queue.iter().map(|Reverse(scheduled_at)| *scheduled_at);
         let messages =
@@ -313,7 +315,7 @@
         messages.min_by_key(|(scheduled_at, _)| *scheduled_at).map(|(_, event)| event)
     }
 
-    /// Whether a keeper is sure to lead.
+    /// Whether a keeper is the confirmed leader.
     pub fn has_leader(&self) -> bool {
         let keepers = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
         keepers.into_iter().any(|keeper| keeper.replica().is_confirmed_leader(self.now))
@@ -362,10 +364,14 @@
                 self.checks.leader_elected(self.now, &name, term);
             }
             Action::Log(LogEvent::Replica(consensus::LogEvent::Violation(violation))) => {
-                self.checks.violation(self.now, format!("breach at {name}: {violation}"));
+                self.checks.violation(
+                    self.now,
+                    format!("keeper {name} reports an invariant violation: {violation}"),
+                );
             }
             Action::Log(LogEvent::UnreadableEntry(index)) => {
-                self.checks.violation(self.now, format!("{name} can't read entry {index}"));
+                self.checks
+                    .violation(self.now, format!("keeper {name} cannot decode log entry {index}"));
             }
             Action::Log(LogEvent::SettingsVersion(version)) => {
                 let state = self.keepers[number].keeper.as_ref().map(|k| k.state().clone());
@@ -404,7 +410,7 @@
         }
     }
 
-    /// Asks a keeper; the one who asked notices when nothing comes back.
+    /// Sends a request to a keeper; the sender gets a timeout if no reply arrives.
     pub fn send_request(
         &mut self,
         to: usize,
@@ -415,36 +421,40 @@
         let call_id = CallId(self.next_call_id);
         self.waiting.insert(call_id, requester);
         let frame_delay = self.frame_delay();
-        // A keeper that is cut off from the others may still be reached, and believe that it leads.
+        // An isolated keeper is still reachable for clients, and may believe that it leads.
         let unreachable = self.keepers[to].keeper.is_none();
         if unreachable || self.loses_frame() {
             self.schedule_after(frame_delay, SimEvent::RequestLost { call_id });
             return call_id;
         }
         self.schedule_after(frame_delay, SimEvent::Request { to, event: event(call_id) });
-        // A keeper that dies with the question never answers.
+        // A keeper that crashes with the request never replies.
         self.schedule_after(Duration::from_secs(6), SimEvent::RequestLost { call_id });
         call_id
     }
 
-    /// At the end everything works again, and nothing accepted is gone.
+    /// Checks that a leader exists at the end, and that it and all nodes have every accepted
+    /// change.
     fn check_end(&mut self) {
         let leader = self.keepers.iter().find_map(|keeper| {
             let keeper = keeper.keeper.as_ref()?;
             keeper.replica().is_confirmed_leader(self.now).then(|| keeper.state().version())
         });
         let Some(version) = leader else {
-            return self.checks.violation(self.end, "nobody is sure to lead after the calm");
+            return self.checks.violation(self.end, "no confirmed leader at the end of the run");
         };
         let newest = self.checks.accepted_versions().max().unwrap_or(0);
         if version < newest {
-            let description = format!("version {newest} was accepted, the leader has {version}");
+            let description =
+                format!("version {newest} was accepted, but the leader has version {version}");
             self.checks.violation(self.end, description);
         }
         for number in 0..self.nodes.len() {
             let have = self.nodes[number].version();
             if have != Some(version) {
-                let description = format!("node {number} has {have:?}, in force is {version}");
+                let description = format!(
+                    "node {number} has version {have:?}, but the leader has version {version}"
+                );
                 self.checks.violation(self.end, description);
             }
         }
