--- a/soak/src/agents.rs
+++ b/soak/src/agents.rs
@@ -1,4 +1,4 @@
-//! Agents and their targets: their lives, what reaches them and what they do.
+//! Starts of agents, delivery of their events, and execution of their actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::simulation::{CLOCK_SKEW, SimEvent, Simulation, TICK};
 
 impl Simulation {
-    /// Starts an agent's next life.
+    /// Starts an agent with a new incarnation.
     pub fn start_agent(&mut self, number: usize) {
         let ahead = self.random_duration(CLOCK_SKEW);
         let version = self.catalogs.len() as u64;
@@ -40,7 +40,7 @@
         self.schedule_agent_tick(number);
     }
 
-    /// Hands an event to an agent, now or once it stands still no more.
+    /// Delivers an event to an agent, or schedules it for the end of a stall.
     pub fn deliver_to_agent(&mut self, number: usize, incarnation: u64, event: agent::Event) {
         let agent = &mut self.agents[number];
         if agent.node.incarnation != incarnation || agent.node.machine.is_none() {
@@ -79,7 +79,10 @@
             agent::Action::Reply { call, reply } => self.send_reply(call, reply),
             agent::Action::Run { key, task, .. } => self.run_task(number, key, &task),
             agent::Action::Log(agent::LogEvent::Breach(breach)) => {
-                self.checks.violation(self.now, format!("breach at an agent: {breach}"));
+                self.checks.violation(
+                    self.now,
+                    format!("agent {number} reports an invariant violation: {breach}"),
+                );
             }
             agent::Action::Log(_) => {}
         }
@@ -106,16 +109,17 @@
         self.schedule_at(arrival_time, SimEvent::Reply { link, call, reply });
     }
 
-    /// A target gets a task.
+    /// Checks and runs a task at the target of an agent.
     fn run_task(&mut self, number: usize, key: TaskKey, task: &str) {
         let (now, incarnation) = (self.now, self.agents[number].node.incarnation);
         let agent = &mut self.agents[number];
         agent.running_tasks += 1;
         if agent.running_tasks > agent.slots {
-            self.checks.violation(now, format!("target {number} has more tasks than slots"));
+            self.checks
+                .violation(now, format!("target {number} runs more tasks than it has slots"));
         }
         if self.agents[number].leaving_since.is_some_and(|since| since < now) {
-            self.checks.violation(now, format!("leaving target {number} got new work"));
+            self.checks.violation(now, format!("target {number} received a task while it drains"));
         }
         if self.agents[number].target_down_until > now {
             let outcome = TaskOutcome::NeverSent("refused".to_owned());
@@ -131,7 +135,7 @@
         }
         let outcome = match self.rng.random_range(0..200) {
             0 => TaskOutcome::Failed("status 500".to_owned()),
-            1 => TaskOutcome::Lost("broke off".to_owned()),
+            1 => TaskOutcome::Lost("connection lost".to_owned()),
             _ => TaskOutcome::Answer(expected_answer(task).into()),
         };
         let straggles = self.rng.random_bool(0.01);
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked from outside the libraries.
+//! Invariants of runs with slots, checked only by what targets and clients observe.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -6,12 +6,12 @@
 use model::{SubmissionId, Time, Verdict};
 use wire::RelayReply;
 
-/// A condition that did not hold.
+/// An invariant violation that a run found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When.
+    /// Simulated time of the violation.
     pub time: Time,
-    /// What happened.
+    /// What was violated, with the ids involved.
     pub description: String,
 }
 
@@ -21,27 +21,27 @@
     }
 }
 
-/// What a run did.
+/// Counters of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Requests answered whole.
+    /// Requests answered with the answers of all tasks.
     pub complete: u64,
-    /// Requests answered with a failure, by verdict: not run.
+    /// Requests answered with a failure whose verdict is "not run".
     pub not_run: u64,
-    /// ... may have run.
+    /// Requests answered with a failure whose verdict is "may have run".
     pub may_have_run: u64,
-    /// ... ran.
+    /// Requests answered with a failure whose verdict is "ran".
     pub ran: u64,
-    /// Requests whose entry died before it answered.
+    /// Requests whose entry crashed before it answered.
     pub unanswered: u64,
-    /// Tasks started at targets.
+    /// Tasks that started at targets.
     pub started: u64,
-    /// Faults that happened.
+    /// Injected faults.
     pub faults: u64,
 }
 
 impl Summary {
-    /// Adds another run's numbers.
+    /// Adds the counters of another run.
     pub fn add(&mut self, other: &Self) {
         self.complete += other.complete;
         self.not_run += other.not_run;
@@ -53,27 +53,27 @@
     }
 }
 
-/// The work of one submission, as its client made it.
+/// The tasks of a submission, as created by its client.
 #[derive(Clone, Debug)]
 pub(crate) struct SubmissionSpec {
     pub tasks: Vec<String>,
     pub repeatable: bool,
 }
 
-/// What is known of one submission from outside.
+/// The observed state of a submission.
 #[derive(Debug, Default)]
 struct SubmissionState {
-    /// Tasks started at a target.
+    /// Indexes of the tasks that started at a target.
     started: HashSet<u32>,
-    /// The answer that was given.
+    /// The first complete answer.
     answer: Option<Vec<String>>,
-    /// Requests that wait for an outcome.
+    /// Number of requests without an outcome.
     open_requests: u32,
-    /// "Not run" was said and nobody has asked again since.
+    /// Whether the submission was answered as not run and not requested again since.
     reported_not_run: bool,
 }
 
-/// Watches every start and every outcome.
+/// Checks every start and every outcome, and counts them.
 #[derive(Debug, Default)]
 pub(crate) struct Checks {
     specs: HashMap<SubmissionId, SubmissionSpec>,
@@ -82,7 +82,7 @@
     pub summary: Summary,
 }
 
-/// The answer that a target gives to a task.
+/// Returns the answer of a target to a task.
 pub(crate) fn expected_answer(task: &str) -> String {
     format!("done: {task}")
 }
@@ -100,19 +100,19 @@
         self.specs.get(&id)
     }
 
-    /// A request was sent.
+    /// Records a request for a submission.
     pub fn request_sent(&mut self, id: SubmissionId) {
         let state = self.states.entry(id).or_default();
         state.open_requests += 1;
         state.reported_not_run = false;
     }
 
-    /// How many tasks of a submission were started.
+    /// Returns the number of distinct tasks of a submission that started.
     pub fn started_tasks(&self, id: SubmissionId) -> usize {
         self.states.get(&id).map_or(0, |state| state.started.len())
     }
 
-    /// A task began to run at a target.
+    /// Checks and records that a task started at a target.
     pub fn task_started(&mut self, time: Time, id: SubmissionId, index: u32) {
         self.summary.started += 1;
         let repeatable = self.specs.get(&id).is_some_and(|spec| spec.repeatable);
@@ -123,18 +123,21 @@
             self.violation(time, format!("task {id}/{index} started twice"));
         }
         if reported_not_run && open_requests == 0 {
-            self.violation(time, format!("task {id}/{index} started after 'not run' was said"));
+            self.violation(
+                time,
+                format!("task {id}/{index} started after its submission was answered as not run"),
+            );
         }
     }
 
-    /// A request's entry died: it gets no outcome.
+    /// Records that the entry of a request crashed, so that the request gets no outcome.
     pub fn request_lost(&mut self, id: SubmissionId) {
         self.summary.unanswered += 1;
-        // What the dead entry had sent may start yet, so the request stays open.
+        // Messages of the crashed entry may still start tasks, so the request stays open.
         self.states.entry(id).or_default().reported_not_run = false;
     }
 
-    /// A request got its outcome.
+    /// Checks the outcome of a request.
     pub fn request_answered(&mut self, time: Time, id: SubmissionId, reply: &RelayReply) {
         let state = self.states.entry(id).or_default();
         state.open_requests = state.open_requests.saturating_sub(1);
@@ -152,11 +155,14 @@
             spec.tasks.iter().map(|task| expected_answer(task)).collect::<Vec<String>>()
         });
         if expected.as_ref() != Some(&answers) {
-            self.violation(time, format!("answer of {id} is not its own or not whole"));
+            self.violation(
+                time,
+                format!("the answer to submission {id} is incomplete or belongs to another one"),
+            );
         }
         let state = self.states.entry(id).or_default();
         if state.answer.as_ref().is_some_and(|first| *first != answers) {
-            self.violation(time, format!("{id} has two answers"));
+            self.violation(time, format!("submission {id} has two different answers"));
         } else {
             state.answer = Some(answers);
         }
@@ -170,11 +176,12 @@
         match verdict {
             Verdict::NotRun => {
                 self.summary.not_run += 1;
-                // A request that is still open may make it start.
+                // Another open request may still start the tasks.
                 state.reported_not_run = !repeatable && state.open_requests == 0;
                 if started > 0 && !repeatable {
-                    let description =
-                        format!("'not run' said of {id}, {started} started: {message}");
+                    let description = format!(
+                        "submission {id} was answered as not run, but {started} tasks started: {message}"
+                    );
                     self.violation(time, description);
                 }
             }
@@ -182,7 +189,9 @@
             Verdict::Ran => {
                 self.summary.ran += 1;
                 if started != tasks {
-                    let description = format!("'ran' said of {id}, {started} of {tasks} started");
+                    let description = format!(
+                        "submission {id} was answered as ran, but {started} of {tasks} tasks started"
+                    );
                     self.violation(time, description);
                 }
             }
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they submit, submit again, ask for outcomes, and watch their deadlines.
+//! Clients that submit, resubmit, fetch outcomes, and expect them within their deadlines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use crate::script::Outcome;
 use crate::simulation::{CLOCK_SKEW, SimEvent, Simulation};
 
-/// Longest time beyond its deadline that an outcome may take, stalls left out.
+/// Longest time after its deadline that an outcome may take without stalls.
 const OUTCOME_SLACK: Duration = Duration::from_millis(500);
-/// How long the last submissions of a run are made before its end.
+/// Time before the end in which clients make no new submissions.
 const QUIET_BEFORE_END: Duration = Duration::from_secs(5);
-/// Longest pause between two submissions while faults happen; more than small runs can carry.
+/// Longest pause between submissions in the fault period; small clusters are overloaded by it.
 const MAX_FAULTY_PAUSE: Duration = Duration::from_millis(300);
-/// ... and in the calm, where every run can carry them.
+/// Longest pause between submissions without faults; all clusters can handle it.
 const MAX_CALM_PAUSE: Duration = Duration::from_millis(1_500);
-/// Calm after which every submission has to be answered whole.
+/// Time after the last fault from which all submissions have to succeed.
 const SETTLING_TIME: Duration = Duration::from_secs(8);
 
 impl Simulation {
-    /// A client makes a submission and sends it to one entry, or to several at once.
+    /// Creates a submission, sends it to one or two entries, and schedules the next one.
     pub fn new_submission(&mut self) {
         if self.now + QUIET_BEFORE_END < self.end {
             let pause = if self.now < self.calm_start { MAX_FAULTY_PAUSE } else { MAX_CALM_PAUSE };
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A client submits again.
+    /// Sends a submission again.
     pub fn resubmit(&mut self, id: SubmissionId) {
         self.submit(id);
     }
@@ -61,7 +61,7 @@
         self.submit_at(entry, id, deadline);
     }
 
-    /// A client submits at an entry.
+    /// Submits at a given entry.
     pub fn submit_at(&mut self, entry: usize, id: SubmissionId, deadline: Duration) {
         let Some(spec) = self.checks.spec(id).cloned() else { return };
         let kind = if spec.repeatable { "lookups" } else { "holds" };
@@ -78,15 +78,15 @@
         self.send_request(entry, caller, |call| Event::Submit { call, request, relayed: false });
     }
 
-    /// A client asks for an outcome.
+    /// Fetches an outcome from a random entry.
     pub fn fetch_outcome(&mut self, id: SubmissionId) {
         let Some(entry) = self.random_live_entry() else { return };
         self.fetch_from(entry, id);
     }
 
-    /// A client asks an entry for an outcome.
+    /// Fetches an outcome from a given entry.
     pub fn fetch_from(&mut self, entry: usize, id: SubmissionId) {
-        // It may wait for the running job, and that for its deadline.
+        // The fetch may wait for a running job up to its deadline.
         let caller =
             Caller::Client { id, requested_at: self.now, deadline: Duration::from_secs(15) };
         self.checks.request_sent(id);
@@ -108,7 +108,7 @@
         self.now >= self.calm_start + SETTLING_TIME
     }
 
-    /// A client got its outcome.
+    /// Checks the outcome of a client's request.
     pub fn client_answered(
         &mut self,
         id: SubmissionId,
@@ -128,7 +128,10 @@
         let undisturbed =
             id.made().min(requested_at) >= self.calm_start + SETTLING_TIME + CLOCK_SKEW;
         if undisturbed && took > deadline + OUTCOME_SLACK {
-            self.checks.violation(self.now, format!("{id} was answered after {took:?}"));
+            self.checks.violation(
+                self.now,
+                format!("submission {id} was answered after {took:?}, past its deadline"),
+            );
         }
         let id_is_new = requested_at.since(id.made()) < Duration::from_secs(1);
         let excusable = matches!(reply, Err(failure) if matches!(
@@ -141,9 +144,10 @@
             && id_is_new
             && !excusable
         {
-            self.checks.violation(self.now, format!("{id} failed in the calm: {failure}"));
+            self.checks
+                .violation(self.now, format!("submission {id} failed without faults: {failure}"));
         }
-        // One that failed without having run is tried again, as a client would.
+        // Clients retry requests that failed without having run.
         let retryable = matches!(reply, Err(failure) if failure.retry_after_ms.is_some());
         if retryable && self.now < self.calm_start && self.rng.random_bool(0.5) {
             let wait = self.random_duration(Duration::from_secs(2));
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Looks at the state at the end: no request of the calm is left without an outcome.
+    /// Checks that no request without faults is left without an outcome at the end.
     pub fn check_end(&mut self) {
         let mut unanswered = Vec::new();
         for entry in &self.entries {
@@ -164,8 +168,10 @@
             }
         }
         for (id, requested_at) in unanswered {
-            self.checks
-                .violation(self.end, format!("{id}, asked at {requested_at}, has no outcome"));
+            self.checks.violation(
+                self.end,
+                format!("submission {id}, requested at {requested_at}, has no outcome"),
+            );
         }
     }
 }
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -1,4 +1,4 @@
-//! Entries: their lives, what reaches them and what they do.
+//! Starts of entries, delivery of their events, and execution of their actions.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::script::{Direction, Frame};
 use crate::simulation::{CLOCK_SKEW, SimEvent, Simulation, TICK};
 
-/// Longest time that a call to a dead entry takes to fail.
+/// Longest time until a call to a crashed entry fails.
 const MAX_PEER_FAILURE_DELAY: Duration = Duration::from_millis(200);
 
 impl Simulation {
-    /// Starts an entry's next life.
+    /// Starts an entry with a new incarnation.
     pub fn start_entry(&mut self, number: usize) {
         let ahead = self.random_duration(CLOCK_SKEW);
         let version = self.catalogs.len() as u64;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Hands an event to an entry, now or once it stands still no more.
+    /// Delivers an event to an entry, or schedules it for the end of a stall.
     pub fn deliver_to_entry(&mut self, number: usize, incarnation: u64, event: Event) {
         let entry = &mut self.entries[number];
         if entry.node.incarnation != incarnation || entry.node.machine.is_none() {
@@ -100,7 +100,10 @@
                 self.fetch_from_owner(number, call, &owner, submission);
             }
             Action::Log(entry::LogEvent::Breach(breach)) => {
-                self.checks.violation(self.now, format!("breach at an entry: {breach}"));
+                self.checks.violation(
+                    self.now,
+                    format!("entry {number} reports an invariant violation: {breach}"),
+                );
             }
             Action::LogDecision(_) | Action::Log(_) => {}
         }
@@ -108,7 +111,7 @@
 
     fn agent_index(&self, name: &model::NodeName) -> usize {
         let number = self.agents.iter().position(|agent| agent.node.name == *name);
-        number.expect("entries know only agents of the run")
+        number.expect("entries only address agents of the run")
     }
 
     fn call_agent(&mut self, entry: usize, agent: &model::NodeName, request: Request) {
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Sends a call; now and then twice.
+    /// Sends a call on a connection, sometimes duplicated.
     fn send_call(&mut self, link: u64, request: Request) {
         let call = self.network.call(link, pending_call(&request));
         let frame = match request {
@@ -188,7 +191,8 @@
         }
     }
 
-    /// An entry connects to an agent, or finds its process dead.
+    /// Connects an entry to an agent; if the agent is down, the entry is notified and retries
+    /// later.
     pub fn dial(&mut self, entry: usize, agent: usize) {
         let node = &self.entries[entry].node;
         if node.machine.is_none() || self.network.open_link(entry, agent).is_some() {
@@ -206,7 +210,7 @@
         self.send_call(link, Request::Hello(HelloRequest { entry: reference }));
     }
 
-    /// A connection breaks: calls on it fail, and each side learns of it.
+    /// Breaks a connection: its calls fail, and both sides are notified.
     pub fn break_link(&mut self, id: u64) {
         let link = self.network.link(id).clone();
         let agent_name = self.agents[link.agent].node.name.clone();
@@ -225,7 +229,7 @@
             wait,
             SimEvent::ToEntry(link.entry, link.entry_incarnation, disconnected),
         );
-        // Frames on their way may reach the agent before it learns of the break, or not at all.
+        // Messages in flight may reach the agent before the notice of the close.
         let late = self.rng.random_bool(self.conditions.late_delivery_rate);
         let max_close_delay = if late { Duration::from_secs(3) } else { Duration::ZERO };
         let wait = self.random_duration(max_close_delay);
@@ -235,7 +239,7 @@
         self.schedule_after(wait, SimEvent::Dial(link.entry, link.agent));
     }
 
-    /// Submits or asks at an entry.
+    /// Sends a request to an entry.
     pub fn send_request(
         &mut self,
         entry: usize,
@@ -263,7 +267,7 @@
                     SimEvent::PeerReply(entry, incarnation, call, id, Some(reply)),
                 );
             }
-            None => self.checks.violation(self.now, "an outcome was given twice".to_owned()),
+            None => self.checks.violation(self.now, "a request was answered twice".to_owned()),
         }
     }
 
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, one thing after the other and several at once.
+//! Random faults of entries, agents, targets and connections.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 
 /// Longest stall of a process.
 const MAX_STALL: Duration = Duration::from_secs(3);
-/// Longest time that a dead process stays away.
+/// Longest downtime of a process.
 const MAX_DOWNTIME: Duration = Duration::from_secs(6);
-/// Longest lag of the platform's list.
+/// Longest delay of the platform's list of leaving hosts.
 const MAX_LIST_LAG: Duration = Duration::from_secs(4);
 
 impl Simulation {
-    /// Makes one fault, or two at once, and plans the next.
+    /// Injects one or two faults and schedules the next ones.
     pub fn inject_faults(&mut self) {
         if self.now >= self.calm_start {
             return;
@@ -116,8 +116,8 @@
         }
     }
 
-    /// A target leaves: its agent is told, and the list tells the entries some time later. It
-    /// comes back as a new process.
+    /// Drains a target: its agent is notified at once, the entries with the delay of the platform's
+    /// list. The agent restarts later.
     fn drain_agent(&mut self, number: usize) {
         if self.agents[number].node.machine.is_none() {
             return;
@@ -135,7 +135,7 @@
         self.schedule_after(wait, SimEvent::AgentExit(number, incarnation));
     }
 
-    /// A leaving agent ends once nothing runs at its target, and comes back.
+    /// Stops a draining agent once its target runs nothing; it restarts later.
     pub fn finish_draining(&mut self, number: usize, incarnation: u64) {
         let agent = &self.agents[number];
         if agent.node.incarnation != incarnation {
@@ -148,7 +148,7 @@
         self.kill_agent(number);
     }
 
-    /// The list tells an entry that an agent's host leaves.
+    /// Notifies an entry that the platform lists an agent's host as leaving.
     pub fn list_agent_leaving(&mut self, entry: usize, agent: usize, incarnation: u64) {
         if self.agents[agent].node.incarnation != incarnation {
             return;
@@ -163,8 +163,8 @@
         self.agents[number].target_down_until = self.now + time;
     }
 
-    /// Takes one member out of the claim view, or puts all agents back in. The view before has to
-    /// agree as well for the rest of the run, as the keeper writes it.
+    /// Removes one member from the claim view. As when a keeper changes the view, the previous view
+    /// has to agree as well, here for the rest of the run.
     fn change_claim_view(&mut self) {
         let (section, members) = self.claim_view();
         if self.catalogs.len() > 1 || members.len() < 4 {
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! Randomised runs of the decision libraries of entries and agents, in virtual time.
+//! Randomised simulations of entries, agents and keepers in virtual time.
 //!
-//! A run is made by its seed alone: the nodes, the submissions, what the network does to each
-//! message, and which processes die, stall or leave. Nothing here decides anything for dockpass;
-//! it carries messages between the libraries and checks what must always hold. It is no simulator
-//! of a cluster: time passes only where a message or a task takes some.
+//! A run is determined by its seed: the nodes, the submissions, the fate of each message, and the
+//! processes that crash, stall or leave. The harness only carries messages between the libraries
+//! and checks invariants. It does not model the performance of a cluster: time passes only where a
+//! message or a task takes some.
 
 mod agents;
 mod capacity;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,6 +1,6 @@
-//! `dockpass-soak`: any number of randomised runs.
+//! `dockpass-soak`: runs many seeds and prints the violations and the sum of the counters.
 
-// The span of the whole run, which is shown.
+// `Instant::now` measures the real duration of all runs, which is printed.
 #![allow(clippy::disallowed_methods)]
 
 use std::process::ExitCode;
@@ -11,17 +11,17 @@
 use soak::{CapacityTiming, Cut, KeeperSummary, Load, Surge, Workload, run_load};
 use subset::Sizes;
 
-/// How often progress is shown, in runs.
-const SHOW_EVERY: u64 = 5_000;
+/// Number of runs between two progress messages.
+const PROGRESS_INTERVAL: u64 = 5_000;
 
 fn main() -> ExitCode {
     let number = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
     };
     let arguments = Command::new("dockpass-soak")
-        .about("Randomised runs of entries and agents under faults, in virtual time")
-        .arg(number("seeds", "1000", "How many runs"))
-        .arg(number("first", "0", "The first run's seed"))
+        .about("Randomised runs of entries and agents with fault injection, in simulated time")
+        .arg(number("seeds", "1000", "Number of runs"))
+        .arg(number("first", "0", "Seed of the first run"))
         .arg(
             Arg::new("keepers")
                 .long("keepers")
@@ -32,55 +32,67 @@
             Arg::new("room")
                 .long("room")
                 .action(ArgAction::SetTrue)
-                .help("Run entries and agents whose targets have room"),
+                .help("Run entries and agents with scheduling by reported capacity"),
         )
         .arg(
             Arg::new("halls")
                 .long("halls")
                 .action(ArgAction::SetTrue)
-                .help("Let operators empty and refill halls in runs of keepers or of room"),
+                .help("Let operators empty and refill halls; needs --keepers or --room"),
         )
         .arg(
             Arg::new("moves")
                 .long("moves")
                 .action(ArgAction::SetTrue)
-                .help("Let operators move keepers to other hosts for good in runs of keepers"),
+                .help("Let operators replace keepers by new ones on other hosts; needs --keepers"),
         )
         .arg(Arg::new("restless").long("restless").action(ArgAction::SetTrue).help(
-            "Let targets keep their ids, change their room and crash under tasks in runs of room",
+            "Let targets keep their ids, change their capacity and crash under tasks; needs --room",
         ))
         .arg(
             Arg::new("load")
                 .long("load")
                 .action(ArgAction::SetTrue)
-                .help("Play a load instead of faults, and tell what callers get"),
+                .help("Run a load without faults and print the results of callers"),
         )
         .arg(
             Arg::new("small-tasks")
                 .long("small-tasks")
                 .action(ArgAction::SetTrue)
-                .help("Let a task of a load take a tenth of a target, not a fifth"),
+                .help("Use tasks that take a tenth of a target in a load, not a fifth"),
         )
-        .arg(number("entries", "51", "Entries of a load"))
-        .arg(number("agents", "240", "Agents of a load"))
-        .arg(number("serves", "6", "Entries that an agent serves under a load; 0 for all"))
-        .arg(number("least", "28", "Agents that an entry has at least under a load, on the mean"))
-        .arg(number("usage", "60", "Percent of all room that a load takes"))
-        .arg(number("surge", "100", "Percent of the usual jobs for the middle third of a load"))
-        .arg(number("cut", "0", "Percent of the agents cut off for the middle third of a load"))
-        .arg(number("unanswered", "0", "Of 1,000 orders, those that targets leave unanswered"))
-        .arg(number("seconds", "6", "How long the jobs of a load come"))
+        .arg(number("entries", "51", "Number of entries in a load"))
+        .arg(number("agents", "240", "Number of agents in a load"))
+        .arg(number("serves", "6", "Entries that an agent serves in a load; 0 for all"))
+        .arg(number("least", "28", "Minimum of the mean number of agents per entry in a load"))
+        .arg(number("usage", "60", "Percentage of the total capacity that a load takes"))
+        .arg(number(
+            "surge",
+            "100",
+            "Rate of jobs in the middle third of a load, in percent of the usual one",
+        ))
+        .arg(number(
+            "cut",
+            "0",
+            "Percentage of the agents that are disconnected in the middle third of a load",
+        ))
+        .arg(number(
+            "unanswered",
+            "0",
+            "Commands out of 1,000 that targets leave unanswered in a load",
+        ))
+        .arg(number("seconds", "6", "Seconds in which the jobs of a load are submitted"))
         .arg(
             Arg::new("without")
                 .long("without")
                 .value_name("PART")
-                .help("Switch off a part of the entries' policy under a load"),
+                .help("Disable a part of the scheduling policy of entries in a load"),
         )
         .arg(
             Arg::new("trace")
                 .long("trace")
                 .value_name("TEXT")
-                .help("Print everything that has this text in it, such as a submission's id"),
+                .help("Print all events that contain this text, such as the id of a submission"),
         )
         .get_matches();
     let get = |name: &str| arguments.get_one::<u64>(name).copied().unwrap_or_default();
@@ -94,14 +106,14 @@
         if let Some(part) = arguments.get_one::<String>("without")
             && !load.timing.policy.disable(part)
         {
-            eprintln!("no part of the policy is called {part}");
+            eprintln!("unknown part of the scheduling policy: {part}");
             return ExitCode::FAILURE;
         }
         let result = run_load(&load);
         println!("{:.1} s: {result:?}", started.elapsed().as_secs_f64());
         return ExitCode::SUCCESS;
     }
-    let common = Options {
+    let options = Options {
         halls: arguments.get_flag("halls"),
         moves: arguments.get_flag("moves"),
         unstable_targets: arguments.get_flag("restless"),
@@ -110,21 +122,21 @@
     };
     let (text, failed) = if arguments.get_flag("keepers") {
         let runner = |options| run_keepers(&options);
-        let (total, failed) = run_all(first, seeds, &common, runner, KeeperSummary::add);
+        let (total, failed) = run_all(first, seeds, &options, runner, KeeperSummary::add);
         (format!("{total:?}"), failed)
     } else if arguments.get_flag("room") {
         let runner = |options| run_capacity(&options);
-        let (total, failed) = run_all(first, seeds, &common, runner, CapacitySummary::add);
+        let (total, failed) = run_all(first, seeds, &options, runner, CapacitySummary::add);
         (format!("{total:?}"), failed)
     } else {
-        let (total, failed) = run_all(first, seeds, &common, run, Summary::add);
+        let (total, failed) = run_all(first, seeds, &options, run, Summary::add);
         (format!("{total:?}"), failed)
     };
     println!("{seeds} seeds in {:.1} s: {text}; {failed} failed", started.elapsed().as_secs_f64());
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// The load that the arguments ask for.
+/// Creates the load that the arguments describe.
 fn load(get: &impl Fn(&str) -> u64, work: Workload) -> Load {
     let duration = Duration::from_secs(get("seconds"));
     let (from, middle) = (duration / 3, duration / 3);
@@ -147,39 +159,40 @@
     }
 }
 
-/// Runs every seed, spread over the processors; returns the sum and how many failed.
+/// Runs all seeds on one thread per processor; returns the summed counters and the number of failed
+/// seeds.
 fn run_all<S: Default + Send + 'static>(
     first: u64,
     seeds: u64,
-    common: &Options,
+    options: &Options,
     runner: fn(Options) -> Result<S, Vec<Violation>>,
     add: fn(&mut S, &S),
 ) -> (S, u64) {
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get() as u64);
     let parts: Vec<_> = (0..threads)
         .map(|part| {
-            let common = common.clone();
+            let options = options.clone();
             std::thread::spawn(move || {
                 let numbers = (part..seeds).step_by(threads as usize);
-                run_part(first, numbers, &common, runner, add)
+                run_seeds(first, numbers, &options, runner, add)
             })
         })
         .collect();
     let mut total = S::default();
     let mut failed = 0;
     for part in parts {
-        let (summary, failures) = part.join().expect("a part does not panic");
+        let (summary, failures) = part.join().expect("worker threads do not panic");
         add(&mut total, &summary);
         failed += failures;
     }
     (total, failed)
 }
 
-/// Runs the seeds of a part; prints violations as they are found.
-fn run_part<S: Default>(
+/// Runs the seeds of one thread; prints violations as they are found.
+fn run_seeds<S: Default>(
     first: u64,
     numbers: impl Iterator<Item = u64>,
-    common: &Options,
+    options: &Options,
     runner: fn(Options) -> Result<S, Vec<Violation>>,
     add: fn(&mut S, &S),
 ) -> (S, u64) {
@@ -187,7 +200,7 @@
     let mut failed = 0;
     for number in numbers {
         let seed = first + number;
-        match runner(Options { seed, ..common.clone() }) {
+        match runner(Options { seed, ..options.clone() }) {
             Ok(summary) => add(&mut total, &summary),
             Err(violations) => {
                 failed += 1;
@@ -195,8 +208,8 @@
                 violations.iter().take(3).for_each(|violation| println!("  {violation}"));
             }
         }
-        if number % SHOW_EVERY == 0 && number > 0 {
-            eprintln!("at seed {seed}");
+        if number % PROGRESS_INTERVAL == 0 && number > 0 {
+            eprintln!("reached seed {seed}");
         }
     }
     (total, failed)
--- a/soak/src/network.rs
+++ b/soak/src/network.rs
@@ -1,4 +1,4 @@
-//! Connections between entries and agents, and what may befall their frames.
+//! Connections between entries and agents, with delayed, duplicated and reordered frames.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// How a run's network behaves.
+/// The properties of the network in a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NetworkConditions {
-    /// Longest delay of most frames.
+    /// Longest delay of a frame that is not held up by earlier ones.
     pub max_delay: Duration,
-    /// Share of frames that are delivered a second time, later.
+    /// Share of frames that are delivered twice.
     pub duplicate_rate: f64,
-    /// Share of frames that overtake earlier ones.
+    /// Share of frames that may overtake earlier ones.
     pub reorder_rate: f64,
-    /// Share of frames of a broken connection that arrive all the same, later.
+    /// Share of broken connections whose frames may still arrive at the agent.
     pub late_delivery_rate: f64,
 }
 
-/// What an entry called for, so that its reply becomes the right event.
+/// The kind of a call without a reply, from which the event of its reply is built.
 #[derive(Clone, Debug)]
 pub(crate) enum PendingCall {
     Hello,
@@ -34,7 +34,7 @@
     Sync,
 }
 
-/// One connection of an entry to an agent.
+/// A connection of an entry to an agent.
 #[derive(Clone, Debug)]
 pub(crate) struct Link {
     pub entry: usize,
@@ -48,7 +48,7 @@
     last_to_entry: Time,
 }
 
-/// Every connection that ever was.
+/// All connections of a run, open or closed.
 #[derive(Debug, Default)]
 pub(crate) struct Network {
     links: HashMap<u64, Link>,
@@ -58,7 +58,7 @@
 }
 
 impl Network {
-    /// Opens a connection.
+    /// Opens a connection between two nodes, given by index and incarnation; returns its id.
     pub fn open(&mut self, entry: (usize, u64), agent: (usize, u64), now: Time) -> u64 {
         self.next_link += 1;
         let link = Link {
@@ -79,13 +79,13 @@
         &self.links[&id]
     }
 
-    /// The open connection between two nodes, if any.
+    /// Returns the open connection between an entry and an agent, if any.
     pub fn open_link(&self, entry: usize, agent: usize) -> Option<u64> {
         let open_link = |link: &Link| link.open && link.entry == entry && link.agent == agent;
         self.links.iter().filter(|(_, link)| open_link(link)).map(|(id, _)| *id).max()
     }
 
-    /// The open connections that match, in order.
+    /// Returns the open connections that match a predicate, in the order of their ids.
     pub fn open_links(&self, wanted: impl Fn(&Link) -> bool) -> Vec<u64> {
         let mut ids: Vec<u64> = self
             .links
@@ -104,7 +104,7 @@
         std::mem::take(&mut link.pending_calls).into_values().collect()
     }
 
-    /// Numbers a call on a connection.
+    /// Registers a call on a connection and returns its id.
     pub fn call(&mut self, id: u64, pending_call: PendingCall) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
@@ -115,12 +115,13 @@
         call
     }
 
-    /// The connection that a call came on.
+    /// Returns the connection of a call.
     pub fn link_of_call(&self, call: CallId) -> Option<u64> {
         self.links_by_call.get(&call).copied()
     }
 
-    /// Takes the call that a reply belongs to; none where it was answered or its connection broke.
+    /// Removes and returns the call of a reply; `None` if it was answered or its connection is
+    /// closed.
     pub fn take_call(&mut self, id: u64, call: CallId) -> Option<PendingCall> {
         let link = self.links.get_mut(&id)?;
         if !link.open {
@@ -129,7 +130,7 @@
         link.pending_calls.remove(&call)
     }
 
-    /// When a frame arrives: after those before it, unless it overtakes them.
+    /// Returns the arrival time of a frame: after earlier ones, unless it overtakes them.
     pub fn arrival_time(
         &mut self,
         id: u64,
@@ -150,12 +151,12 @@
     }
 }
 
-/// The session that an agent sees of a connection.
+/// Returns the agent's session of a connection.
 pub(crate) fn session(link: u64) -> Session {
     Session(link)
 }
 
-/// The event that a reply, or its loss, becomes at the entry.
+/// Returns the event at the entry for a reply, or for its loss if `None`.
 pub(crate) fn reply_event(
     agent: &NodeName,
     link: u64,
@@ -205,7 +206,7 @@
     })
 }
 
-/// The call that a request is.
+/// Returns the kind of a request.
 pub(crate) fn pending_call(request: &Request) -> PendingCall {
     match request {
         Request::Hello(_) | Request::Status => PendingCall::Hello,
--- a/soak/src/nodes.rs
+++ b/soak/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of a run: their state machines, lives, clocks and stalls.
+//! The state of the nodes of a run.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,24 +7,24 @@
 use entry::{CallId, Entry, OwnerCall};
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, Time};
 
-/// More lives than a node has in a run.
+/// Exceeds the number of incarnations of a node in a run.
 const INCARNATIONS_PER_NODE: u64 = 1_000;
 
-/// What entries and agents have in common.
+/// The common state of entries and agents.
 #[derive(Debug)]
 pub(crate) struct Node<M> {
     pub name: NodeName,
-    /// Tells its lives from those of other nodes.
+    /// Makes the incarnations of different nodes distinct.
     number: u64,
-    /// The state machine, while the process lives.
+    /// The state machine; `None` while the process is down.
     pub machine: Option<M>,
-    /// Counts the lives.
+    /// Number of starts of the process.
     pub incarnation: u64,
-    /// The process stands still until then.
+    /// End of the current stall.
     pub stalled_until: Time,
-    /// How far its clock is ahead of the slowest allowed, at most the bound on clocks.
+    /// Offset of the node's clock, between zero and the bound on clock skew.
     pub clock_ahead: Duration,
-    /// When its next tick is planned.
+    /// Time of the next scheduled tick.
     pub tick_at: Option<Time>,
 }
 
@@ -41,46 +41,46 @@
         }
     }
 
-    /// The node's reference in its present life.
+    /// Returns the node's reference with its current incarnation.
     pub fn reference(&self) -> NodeRef {
         let incarnation = Incarnation(self.number * INCARNATIONS_PER_NODE + self.incarnation);
         NodeRef { name: self.name.clone(), incarnation }
     }
 
-    /// The time that the node's clock shows.
+    /// Returns the time on the node's clock.
     pub fn local_time(&self, now: Time) -> Time {
         now + self.clock_ahead
     }
 }
 
-/// An entry and the callers that wait at it.
+/// An entry and its open requests.
 #[derive(Debug)]
 pub(crate) struct EntryNode {
     pub node: Node<Entry>,
     pub callers: HashMap<CallId, Caller>,
-    /// Settings version that it has.
+    /// Version of the settings that the entry received last.
     pub settings_version: u64,
 }
 
-/// Who waits for an outcome.
+/// The sender of a request to an entry.
 #[derive(Clone, Debug)]
 pub(crate) enum Caller {
-    /// A client, with the number of its request.
+    /// A client that requested the outcome of a submission.
     Client { id: SubmissionId, requested_at: Time, deadline: Duration },
-    /// Another entry, in a life, for a submission.
+    /// Another entry, with its incarnation, that relayed a request for a submission.
     Peer { entry: usize, incarnation: u64, call: OwnerCall, id: SubmissionId },
 }
 
-/// An agent with its target.
+/// An agent and its target.
 #[derive(Debug)]
 pub(crate) struct AgentNode {
     pub node: Node<Agent>,
     pub rack: String,
     pub slots: u32,
-    /// Tasks that this life has at the target.
+    /// Tasks that the current incarnation runs at the target.
     pub running_tasks: u32,
-    /// Since when it takes no new work, in this life.
+    /// When the current incarnation started to refuse new work.
     pub leaving_since: Option<Time>,
-    /// The target can't be reached until then.
+    /// Until when the target is unreachable.
     pub target_down_until: Time,
 }
--- a/soak/src/script.rs
+++ b/soak/src/script.rs
@@ -1,8 +1,7 @@
-//! Recorded traces: what happens, step by step, and the outcomes that have to follow.
+//! Scripted traces: a sequence of steps and the outcomes that must follow.
 //!
-//! A trace is a small JSON file. It is replayed through the same libraries and by the same code
-//! as the randomised runs, without any chance: frames take a fixed time, and only those are lost
-//! that the trace says.
+//! A trace is a JSON file. It is replayed by the same code as the randomised runs, but
+//! deterministically: frames have a fixed delay, and only the frames that the trace names are lost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,41 +13,41 @@
 use crate::checks::Violation;
 use crate::simulation::{SimEvent, Simulation};
 
-/// How long frames take in a trace.
+/// Delay of all frames in a trace.
 const FRAME_TIME: Duration = Duration::from_millis(1);
 
-/// Why a trace did not hold.
+/// Errors of parsing or replaying a trace.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ScriptError {
-    /// The file is not a trace.
-    #[error("not a trace: {0}")]
+    /// The file is not a valid trace.
+    #[error("invalid trace: {0}")]
     Malformed(String),
-    /// What must always hold did not.
-    #[error("violated: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
+    /// The replay violated invariants.
+    #[error("invariants violated: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     InvariantViolated(Vec<Violation>),
-    /// Another outcome than stated.
+    /// A submission had other outcomes than expected.
     #[error("submission {submission}: expected {expected:?}, got {actual:?}")]
     UnexpectedOutcome {
         /// The submission's number in the trace.
         submission: u32,
-        /// What the trace states, in the order of answering.
+        /// The expected outcomes, in the order of the answers.
         expected: Vec<Outcome>,
-        /// What came.
+        /// The outcomes of the replay.
         actual: Vec<Outcome>,
     },
-    /// Another number of task starts than stated.
+    /// A submission started another number of tasks than expected.
     #[error("submission {submission}: expected {expected} task starts, got {actual}")]
     UnexpectedStarts {
         /// The submission's number in the trace.
         submission: u32,
-        /// What the trace states.
+        /// The expected number of task starts.
         expected: usize,
-        /// What came.
+        /// The number of task starts in the replay.
         actual: usize,
     },
 }
 
-/// The kinds of frames that a trace can lose.
+/// The kinds of frames that a trace can drop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Frame {
@@ -60,7 +59,7 @@
     Settle,
 }
 
-/// The way of a frame.
+/// The direction of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
@@ -70,7 +69,7 @@
     ToEntry,
 }
 
-/// One thing that happens.
+/// A step of a trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "step", deny_unknown_fields)]
 pub enum Step {
@@ -78,128 +77,128 @@
     Submit {
         /// The submission's number in the trace.
         submission: u32,
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// How many tasks it has.
+        /// Number of tasks.
         tasks: u32,
-        /// Time to the answer.
+        /// Time within which an answer is requested, in milliseconds.
         deadline_ms: u64,
     },
-    /// A client asks for the outcome.
+    /// A client fetches the outcome.
     Fetch {
         /// The submission's number in the trace.
         submission: u32,
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
     },
-    /// From now on the next frame of a kind between two nodes is lost.
+    /// Drops the next frame of a kind between two nodes.
     Lose {
-        /// Its kind.
+        /// The kind of the frame.
         frame: Frame,
-        /// Its way.
+        /// The direction of the frame.
         way: Direction,
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// The agent.
+        /// Index of the agent.
         agent: usize,
     },
-    /// A connection breaks; the entry dials again.
+    /// Breaks a connection; the entry reconnects.
     Break {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// The agent.
+        /// Index of the agent.
         agent: usize,
     },
-    /// An entry's process dies.
+    /// Kills an entry.
     KillEntry {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
     },
-    /// An agent's process dies; its target lives on.
+    /// Kills an agent; its target keeps running.
     KillAgent {
-        /// The agent.
+        /// Index of the agent.
         agent: usize,
     },
-    /// A dead entry starts anew.
+    /// Restarts a killed entry.
     StartEntry {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
     },
-    /// A dead agent starts anew.
+    /// Restarts a killed agent.
     StartAgent {
-        /// The agent.
+        /// Index of the agent.
         agent: usize,
     },
-    /// An agent's process stands still.
+    /// Stalls an agent.
     StallAgent {
-        /// The agent.
+        /// Index of the agent.
         agent: usize,
-        /// For how long.
+        /// Length of the stall, in milliseconds.
         ms: u64,
     },
-    /// The platform's list tells every entry that an agent's host leaves; the agent is silent.
+    /// The platform lists an agent's host as leaving to all entries; the agent is not notified.
     ListLeaving {
-        /// The agent.
+        /// Index of the agent.
         agent: usize,
     },
-    /// An agent is told to leave.
+    /// Notifies an agent that it has to leave.
     Leave {
-        /// The agent.
+        /// Index of the agent.
         agent: usize,
     },
 }
 
-/// A step and when it happens.
+/// A step and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimedStep {
-    /// Milliseconds after the start.
+    /// Time after the start, in milliseconds.
     pub at_ms: u64,
-    /// What happens.
+    /// The step.
     #[serde(flatten)]
     pub step: Step,
 }
 
-/// An outcome as a trace states it.
+/// An outcome as written in a trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Whole.
+    /// All tasks were answered.
     Complete,
-    /// Failed, with its code and verdict.
+    /// A failure with its code and verdict.
     Failed(Code, Verdict),
 }
 
-/// What has to come of one submission.
+/// The expected results of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
     /// The submission's number in the trace.
     pub submission: u32,
-    /// The outcomes of its requests, in the order of answering.
+    /// The outcomes of its requests, in the order of the answers.
     pub outcomes: Vec<Outcome>,
-    /// How many of its tasks start, in all.
+    /// Total number of task starts.
     pub starts: usize,
 }
 
-/// A whole trace.
+/// A trace: the cluster, the steps and the expected results.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// What it tells, for people.
+    /// Description for readers.
     pub story: String,
-    /// How many entries.
+    /// Number of entries.
     pub entries: usize,
-    /// How many agents, each in a rack of its own.
+    /// Number of agents, each in a rack of its own.
     pub agents: usize,
     /// Slots of each target.
     pub slots: u32,
-    /// How long each task takes.
+    /// Duration of each task, in milliseconds.
     pub task_ms: u64,
-    /// What happens.
+    /// The steps of the trace.
     pub steps: Vec<TimedStep>,
-    /// How long the replay goes on.
+    /// Length of the replay, in milliseconds.
     pub end_ms: u64,
-    /// What has to come of it.
+    /// The expected results.
     pub expect: Vec<Expectation>,
 }
 
@@ -213,12 +212,12 @@
 }
 
 impl Script {
-    /// Reads a trace.
+    /// Parses a trace from JSON.
     pub fn parse(text: &str) -> Result<Self, ScriptError> {
         serde_json::from_str(text).map_err(|error| ScriptError::Malformed(error.to_string()))
     }
 
-    /// Replays it and checks every stated outcome.
+    /// Replays the trace; fails on violations and on other results than expected.
     pub fn replay(&self) -> Result<(), ScriptError> {
         let mut simulation = Simulation::for_script(self, FRAME_TIME);
         simulation.start_nodes();
@@ -257,7 +256,7 @@
 }
 
 impl Simulation {
-    /// Takes a step of a trace.
+    /// Applies a step of a trace.
     pub fn apply_step(&mut self, step: Step) {
         match step {
             Step::Submit { submission, entry, tasks, deadline_ms } => {
@@ -293,7 +292,7 @@
         }
     }
 
-    /// The id of a trace's submission; made at its first use.
+    /// Returns the id of a submission by its number in the trace; creates it at its first use.
     fn submission_id(&mut self, submission: u32, tasks: u32) -> SubmissionId {
         let now: Time = self.now;
         let Some(replay) = &mut self.replay else { return SubmissionId::from_parts(now, 0) };
@@ -307,7 +306,7 @@
         id
     }
 
-    /// Whether a frame is one that the trace loses; each loss takes one frame.
+    /// Whether the trace drops this frame; each requested loss applies to one frame.
     pub fn drops_frame(
         &mut self,
         frame: Option<Frame>,
--- a/soak/src/settings_rollout.rs
+++ b/soak/src/settings_rollout.rs
@@ -1,4 +1,4 @@
-//! Versions of the settings and their way to the nodes.
+//! Changes of the settings and their delivery to the nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::simulation::{SimEvent, Simulation};
 
 impl Simulation {
-    /// Changes the settings; every node gets them within a few seconds.
+    /// Changes the settings and schedules their delivery to every node.
     pub fn change_settings(&mut self, edits: Vec<Edit>) {
         let Ok(tree) = self.tree.with(&edits) else { return };
         self.tree = tree;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The members of the claim view, and the path of its section.
+    /// Returns the section path and the members of the claim view.
     pub fn claim_view(&self) -> (SectionPath, Vec<String>) {
         let newest = &self.catalogs[self.catalogs.len() - 1];
         (SectionPath::fleet(), newest.fleet().claim_view.clone())
@@ -35,7 +35,7 @@
     pub fn deliver_settings(&mut self, to_entry: bool, number: usize, version: u64) {
         let catalog = self.catalogs[version as usize - 1].clone();
         if to_entry {
-            // A node's link hands on rising versions only.
+            // Nodes only apply newer versions.
             if self.entries[number].settings_version >= version {
                 return;
             }
--- a/soak/src/simulation.rs
+++ b/soak/src/simulation.rs
@@ -1,4 +1,4 @@
-//! One run: virtual time, and the carrying of messages between the state machines.
+//! The state of a run, its event queue, and the dispatch of events.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -19,35 +19,35 @@
 use crate::nodes::{AgentNode, EntryNode, Node};
 use crate::script::{Replay, Script, Step};
 
-/// When every run begins.
+/// Time at the start of each run.
 const START: Time = Time::from_millis(1_764_000_000_000);
-/// Bound on the difference between clocks.
+/// Bound on the difference between the clocks of nodes.
 pub(crate) const CLOCK_SKEW: Duration = Duration::from_millis(40);
-/// How often each node's clock ticks without a timer.
+/// Longest interval between two ticks of a node.
 pub(crate) const TICK: Duration = Duration::from_millis(250);
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Makes the run.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How long faults happen.
+    /// Length of the period in which faults are injected.
     pub fault_period: Duration,
-    /// How long the run goes on without faults, until everything has to work again.
+    /// Length of the final period without faults, in which everything has to recover.
     pub calm_period: Duration,
-    /// Operators empty and refill halls; only runs of room and of keepers have that.
+    /// Whether operators empty and refill halls; only for runs of capacity or keepers.
     pub halls: bool,
-    /// Operators move keepers to other hosts; only runs of keepers have that.
+    /// Whether operators replace keepers; only for runs of keepers.
     pub moves: bool,
-    /// Targets keep their ids when they start again, have more or less room by turns, and crash under some tasks; only runs of
-    /// room have that.
+    /// Whether targets keep their ids over restarts, change their capacity, and crash under some
+    /// tasks; only for runs of capacity.
     pub unstable_targets: bool,
-    /// Prints everything that has this text in it, such as a submission's id.
+    /// Prints all events that contain this text, such as the id of a submission.
     pub trace: Option<String>,
 }
 
 impl Options {
-    /// A run of the usual length.
+    /// Creates the parameters of a run of the default length.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -61,48 +61,50 @@
     }
 }
 
-/// Something that happens at a moment.
+/// A scheduled event. Where an event has the incarnation of a process, it is dropped if the process
+/// has restarted since.
 #[derive(Debug)]
 pub(crate) enum SimEvent {
-    /// Something reaches an entry, in a life.
+    /// An event for an entry, with its incarnation.
     ToEntry(usize, u64, Event),
-    /// Something reaches an agent, in a life.
+    /// An event for an agent, with its incarnation.
     ToAgent(usize, u64, agent::Event),
-    /// An agent's reply reaches its entry.
+    /// The reply of an agent arrives at the entry.
     Reply { link: u64, call: CallId, reply: Reply },
-    /// An entry tries to reach an agent.
+    /// An entry connects to an agent.
     Dial(usize, usize),
-    /// A target ends a task, of an agent in a life.
+    /// A task ends at the target of an agent, with the incarnation of the agent.
     TaskEnds(usize, u64, TaskKey, TaskOutcome),
-    /// Another entry's outcome reaches the entry that relayed.
+    /// The reply of an entry arrives at the entry that relayed a request.
     PeerReply(usize, u64, OwnerCall, SubmissionId, Option<RelayReply>),
-    /// A tick of an entry's timers.
+    /// The timer of an entry.
     EntryTick(usize),
-    /// A tick of an agent's timers.
+    /// The timer of an agent.
     AgentTick(usize),
-    /// A client makes a new submission.
+    /// A client creates a submission.
     NewSubmission,
     /// A client submits again.
     Resubmit(SubmissionId),
-    /// A client asks for an outcome.
+    /// A client fetches an outcome.
     Fetch(SubmissionId),
-    /// A fault begins.
+    /// Injects faults.
     Fault,
     /// A step of a trace.
     ScriptStep(Step),
-    /// A dead entry comes back.
+    /// A stopped entry starts.
     StartEntry(usize),
-    /// A dead agent comes back.
+    /// A stopped agent starts.
     StartAgent(usize),
-    /// A leaving agent ends, in a life, once nothing runs at its target.
+    /// A draining agent stops if its target runs nothing, with its incarnation.
     AgentExit(usize, u64),
-    /// Settings reach a node: entry (true) or agent.
+    /// Settings of a version arrive at a node: an entry if `true`, otherwise an agent.
     SettingsArrive(bool, usize, u64),
-    /// The platform's list tells an entry that an agent's host leaves, in a life.
+    /// An entry receives that the platform lists an agent's host as leaving, with the agent's
+    /// incarnation.
     HostListedLeaving(usize, usize, u64),
 }
 
-/// How many of each there are.
+/// The size of a cluster.
 #[derive(Clone, Copy, Debug)]
 struct ClusterSize {
     entries: usize,
@@ -111,7 +113,7 @@
     slots: u32,
 }
 
-/// One run.
+/// A run with scheduling by slots.
 pub(crate) struct Simulation {
     pub rng: ChaCha8Rng,
     pub now: Time,
@@ -129,11 +131,11 @@
     sequence: u64,
     pub next_call_id: u64,
     trace: Option<String>,
-    /// The state of a trace's replay; none in a randomised run.
+    /// The state of a trace's replay; `None` in randomised runs.
     pub replay: Option<Replay>,
 }
 
-/// Runs one seed; the violations it found, if any.
+/// Runs one seed; returns its counters, or the violations found.
 pub fn run(options: Options) -> Result<Summary, Vec<Violation>> {
     let mut simulation = Simulation::new(options);
     simulation.start();
@@ -176,7 +178,7 @@
             members.join(" "),
             CLOCK_SKEW.as_millis()
         );
-        let tree = Tree::from_ini(&tree).expect("the run's tree is valid");
+        let tree = Tree::from_ini(&tree).expect("the initial settings are valid");
         let agent_node = |number: usize| AgentNode {
             node: Node::new(&format!("a{number}"), number as u64 + 1),
             rack: format!("r{}", number % racks),
@@ -211,7 +213,7 @@
         }
     }
 
-    /// The world of a trace: nothing is left to chance.
+    /// Creates the simulation of a trace, without random faults.
     pub fn for_script(script: &Script, frame_time: Duration) -> Self {
         let time = Duration::from_millis(script.end_ms);
         let options =
@@ -238,12 +240,12 @@
         simulation
     }
 
-    /// When the run began.
+    /// Returns the time at the start of the run.
     pub fn start_time(&self) -> Time {
         START
     }
 
-    /// Starts every node.
+    /// Starts all entries and agents.
     pub fn start_nodes(&mut self) {
         (0..self.agents.len()).for_each(|agent| self.start_agent(agent));
         (0..self.entries.len()).for_each(|entry| self.start_entry(entry));
@@ -255,7 +257,7 @@
         self.schedule_after(Duration::from_secs(1), SimEvent::Fault);
     }
 
-    /// Lets everything happen until the end.
+    /// Handles all events up to the end of the run.
     pub fn run_to_end(&mut self) {
         while let Some(Reverse((time, sequence))) = self.event_queue.pop() {
             if time > self.end {
@@ -268,25 +270,25 @@
         }
     }
 
-    /// Plans something.
+    /// Schedules an event at a time.
     pub fn schedule_at(&mut self, time: Time, event: SimEvent) {
         self.sequence += 1;
         self.event_queue.push(Reverse((time, self.sequence)));
         self.scheduled.insert(self.sequence, event);
     }
 
-    /// Plans something after a while.
+    /// Schedules an event after a delay.
     pub fn schedule_after(&mut self, time: Duration, event: SimEvent) {
         self.schedule_at(self.now + time, event);
     }
 
-    /// A random time up to a bound.
+    /// Draws a duration up to a bound.
     pub fn random_duration(&mut self, longest: Duration) -> Duration {
         let micros = longest.as_micros() as u64;
         Duration::from_micros(self.rng.random_range(0..=micros))
     }
 
-    /// Prints what is traced.
+    /// Prints a value if it contains the text to trace.
     pub fn trace(&self, kind: &str, node: usize, value: &dyn std::fmt::Debug) {
         let Some(wanted) = &self.trace else { return };
         let text = format!("{value:?}");
@@ -296,7 +298,7 @@
     }
 
     fn handle_event(&mut self, event: SimEvent) {
-        self.trace("happens", 0, &event);
+        self.trace("event", 0, &event);
         match event {
             SimEvent::ToEntry(entry, incarnation, event) => {
                 self.deliver_to_entry(entry, incarnation, event)
