--- a/soak/tests/traces.rs
+++ b/soak/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Every recorded trace comes to the outcomes that it states.
+//! Replays all scripted traces and checks their expected outcomes.
 
 use std::fs;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use soak::Script;
 
 #[test]
-fn every_trace_comes_to_its_stated_outcomes() {
+fn traces_have_their_expected_outcomes() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces");
     let mut paths: Vec<_> =
         fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
