--- a/soak/src/capacity/client.rs
+++ b/soak/src/capacity/client.rs
@@ -23,7 +23,7 @@
     /// The entry and the call id of the open request.
     pub pending_call: Option<(usize, u64)>,
     /// Whether the job is submitted after the last fault.
-    pub calm: bool,
+    pub after_faults: bool,
     pub first_submitted: Time,
     /// Time within which the job counts as in time, by the true duration of its tasks.
     pub objective: Duration,
@@ -38,7 +38,7 @@
 }
 
 impl Client {
-    pub fn new(number: u32, rng: &mut ChaCha8Rng, now: Time, calm: bool) -> Self {
+    pub fn new(number: u32, rng: &mut ChaCha8Rng, now: Time, after_faults: bool) -> Self {
         let kinds = [(60_u64, 8_u32, 0_u8, 4_u32), (900, 4, 2, 2), (200, 2, 1, 3)];
         let (mean, width, priority, max_attempts) = kinds[rng.random_range(0..kinds.len())];
         let count = rng.random_range(1..=width);
@@ -72,7 +72,7 @@
             objective,
             deadline: objective * 3 + Duration::from_millis(500),
         };
-        Self { calm, ..Self::with_request(request, work, now) }
+        Self { after_faults, ..Self::with_request(request, work, now) }
     }
 
     /// Creates a client with a given job; `work` has the duration of each task and whether it
@@ -89,7 +89,7 @@
             work,
             tries: 0,
             pending_call: None,
-            calm: false,
+            after_faults: false,
             first_submitted,
             fixed_entry: None,
             started: false,
--- a/soak/src/capacity/commands.rs
+++ b/soak/src/capacity/commands.rs
@@ -44,7 +44,7 @@
             }
         }
         if !late {
-            let delay = self.random_hop();
+            let delay = self.network_delay();
             self.schedule_after(delay, SimEvent::StartAnswered(call, command.key, reply));
         }
     }
@@ -64,7 +64,7 @@
         let Some(target) = &mut self.agents[agent].target else { return };
         let reply = target.stop(now, command);
         if !late {
-            let delay = self.random_hop();
+            let delay = self.network_delay();
             self.schedule_after(delay, SimEvent::StopAnswered(call, command.key.clone(), reply));
         }
     }
@@ -75,7 +75,7 @@
         let Some(target) = &mut self.agents[agent].target else { return };
         match target.hold(now, &command, false) {
             Some(reply) => {
-                let delay = self.random_hop();
+                let delay = self.network_delay();
                 self.schedule_after(delay, SimEvent::HoldAnswered(call, command, reply));
             }
             None => {
@@ -98,7 +98,7 @@
         let Some((call, command)) = self.agents[agent].waiting_hold.take() else { return };
         let Some(target) = &mut self.agents[agent].target else { return };
         if let Some(reply) = target.hold(now, &command, true) {
-            let delay = self.random_hop();
+            let delay = self.network_delay();
             self.schedule_after(delay, SimEvent::HoldAnswered(call, command, reply));
         }
     }
--- a/soak/src/capacity/load.rs
+++ b/soak/src/capacity/load.rs
@@ -85,7 +85,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Surge {
     /// Start, counted from the first job.
-    pub from: Duration,
+    pub start: Duration,
     /// Length of the increase.
     pub duration: Duration,
     /// Factor on the usual rate.
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Cut {
     /// Start, counted from the first job.
-    pub from: Duration,
+    pub start: Duration,
     /// Length of the loss.
     pub duration: Duration,
     /// Share of the agents that are disconnected.
@@ -124,7 +124,7 @@
     /// Sizes of the subsets of entries that agents serve; all entries if `None`.
     pub sizes: Option<Sizes>,
     /// The mix of jobs.
-    pub work: Workload,
+    pub workload: Workload,
     /// Mean share of the total capacity that jobs take.
     pub utilization: f64,
     /// Period in which jobs are submitted.
@@ -221,7 +221,7 @@
     let subsets = EntrySubsets::fixed(load.seed, subsets_of(load));
     let mut simulation = Simulation::empty(rng, load.timing, subsets);
     (0..load.entries).for_each(|_| simulation.add_entry());
-    let capacities = load.work.target_cpu.iter().cycle().take(load.agents);
+    let capacities = load.workload.target_cpu.iter().cycle().take(load.agents);
     capacities.for_each(|cpu| simulation.add_agent(*cpu, false));
     limit_entry_links(&mut simulation, load);
     simulation.unanswered = load.unanswered;
@@ -258,7 +258,7 @@
     let capacity: u64 = simulation.agents.iter().map(|agent| agent.capacity.cpu_milli).sum();
     let cpu_time_of = |kind: &JobKind| kind.share * f64::from(kind.tasks) * kind.mean_ms;
     let mean_cpu_time =
-        load.work.job_kinds.iter().map(cpu_time_of).sum::<f64>() * load.work.task_cpu;
+        load.workload.job_kinds.iter().map(cpu_time_of).sum::<f64>() * load.workload.task_cpu;
     let per_ms = capacity as f64 * load.utilization / mean_cpu_time;
     // The load balancer assigns clients by a hash, so that entries get uneven shares.
     let shares: Vec<f64> =
@@ -268,14 +268,14 @@
     let mut number = 0;
     while after < load.duration.as_secs_f64() * 1e3 {
         let surge = load.surge.filter(|surge| {
-            let since = after - surge.from.as_secs_f64() * 1e3;
+            let since = after - surge.start.as_secs_f64() * 1e3;
             since >= 0.0 && since < surge.duration.as_secs_f64() * 1e3
         });
         let rate = per_ms * surge.map_or(1.0, |surge| surge.factor);
         after -= (1.0 - simulation.rng.random::<f64>()).ln() / rate;
         number += 1;
         let first = START + WARM_UP + Duration::from_secs_f64(after / 1e3);
-        let mut client = draw_client(simulation, &load.work, number, first);
+        let mut client = draw_client(simulation, &load.workload, number, first);
         let mut share = simulation.rng.random_range(0.0..all_shares);
         let entry = shares.iter().position(|own| {
             share -= own;
@@ -291,20 +291,20 @@
 
 fn draw_client(
     simulation: &mut Simulation,
-    work_mix: &Workload,
+    workload: &Workload,
     number: u32,
     first: Time,
 ) -> Client {
     let rng = &mut simulation.rng;
     let mut kind = rng.random::<f64>();
-    let kind = work_mix
+    let kind = workload
         .job_kinds
         .iter()
         .find(|candidate| {
             kind -= candidate.share;
             kind < 0.0
         })
-        .unwrap_or(&work_mix.job_kinds[1]);
+        .unwrap_or(&workload.job_kinds[1]);
     let count = (f64::from(kind.tasks) * log_uniform_factor(rng)).round().max(1.0) as u32;
     let mean = kind.mean_ms * log_uniform_factor(rng);
     let work: Vec<(Duration, bool)> = (0..count)
@@ -314,7 +314,7 @@
     let objective =
         longest.mul_f64(OBJECTIVE_FACTOR) + Duration::from_secs_f64(TARGET_LATENCY_MS / 1e3);
     let estimated_ms = (mean * log_uniform_factor(rng)) as u32;
-    let cpu_milli = (work_mix.task_cpu * rng.random_range(0.7..1.3)) as u64;
+    let cpu_milli = (workload.task_cpu * rng.random_range(0.7..1.3)) as u64;
     let shape = TaskShape {
         count,
         resources: Resources { cpu_milli, memory_mb: 64, gpu: 0 },
@@ -362,8 +362,10 @@
     let Some(cut) = load.cut else { return };
     for agent in 0..load.agents {
         if simulation.rng.random_bool(cut.share) {
-            simulation
-                .schedule_after(WARM_UP + cut.from, SimEvent::DisconnectAgent(agent, cut.duration));
+            simulation.schedule_after(
+                WARM_UP + cut.start,
+                SimEvent::DisconnectAgent(agent, cut.duration),
+            );
         }
     }
 }
--- a/soak/src/capacity/simulation.rs
+++ b/soak/src/capacity/simulation.rs
@@ -46,26 +46,36 @@
 /// A scheduled event. Where an event has the incarnation of a process, it is dropped if the process
 /// has restarted since.
 pub(super) enum SimEvent {
+    /// The timer of an entry, with its incarnation.
     EntryTick(usize, u64),
+    /// The timer of an agent, with its incarnation.
     AgentTick(usize, u64),
+    /// A packet arrives at the other end of a session.
     Packet(usize, Packet),
     /// The link of an entry has sent a segment.
     LinkSent(usize),
     /// The timeout of a requested part of the configuration, with the incarnation of the entry.
     PartTimeout(usize, u64),
+    /// A start arrives at its target; `true` if it is carried out late, without an answer.
     Start(Call, StartCommand, bool),
+    /// A stop arrives at its target; `true` if it is carried out late, without an answer.
     Stop(Call, StopCommand, bool),
     Hold(Call, HoldCommand),
+    /// The wait time of a hold ends, so that the target answers it.
     HoldTimeout(Call),
+    /// An answer to a command, or its timeout, arrives at the agent.
     StartAnswered(Call, RunKey, StartReply),
     StopAnswered(Call, RunKey, StopReply),
     HoldAnswered(Call, HoldCommand, HoldReply),
+    /// Ends the runs that are due at all targets.
     AdvanceTargets,
+    /// A target sends a report to its agent.
     Heartbeat(usize),
     /// A delayed report of a target.
     DelayedReport(usize, TargetReport),
+    /// An agent tries to open a session with an entry.
     Dial(usize, usize),
-    /// All entries lose an agent for a while.
+    /// Cuts an agent off from all entries.
     DisconnectAgent(usize, Duration),
     /// Changes the entries that an agent serves, to all or to a random subset.
     ChangeSubset(usize, bool),
@@ -81,8 +91,11 @@
     /// A cancel of a job reaches another entry, with its incarnation.
     CancelNotice(usize, u64, JobId),
     Submit(JobId),
+    /// An entry reads a request that arrived during its pause.
     QueuedSubmit(usize, u64, CallId, JobRequest),
+    /// An entry notices that a client has closed its request.
     Abandon(usize, u64, CallId),
+    /// The deadline of a client, with the number of its try.
     ClientTimeout(JobId, u32),
     Fault(Fault),
     StartEntry(usize),
@@ -112,7 +125,7 @@
     pub paused_until: Time,
     pub sessions: BTreeMap<u64, usize>,
     pub jobs: BTreeMap<CallId, JobId>,
-    pub next_id: u64,
+    pub last_id: u64,
     /// `None` where messages take no transmission time.
     pub link: Option<EntryLink>,
     pub fetch: DocumentFetch,
@@ -127,7 +140,7 @@
     pub capacity: Resources,
     pub slow_clock: bool,
     pub sessions: BTreeMap<u64, usize>,
-    pub next_id: u64,
+    pub last_id: u64,
     /// When the agent received the drain notice of its target.
     pub draining_since: Option<Time>,
     /// The hold command that waits at the target.
@@ -219,7 +232,7 @@
             paused_until: START,
             sessions: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            next_id: 0,
+            last_id: 0,
             link: None,
             fetch: DocumentFetch::default(),
         });
@@ -235,7 +248,7 @@
             capacity: Resources { cpu_milli, memory_mb: 32_768, gpu: 0 },
             slow_clock,
             sessions: BTreeMap::new(),
-            next_id: 0,
+            last_id: 0,
             draining_since: None,
             waiting_hold: None,
         });
@@ -269,13 +282,13 @@
             self.schedule_after(after, SimEvent::Fault(fault));
         }
         let mut number = 0;
-        for (from, to, calm) in [(300, 9_000, false), (0, 2_000, true)] {
-            let base = if calm { CALM_START } else { Duration::ZERO };
-            let count = if calm { 12 } else { self.rng.random_range(40..220) };
+        for (from, to, after_faults) in [(300, 9_000, false), (0, 2_000, true)] {
+            let base = if after_faults { CALM_START } else { Duration::ZERO };
+            let count = if after_faults { 12 } else { self.rng.random_range(40..220) };
             for _ in 0..count {
                 number += 1;
                 let after = base + Duration::from_millis(self.rng.random_range(from..to));
-                let client = Client::new(number, &mut self.rng, START + after, calm);
+                let client = Client::new(number, &mut self.rng, START + after, after_faults);
                 let id = client.request.id.clone();
                 self.clients.insert(id.clone(), client);
                 self.schedule_after(after, SimEvent::Submit(id));
@@ -320,7 +333,9 @@
             let runs = agent.target.as_ref().map_or(0, |target| target.runs.len());
             let idle = agent.runner.as_ref().is_none_or(Runner::is_idle);
             if runs > 0 || !idle {
-                failures.push(format!("agent {index}: {runs} runs at the end, idle: {idle}"));
+                failures.push(format!(
+                    "agent {index} has {runs} runs at its target at the end, idle: {idle}"
+                ));
             }
         }
         for client in self.clients.values().filter(|client| client.pending_call.is_some()) {
@@ -329,8 +344,8 @@
         failures.into_iter().for_each(|description| self.checks.violation(now, description));
     }
 
-    pub(super) fn schedule_after(&mut self, after: Duration, event: SimEvent) {
-        self.schedule_at(self.now + after, event);
+    pub(super) fn schedule_after(&mut self, delay: Duration, event: SimEvent) {
+        self.schedule_at(self.now + delay, event);
     }
 
     pub(super) fn schedule_at(&mut self, time: Time, event: SimEvent) {
@@ -338,7 +353,7 @@
         self.event_queue.insert((time, self.sequence), event);
     }
 
-    pub(super) fn random_hop(&mut self) -> Duration {
+    pub(super) fn network_delay(&mut self) -> Duration {
         Duration::from_micros(self.rng.random_range(100..2_500))
     }
 
@@ -480,8 +495,8 @@
                 };
                 let mut target = Target::new(id, capacity, process.slow_clock, self.now);
                 target.hall = hall;
-                if let Some(unstable_targets) = &self.unstable_targets {
-                    target.enforces_capacity = unstable_targets.enforces_capacity(agent);
+                if let Some(unstable) = &self.unstable_targets {
+                    target.enforces_capacity = unstable.enforces_capacity(agent);
                 }
                 process.target = Some(target);
                 process.waiting_hold = None;
--- a/soak/src/capacity/submissions.rs
+++ b/soak/src/capacity/submissions.rs
@@ -23,8 +23,8 @@
             }
             return;
         }
-        process.next_id += 1;
-        let call_id = process.next_id;
+        process.last_id += 1;
+        let call_id = process.last_id;
         process.jobs.insert(CallId(call_id), id.clone());
         client.pending_call = Some((entry, call_id));
         let request = client.request.clone();
@@ -76,9 +76,10 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.pending_call = None;
         self.load_stats.job_answered(now, client, outcome);
-        let calm = client.calm && now.since(client.first_submitted) < client.request.deadline;
+        let after_faults =
+            client.after_faults && now.since(client.first_submitted) < client.request.deadline;
         match outcome {
-            Outcome::Completed if calm => self.checks.summary.completed_after_faults += 1,
+            Outcome::Completed if after_faults => self.checks.summary.completed_after_faults += 1,
             Outcome::MayHaveRun(_) => self.send_again(&id),
             _ => {}
         }
--- a/soak/src/capacity/subsets.rs
+++ b/soak/src/capacity/subsets.rs
@@ -74,7 +74,7 @@
         let jobs: Vec<(JobId, Duration)> = self
             .clients
             .values()
-            .filter(|client| !client.calm)
+            .filter(|client| !client.after_faults)
             .map(|client| (client.request.id.clone(), client.first_submitted.since(self.now)))
             .collect();
         for (id, first_submitted) in jobs {
--- a/soak/src/capacity/target.rs
+++ b/soak/src/capacity/target.rs
@@ -179,11 +179,11 @@
         if self.runs.get(task).is_some_and(|run| run.run == command.key.run) {
             return (StartReply::Accepted { clock_ms }, false);
         }
-        let highest_closed_run = self
+        let is_closed = self
             .highest_closed_run
             .get(task)
             .is_some_and(|highest_closed_run| command.key.run <= *highest_closed_run);
-        if highest_closed_run || self.runs.contains_key(task) {
+        if is_closed || self.runs.contains_key(task) {
             return refused(StartRefusal::StaleRun);
         }
         let mut free = self.capacity;
--- a/soak/src/capacity/transport.rs
+++ b/soak/src/capacity/transport.rs
@@ -32,9 +32,9 @@
             last_to_entry: now,
             last_to_agent: now,
         });
-        self.entries[entry].next_id += 1;
-        self.agents[agent].next_id += 1;
-        let (at_entry, at_agent) = (self.entries[entry].next_id, self.agents[agent].next_id);
+        self.entries[entry].last_id += 1;
+        self.agents[agent].last_id += 1;
+        let (at_entry, at_agent) = (self.entries[entry].last_id, self.agents[agent].last_id);
         self.entries[entry].sessions.insert(at_entry, number);
         self.agents[agent].sessions.insert(at_agent, number);
         self.deliver_to_entry(entry, dispatch::Event::AgentOpened(dispatch::SessionId(at_entry)));
@@ -51,7 +51,7 @@
 
     /// Schedules the arrival of a packet: in order, and after any cut has ended.
     pub(super) fn transmit(&mut self, number: usize, packet: Packet) {
-        let delay = self.random_hop();
+        let delay = self.network_delay();
         let session = self.sessions[number];
         let cut = self.cut_until.get(&(session.entry, session.agent)).copied().unwrap_or_default();
         let to_agent = matches!(packet, Packet::ToAgent(_) | Packet::CloseAtAgent);
--- a/soak/src/capacity/unstable_targets.rs
+++ b/soak/src/capacity/unstable_targets.rs
@@ -76,31 +76,29 @@
     /// Records which instance received an unanswered command, as later instances with the same id
     /// must not carry it out.
     pub(super) fn record_unanswered(&mut self, call: Call, late: bool) {
-        let Some(unstable_targets) = self.unstable_targets.as_mut().filter(|_| late) else {
-            return;
-        };
+        let Some(unstable) = self.unstable_targets.as_mut().filter(|_| late) else { return };
         if let Some(target) = &self.agents[call.agent].target {
-            unstable_targets.unanswered.insert(call.number, target.instance.clone());
+            unstable.unanswered.insert(call.number, target.instance.clone());
         }
     }
 
     /// Whether the target instance that received a command is gone.
     pub(super) fn is_command_lost(&mut self, call: Call) -> bool {
-        let (Some(unstable_targets), Some(target)) =
+        let (Some(unstable), Some(target)) =
             (&mut self.unstable_targets, &self.agents[call.agent].target)
         else {
             return false;
         };
-        unstable_targets.is_gone(call, &target.instance)
+        unstable.is_gone(call, &target.instance)
     }
 
     pub(super) fn resize(&mut self, agent: usize, percent: u64) {
-        let Some(unstable_targets) = &mut self.unstable_targets else { return };
+        let Some(unstable) = &mut self.unstable_targets else { return };
         let process = &mut self.agents[agent];
         let Some(target) = &mut process.target else { return };
         let cpu_milli = process.capacity.cpu_milli * percent / 100;
         if cpu_milli < target.capacity.cpu_milli {
-            unstable_targets.reduced_at[agent] = self.now;
+            unstable.reduced_at[agent] = self.now;
             self.checks.summary.capacity_reductions += 1;
         }
         target.capacity.cpu_milli = cpu_milli;
@@ -108,13 +106,12 @@
 
     /// Checks that a started task does not exceed the capacity of its target.
     pub(super) fn check_capacity(&mut self, agent: usize, task: &TaskId) {
-        let (Some(unstable_targets), Some(target)) =
-            (&self.unstable_targets, &self.agents[agent].target)
+        let (Some(unstable), Some(target)) = (&self.unstable_targets, &self.agents[agent].target)
         else {
             return;
         };
         // A paused agent receives the report only after it resumes.
-        let reported_from = unstable_targets.reduced_at[agent].max(self.agents[agent].paused_until);
+        let reported_from = unstable.reduced_at[agent].max(self.agents[agent].paused_until);
         let recently_reduced = self.now.since(reported_from) < REDUCTION_GRACE;
         if target.used_cpu_milli() > target.capacity.cpu_milli && !recently_reduced {
             let description = format!("{task} exceeds the capacity of target {agent}");
@@ -147,10 +144,8 @@
     pub(super) fn crash_target(&mut self, agent: usize, instance: &TargetInstance) {
         let is_there =
             self.agents[agent].target.as_ref().is_some_and(|target| target.instance == *instance);
-        let Some(unstable_targets) = self.unstable_targets.as_mut().filter(|_| is_there) else {
-            return;
-        };
-        let downtime = Duration::from_millis(unstable_targets.rng.random_range(RESTART_DELAY_MS));
+        let Some(unstable) = self.unstable_targets.as_mut().filter(|_| is_there) else { return };
+        let downtime = Duration::from_millis(unstable.rng.random_range(RESTART_DELAY_MS));
         self.checks.summary.target_crashes += 1;
         self.inject_fault(Fault::CrashTarget { agent, downtime });
     }
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -246,8 +246,8 @@
         caller: Caller,
         event: impl FnOnce(entry::CallId) -> Event,
     ) {
-        self.next_call_id += 1;
-        let call = entry::CallId(self.next_call_id);
+        self.last_call_id += 1;
+        let call = entry::CallId(self.last_call_id);
         let node = &mut self.entries[entry];
         let incarnation = node.node.incarnation;
         node.callers.insert(call, caller);
--- a/soak/src/keepers/simulation.rs
+++ b/soak/src/keepers/simulation.rs
@@ -115,8 +115,8 @@
     pub faults_start: Time,
     loss_rate: f64,
     max_delay: Duration,
-    next_call_id: u64,
-    next_seed: u64,
+    last_call_id: u64,
+    last_seed: u64,
     event_queue: BinaryHeap<Reverse<(Time, u64)>>,
     scheduled: HashMap<u64, SimEvent>,
     sequence: u64,
@@ -192,8 +192,8 @@
             faults_start: START,
             loss_rate,
             max_delay: Duration::from_micros(delay),
-            next_call_id: 0,
-            next_seed: options.seed << 16,
+            last_call_id: 0,
+            last_seed: options.seed << 16,
             event_queue: BinaryHeap::new(),
             scheduled: HashMap::new(),
             sequence: 0,
@@ -280,8 +280,8 @@
 
     /// Starts a keeper with the records on its disk.
     pub fn start_keeper(&mut self, number: usize) {
-        self.next_seed += 1;
-        let (seed, now) = (self.next_seed, self.now);
+        self.last_seed += 1;
+        let (seed, now) = (self.last_seed, self.now);
         let (timing, contacts) = (self.topology.timing(), self.contacts.clone());
         let keeper = &mut self.keepers[number];
         if keeper.keeper.is_some() || keeper.removed {
@@ -417,8 +417,8 @@
         requester: Requester,
         event: impl FnOnce(CallId) -> Event,
     ) -> CallId {
-        self.next_call_id += 1;
-        let call_id = CallId(self.next_call_id);
+        self.last_call_id += 1;
+        let call_id = CallId(self.last_call_id);
         self.waiting.insert(call_id, requester);
         let frame_delay = self.frame_delay();
         // An isolated keeper is still reachable for clients, and may believe that it leads.
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -101,8 +101,8 @@
     let started = Instant::now();
     if arguments.get_flag("load") {
         let small_tasks = arguments.get_flag("small-tasks");
-        let work = if small_tasks { Workload::SMALL_TASKS } else { Workload::LARGE_TASKS };
-        let mut load = load(&get, work);
+        let workload = if small_tasks { Workload::SMALL_TASKS } else { Workload::LARGE_TASKS };
+        let mut load = load(&get, workload);
         if let Some(part) = arguments.get_one::<String>("without")
             && !load.timing.policy.disable(part)
         {
@@ -137,9 +137,9 @@
 }
 
 /// Creates the load that the arguments describe.
-fn load(get: &impl Fn(&str) -> u64, work: Workload) -> Load {
+fn load(get: &impl Fn(&str) -> u64, workload: Workload) -> Load {
     let duration = Duration::from_secs(get("seconds"));
-    let (from, middle) = (duration / 3, duration / 3);
+    let (start, middle) = (duration / 3, duration / 3);
     let share = |name: &str| get(name) as f64 / 100.0;
     let serves = get("serves") as usize;
     Load {
@@ -148,11 +148,11 @@
         agents: get("agents") as usize,
         sizes: (serves > 0)
             .then(|| Sizes { entries_of_agent: serves, agents_of_entry: get("least") as usize }),
-        work,
+        workload,
         utilization: share("usage"),
         duration,
-        surge: Some(Surge { from, duration: middle, factor: share("surge") }),
-        cut: Some(Cut { from, duration: middle, share: share("cut") }),
+        surge: Some(Surge { start, duration: middle, factor: share("surge") }),
+        cut: Some(Cut { start, duration: middle, share: share("cut") }),
         unanswered: get("unanswered") as f64 / 1e3,
         links: None,
         timing: CapacityTiming::default(),
--- a/soak/src/network.rs
+++ b/soak/src/network.rs
@@ -52,15 +52,15 @@
 #[derive(Debug, Default)]
 pub(crate) struct Network {
     links: HashMap<u64, Link>,
-    next_link: u64,
-    next_call: u64,
+    last_link_id: u64,
+    last_call_id: u64,
     links_by_call: HashMap<CallId, u64>,
 }
 
 impl Network {
     /// Opens a connection between two nodes, given by index and incarnation; returns its id.
     pub fn open(&mut self, entry: (usize, u64), agent: (usize, u64), now: Time) -> u64 {
-        self.next_link += 1;
+        self.last_link_id += 1;
         let link = Link {
             entry: entry.0,
             entry_incarnation: entry.1,
@@ -71,8 +71,8 @@
             last_to_agent: now,
             last_to_entry: now,
         };
-        self.links.insert(self.next_link, link);
-        self.next_link
+        self.links.insert(self.last_link_id, link);
+        self.last_link_id
     }
 
     pub fn link(&self, id: u64) -> &Link {
@@ -106,8 +106,8 @@
 
     /// Registers a call on a connection and returns its id.
     pub fn call(&mut self, id: u64, pending_call: PendingCall) -> CallId {
-        self.next_call += 1;
-        let call = CallId(self.next_call);
+        self.last_call_id += 1;
+        let call = CallId(self.last_call_id);
         self.links_by_call.insert(call, id);
         if let Some(link) = self.links.get_mut(&id) {
             link.pending_calls.insert(call, pending_call);
--- a/soak/src/simulation.rs
+++ b/soak/src/simulation.rs
@@ -129,7 +129,7 @@
     event_queue: BinaryHeap<Reverse<(Time, u64)>>,
     scheduled: HashMap<u64, SimEvent>,
     sequence: u64,
-    pub next_call_id: u64,
+    pub last_call_id: u64,
     trace: Option<String>,
     /// The state of a trace's replay; `None` in randomised runs.
     pub replay: Option<Replay>,
@@ -207,7 +207,7 @@
             event_queue: BinaryHeap::new(),
             scheduled: HashMap::new(),
             sequence: 0,
-            next_call_id: 0,
+            last_call_id: 0,
             trace: options.trace,
             replay: None,
         }
--- a/soak/tests/load.rs
+++ b/soak/tests/load.rs
@@ -16,7 +16,7 @@
         entries: ENTRIES,
         agents: AGENTS,
         sizes: Some(Sizes::default()),
-        work: Workload::LARGE_TASKS,
+        workload: Workload::LARGE_TASKS,
         utilization: 0.6,
         duration: Duration::from_secs(2),
         surge: None,
@@ -29,11 +29,11 @@
 
 /// The peak load: 1.8 times the usual jobs while a quarter of the targets is disconnected.
 fn peak_load() -> Load {
-    let (from, duration) = (Duration::from_secs(1), Duration::from_secs(2));
+    let (start, duration) = (Duration::from_secs(1), Duration::from_secs(2));
     Load {
         duration: Duration::from_secs(4),
-        surge: Some(Surge { from, duration, factor: 1.8 }),
-        cut: Some(Cut { from, duration, share: 0.25 }),
+        surge: Some(Surge { start, duration, factor: 1.8 }),
+        cut: Some(Cut { start, duration, share: 0.25 }),
         ..usual_load()
     }
 }
@@ -102,8 +102,8 @@
 /// Guards against entries that all start tasks at the same newly freed capacity.
 #[test]
 fn few_starts_are_refused_in_a_burst() {
-    let (from, duration) = (Duration::from_secs(1), Duration::from_secs(2));
-    let surge = Some(Surge { from, duration, factor: 1.5 });
+    let (start, duration) = (Duration::from_secs(1), Duration::from_secs(2));
+    let surge = Some(Surge { start, duration, factor: 1.5 });
     let current = run_load(&Load { duration: Duration::from_secs(4), surge, ..usual_load() });
     println!("{current:?}");
     assert!(current.worth > 0.90);
@@ -126,8 +126,8 @@
 /// Guards against small amounts of free capacity at all targets, none of which fits a large task.
 #[test]
 fn filling_targets_leaves_capacity_for_large_tasks_in_a_burst() {
-    let (from, duration) = (Duration::from_secs(1), Duration::from_secs(2));
-    let surge = Some(Surge { from, duration, factor: 1.5 });
+    let (start, duration) = (Duration::from_secs(1), Duration::from_secs(2));
+    let surge = Some(Surge { start, duration, factor: 1.5 });
     let burst = Load { duration: Duration::from_secs(4), surge, ..usual_load() };
     let baseline = mean_worth(|load| run_without("fill-targets", load), &burst);
     let current = mean_worth(|load| run_load(&load), &burst);
@@ -138,8 +138,8 @@
 /// Guards against work that is sent to disconnected agents until their loss is noticed.
 #[test]
 fn disconnected_targets_soon_receive_no_work() {
-    let (from, duration) = (Duration::from_secs(1), Duration::from_secs(2));
-    let cut = Some(Cut { from, duration, share: 0.25 });
+    let (start, duration) = (Duration::from_secs(1), Duration::from_secs(2));
+    let cut = Some(Cut { start, duration, share: 0.25 });
     let load = Load { duration: Duration::from_secs(4), cut, ..usual_load() };
     let late_detection = |mut load: Load| {
         load.timing.entry.max_load_age = Duration::from_millis(350);
@@ -167,14 +167,14 @@
 /// task.
 #[test]
 fn small_tasks_fill_targets_in_a_burst() {
-    let (from, duration) = (Duration::from_secs(2), Duration::from_secs(2));
+    let (start, duration) = (Duration::from_secs(2), Duration::from_secs(2));
     let load = Load {
         entries: 9,
         agents: 70,
-        work: Workload::SMALL_TASKS,
+        workload: Workload::SMALL_TASKS,
         utilization: 0.85,
         duration: Duration::from_secs(6),
-        surge: Some(Surge { from, duration, factor: 1.3 }),
+        surge: Some(Surge { start, duration, factor: 1.3 }),
         ..usual_load()
     };
     let results = run_four_seeds(|load| run_load(&load), &load);
@@ -193,7 +193,7 @@
     let load = Load {
         entries: 5,
         agents: 35,
-        work: Workload::SMALL_TASKS,
+        workload: Workload::SMALL_TASKS,
         utilization: 0.65,
         unanswered: 0.055,
         ..usual_load()
