--- a/soak/src/capacity/load.rs
+++ b/soak/src/capacity/load.rs
@@ -1,6 +1,6 @@
 //! Simulated loads: the results that callers get when many entries place tasks at many targets.
 //!
-//! The scheduling code is the real one; only links and tasks take simulated time. Used to compare
+//! The scheduling code is the real one; only links and tasks take virtual time. Used to compare
 //! policies and sizes, and by tests that guard their effect.
 
 use std::collections::BTreeSet;
@@ -242,7 +242,7 @@
     let address = |entry: usize| SocketAddr::from(([10, 0, 0, 0], entry as u16));
     let names: Vec<NodeName> =
         (0..load.entries).map(|entry| NodeName::new(&format!("entry-{entry}"))).collect();
-    let change_subset = |agent: usize| {
+    let subset_of = |agent: usize| {
         let mut subset = Subset::new(NodeName::new(&format!("agent-{agent}")), sizes);
         let listed = names.iter().enumerate().map(|(entry, name)| (name, address(entry)));
         subset.listed(START, listed, load.agents);
@@ -250,7 +250,7 @@
         let settled = subset.chosen(START + WARM_UP);
         settled.into_iter().map(|address| usize::from(address.port())).collect()
     };
-    (0..load.agents).map(change_subset).collect()
+    (0..load.agents).map(subset_of).collect()
 }
 
 /// Schedules the submissions of all clients; returns their number.
@@ -259,7 +259,7 @@
     let cpu_time_of = |kind: &JobKind| kind.share * f64::from(kind.tasks) * kind.mean_ms;
     let mean_cpu_time =
         load.workload.job_kinds.iter().map(cpu_time_of).sum::<f64>() * load.workload.task_cpu;
-    let per_ms = capacity as f64 * load.utilization / mean_cpu_time;
+    let jobs_per_ms = capacity as f64 * load.utilization / mean_cpu_time;
     // The load balancer assigns clients by a hash, so that entries get uneven shares.
     let shares: Vec<f64> =
         (0..load.entries).map(|_| simulation.rng.random_range(0.2_f64..1.8)).collect();
@@ -271,7 +271,7 @@
             let since = after - surge.start.as_secs_f64() * 1e3;
             since >= 0.0 && since < surge.duration.as_secs_f64() * 1e3
         });
-        let rate = per_ms * surge.map_or(1.0, |surge| surge.factor);
+        let rate = jobs_per_ms * surge.map_or(1.0, |surge| surge.factor);
         after -= (1.0 - simulation.rng.random::<f64>()).ln() / rate;
         number += 1;
         let first = START + WARM_UP + Duration::from_secs_f64(after / 1e3);
--- a/soak/src/keepers/operators.rs
+++ b/soak/src/keepers/operators.rs
@@ -46,7 +46,7 @@
 
     /// Handles the reply to a request, or its loss if `None`.
     pub fn deliver_reply(&mut self, call_id: CallId, reply: Option<Reply>) {
-        match (self.waiting.remove(&call_id), reply) {
+        match (self.open_requests.remove(&call_id), reply) {
             (Some(Requester::Read { operator, newest }), Some(Reply::Tree(tree))) => {
                 let Ok(parsed) = Tree::from_ini(&tree.tree) else {
                     return self
--- a/soak/src/keepers/simulation.rs
+++ b/soak/src/keepers/simulation.rs
@@ -102,14 +102,14 @@
     pub keepers: Vec<KeeperNode>,
     pub nodes: Vec<NodeState>,
     pub checks: KeeperChecks,
-    pub waiting: HashMap<CallId, Requester>,
+    pub open_requests: HashMap<CallId, Requester>,
     pub changes: u64,
     pub topology: Topology,
     /// `None` in runs without hall commands.
     pub halls: Option<HallCommands>,
     /// `None` in runs without moves.
     pub moves: Option<KeeperMoves>,
-    /// The keepers that one without membership contacts, by its settings.
+    /// The keepers that a keeper without membership contacts, as named in its settings.
     pub contacts: Vec<NodeName>,
     /// No faults are injected before; after a power loss, they wait for a leader.
     pub faults_start: Time,
@@ -183,7 +183,7 @@
             keepers: names.iter().map(keeper).collect(),
             nodes: (0..3).map(|_| NodeState::default()).collect(),
             checks: KeeperChecks::default(),
-            waiting: HashMap::new(),
+            open_requests: HashMap::new(),
             changes: 0,
             topology,
             halls: None,
@@ -419,7 +419,7 @@
     ) -> CallId {
         self.last_call_id += 1;
         let call_id = CallId(self.last_call_id);
-        self.waiting.insert(call_id, requester);
+        self.open_requests.insert(call_id, requester);
         let frame_delay = self.frame_delay();
         // An isolated keeper is still reachable for clients, and may believe that it leads.
         let unreachable = self.keepers[to].keeper.is_none();
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -19,7 +19,7 @@
         Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
     };
     let arguments = Command::new("dockpass-soak")
-        .about("Randomised runs of entries and agents with fault injection, in simulated time")
+        .about("Randomised runs of entries and agents with fault injection, in virtual time")
         .arg(number("seeds", "1000", "Number of runs"))
         .arg(number("first", "0", "Seed of the first run"))
         .arg(
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -76,7 +76,7 @@
     assert!(total.disks_lost > 100 && total.full_disks > 200, "{total:?}");
 }
 
-/// A keeper carried out a late copy of a hall command whose sender had given up.
+/// The run let a keeper carry out a late copy of a hall command whose sender had disconnected.
 const HALL_COMMAND_REGRESSIONS: [u64; 1] = [102_950];
 
 #[test]
