--- a/soak/src/room/client.rs
+++ b/soak/src/capacity/client.rs
@@ -1,4 +1,4 @@
-//! Clients: they hand in jobs, wait, and send again what may have run.
+//! Clients, which submit a job, wait for the answer, and resubmit jobs that may have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,44 +8,44 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// How long after a broken try a client sends again.
-pub(super) const RESEND: Duration = Duration::from_millis(1_300);
-/// Most tries of a client.
-pub(super) const TRIES: u32 = 3;
+/// Time from a failed try to the next submission.
+pub(super) const RESEND_DELAY: Duration = Duration::from_millis(1_300);
+/// Submissions of one job at most.
+pub(super) const MAX_TRIES: u32 = 3;
 
 /// One client with its job.
 #[derive(Clone, Debug)]
 pub(super) struct Client {
     pub request: JobRequest,
-    /// How long each task takes, and whether it fails by its own fault.
+    /// The duration of each task, and whether the task fails.
     pub work: Vec<(Duration, bool)>,
     pub tries: u32,
-    /// The entry and ticket of the present try.
-    pub at: Option<(usize, u64)>,
-    /// Handed in after the last fault.
-    pub calm: bool,
-    pub first: Time,
-    /// By when the job had better end: by how long its tasks take, not by what is thought of them.
+    /// The entry and the call id of the open request.
+    pub pending_call: Option<(usize, u64)>,
+    /// Whether the job is submitted after the last fault.
+    pub after_faults: bool,
+    pub first_submitted: Time,
+    /// Time within which the job counts as in time, by the true duration of its tasks.
     pub objective: Duration,
-    /// What its job is worth under a load.
+    /// Weight of the job in the results of a load.
     pub worth: f64,
-    /// The entry that it always reaches, if so.
-    pub entry: Option<usize>,
-    /// Whether a task of its job has started.
-    pub begun: bool,
-    /// It has cancelled the job: it does not send it any more.
+    /// The entry that receives all requests; a random one for each request if `None`.
+    pub fixed_entry: Option<usize>,
+    /// Whether a task of the job has started.
+    pub started: bool,
+    /// Whether the client cancelled the job; it is not submitted again.
     pub cancelled: bool,
 }
 
 impl Client {
-    pub fn new(number: u32, rng: &mut ChaCha8Rng, now: Time, calm: bool) -> Self {
+    pub fn new(number: u32, rng: &mut ChaCha8Rng, now: Time, after_faults: bool) -> Self {
         let kinds = [(60_u64, 8_u32, 0_u8, 4_u32), (900, 4, 2, 2), (200, 2, 1, 3)];
         let (mean, width, priority, max_attempts) = kinds[rng.random_range(0..kinds.len())];
         let count = rng.random_range(1..=width);
         let work = (0..count)
             .map(|_| {
-                let millis = mean as f64 * rng.random_range(0.6..1.6);
-                (Duration::from_secs_f64(millis / 1e3), rng.random_bool(0.005))
+                let mean_ms = mean as f64 * rng.random_range(0.6..1.6);
+                (Duration::from_secs_f64(mean_ms / 1e3), rng.random_bool(0.005))
             })
             .collect();
         let estimated_ms = (mean as f64 * rng.random_range(0.7..1.4)) as u32;
@@ -72,22 +72,27 @@
             objective,
             deadline: objective * 3 + Duration::from_millis(500),
         };
-        Self { calm, ..Self::with_request(request, work, now) }
+        Self { after_faults, ..Self::with_request(request, work, now) }
     }
 
-    /// One that hands in a job of which each task takes a time, and fails by its own fault or not.
-    pub fn with_request(request: JobRequest, work: Vec<(Duration, bool)>, first: Time) -> Self {
+    /// Creates a client with a given job; `work` has the duration of each task and whether it
+    /// fails.
+    pub fn with_request(
+        request: JobRequest,
+        work: Vec<(Duration, bool)>,
+        first_submitted: Time,
+    ) -> Self {
         Self {
             objective: request.objective,
             worth: 0.0,
             request,
             work,
             tries: 0,
-            at: None,
-            calm: false,
-            first,
-            entry: None,
-            begun: false,
+            pending_call: None,
+            after_faults: false,
+            first_submitted,
+            fixed_entry: None,
+            started: false,
             cancelled: false,
         }
     }
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked from outside the libraries.
+//! Invariants of runs with slots, checked only by what targets and clients observe.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -6,42 +6,42 @@
 use model::{SubmissionId, Time, Verdict};
 use wire::RelayReply;
 
-/// A condition that did not hold.
+/// An invariant violation that a run found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When.
+    /// Simulated time of the violation.
     pub time: Time,
-    /// What happened.
-    pub what: String,
+    /// What was violated, with the ids involved.
+    pub description: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "at {}: {}", self.time, self.what)
+        write!(f, "at {}: {}", self.time, self.description)
     }
 }
 
-/// What a run did.
+/// Counters of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Requests answered whole.
+    /// Requests answered with the answers of all tasks.
     pub complete: u64,
-    /// Requests answered with a failure, by verdict: not run.
+    /// Requests answered with a failure whose verdict is "not run".
     pub not_run: u64,
-    /// ... may have run.
+    /// Requests answered with a failure whose verdict is "may have run".
     pub may_have_run: u64,
-    /// ... ran.
+    /// Requests answered with a failure whose verdict is "ran".
     pub ran: u64,
-    /// Requests whose entry died before it answered.
+    /// Requests whose entry crashed before it answered.
     pub unanswered: u64,
-    /// Tasks started at targets.
+    /// Tasks that started at targets.
     pub started: u64,
-    /// Faults that happened.
+    /// Injected faults.
     pub faults: u64,
 }
 
 impl Summary {
-    /// Adds another run's numbers.
+    /// Adds the counters of another run.
     pub fn add(&mut self, other: &Self) {
         self.complete += other.complete;
         self.not_run += other.not_run;
@@ -53,135 +53,146 @@
     }
 }
 
-/// The work of one submission, as its client made it.
+/// The tasks of a submission, as created by its client.
 #[derive(Clone, Debug)]
-pub(crate) struct Work {
+pub(crate) struct SubmissionSpec {
     pub tasks: Vec<String>,
     pub repeatable: bool,
 }
 
-/// What is known of one submission from outside.
+/// The observed state of a submission.
 #[derive(Debug, Default)]
-struct Fate {
-    /// Tasks started at a target.
+struct SubmissionState {
+    /// Indexes of the tasks that started at a target.
     started: HashSet<u32>,
-    /// The answer that was given.
+    /// The first complete answer.
     answer: Option<Vec<String>>,
-    /// Requests that wait for an outcome.
-    open: u32,
-    /// "Not run" was said and nobody has asked again since.
-    said_not_run: bool,
+    /// Number of requests without an outcome.
+    open_requests: u32,
+    /// Whether the submission was answered as not run and not requested again since.
+    reported_not_run: bool,
 }
 
-/// Watches every start and every outcome.
+/// Checks every start and every outcome, and counts them.
 #[derive(Debug, Default)]
 pub(crate) struct Checks {
-    works: HashMap<SubmissionId, Work>,
-    fates: HashMap<SubmissionId, Fate>,
+    specs: HashMap<SubmissionId, SubmissionSpec>,
+    states: HashMap<SubmissionId, SubmissionState>,
     pub violations: Vec<Violation>,
     pub summary: Summary,
 }
 
-/// The answer that a target gives to a task.
-pub(crate) fn answer_to(task: &str) -> String {
+/// Returns the answer of a target to a task.
+pub(crate) fn expected_answer(task: &str) -> String {
     format!("done: {task}")
 }
 
 impl Checks {
-    pub fn violation(&mut self, time: Time, what: impl Into<String>) {
-        self.violations.push(Violation { time, what: what.into() });
+    pub fn violation(&mut self, time: Time, description: impl Into<String>) {
+        self.violations.push(Violation { time, description: description.into() });
     }
 
-    pub fn add_work(&mut self, id: SubmissionId, work: Work) {
-        self.works.insert(id, work);
+    pub fn register(&mut self, id: SubmissionId, spec: SubmissionSpec) {
+        self.specs.insert(id, spec);
     }
 
-    pub fn work(&self, id: SubmissionId) -> Option<&Work> {
-        self.works.get(&id)
+    pub fn spec(&self, id: SubmissionId) -> Option<&SubmissionSpec> {
+        self.specs.get(&id)
     }
 
-    /// A request was sent.
-    pub fn asked(&mut self, id: SubmissionId) {
-        let fate = self.fates.entry(id).or_default();
-        fate.open += 1;
-        fate.said_not_run = false;
+    /// Records a request for a submission.
+    pub fn request_sent(&mut self, id: SubmissionId) {
+        let state = self.states.entry(id).or_default();
+        state.open_requests += 1;
+        state.reported_not_run = false;
     }
 
-    /// How many tasks of a submission were started.
-    pub fn starts(&self, id: SubmissionId) -> usize {
-        self.fates.get(&id).map_or(0, |fate| fate.started.len())
+    /// Returns the number of distinct tasks of a submission that started.
+    pub fn started_tasks(&self, id: SubmissionId) -> usize {
+        self.states.get(&id).map_or(0, |state| state.started.len())
     }
 
-    /// A task began to run at a target.
-    pub fn started(&mut self, time: Time, id: SubmissionId, index: u32) {
+    /// Checks and records that a task started at a target.
+    pub fn task_started(&mut self, time: Time, id: SubmissionId, index: u32) {
         self.summary.started += 1;
-        let repeatable = self.works.get(&id).is_some_and(|work| work.repeatable);
-        let fate = self.fates.entry(id).or_default();
-        let first = fate.started.insert(index);
-        let (said_not_run, open) = (fate.said_not_run, fate.open);
+        let repeatable = self.specs.get(&id).is_some_and(|spec| spec.repeatable);
+        let state = self.states.entry(id).or_default();
+        let first = state.started.insert(index);
+        let (reported_not_run, open_requests) = (state.reported_not_run, state.open_requests);
         if !first && !repeatable {
             self.violation(time, format!("task {id}/{index} started twice"));
         }
-        if said_not_run && open == 0 {
-            self.violation(time, format!("task {id}/{index} started after 'not run' was said"));
+        if reported_not_run && open_requests == 0 {
+            self.violation(
+                time,
+                format!("task {id}/{index} started after its submission was answered as not run"),
+            );
         }
     }
 
-    /// A request's entry died: it gets no outcome.
-    pub fn unanswered(&mut self, id: SubmissionId) {
+    /// Records that the entry of a request crashed, so that the request gets no outcome.
+    pub fn request_lost(&mut self, id: SubmissionId) {
         self.summary.unanswered += 1;
-        // What the dead entry had sent may start yet, so the request stays open.
-        self.fates.entry(id).or_default().said_not_run = false;
+        // Messages of the crashed entry may still start tasks, so the request stays open.
+        self.states.entry(id).or_default().reported_not_run = false;
     }
 
-    /// A request got its outcome.
-    pub fn answered(&mut self, time: Time, id: SubmissionId, reply: &RelayReply) {
-        let fate = self.fates.entry(id).or_default();
-        fate.open = fate.open.saturating_sub(1);
+    /// Checks the outcome of a request.
+    pub fn request_answered(&mut self, time: Time, id: SubmissionId, reply: &RelayReply) {
+        let state = self.states.entry(id).or_default();
+        state.open_requests = state.open_requests.saturating_sub(1);
         match reply {
-            Ok(answers) => self.whole(time, id, answers.iter().map(|a| a.to_string()).collect()),
-            Err(failure) => self.failed(time, id, failure.verdict, &failure.message),
+            Ok(answers) => {
+                self.request_completed(time, id, answers.iter().map(|a| a.to_string()).collect())
+            }
+            Err(failure) => self.request_failed(time, id, failure.verdict, &failure.message),
         }
     }
 
-    fn whole(&mut self, time: Time, id: SubmissionId, answers: Vec<String>) {
+    fn request_completed(&mut self, time: Time, id: SubmissionId, answers: Vec<String>) {
         self.summary.complete += 1;
-        let expected = self
-            .works
-            .get(&id)
-            .map(|work| work.tasks.iter().map(|task| answer_to(task)).collect::<Vec<String>>());
+        let expected = self.specs.get(&id).map(|spec| {
+            spec.tasks.iter().map(|task| expected_answer(task)).collect::<Vec<String>>()
+        });
         if expected.as_ref() != Some(&answers) {
-            self.violation(time, format!("answer of {id} is not its own or not whole"));
+            self.violation(
+                time,
+                format!("the answer to submission {id} is incomplete or belongs to another one"),
+            );
         }
-        let fate = self.fates.entry(id).or_default();
-        if fate.answer.as_ref().is_some_and(|first| *first != answers) {
-            self.violation(time, format!("{id} has two answers"));
+        let state = self.states.entry(id).or_default();
+        if state.answer.as_ref().is_some_and(|first| *first != answers) {
+            self.violation(time, format!("submission {id} has two different answers"));
         } else {
-            fate.answer = Some(answers);
+            state.answer = Some(answers);
         }
     }
 
-    fn failed(&mut self, time: Time, id: SubmissionId, verdict: Verdict, message: &str) {
-        let tasks = self.works.get(&id).map_or(0, |work| work.tasks.len());
-        let repeatable = self.works.get(&id).is_some_and(|work| work.repeatable);
-        let fate = self.fates.entry(id).or_default();
-        let started = fate.started.len();
+    fn request_failed(&mut self, time: Time, id: SubmissionId, verdict: Verdict, message: &str) {
+        let tasks = self.specs.get(&id).map_or(0, |spec| spec.tasks.len());
+        let repeatable = self.specs.get(&id).is_some_and(|spec| spec.repeatable);
+        let state = self.states.entry(id).or_default();
+        let started = state.started.len();
         match verdict {
             Verdict::NotRun => {
                 self.summary.not_run += 1;
-                // A request that is still open may make it start.
-                fate.said_not_run = !repeatable && fate.open == 0;
+                // Another open request may still start the tasks.
+                state.reported_not_run = !repeatable && state.open_requests == 0;
                 if started > 0 && !repeatable {
-                    let what = format!("'not run' said of {id}, {started} started: {message}");
-                    self.violation(time, what);
+                    let description = format!(
+                        "submission {id} was answered as not run, but {started} tasks started: {message}"
+                    );
+                    self.violation(time, description);
                 }
             }
             Verdict::MayHaveRun => self.summary.may_have_run += 1,
             Verdict::Ran => {
                 self.summary.ran += 1;
                 if started != tasks {
-                    let what = format!("'ran' said of {id}, {started} of {tasks} started");
-                    self.violation(time, what);
+                    let description = format!(
+                        "submission {id} was answered as ran, but {started} of {tasks} tasks started"
+                    );
+                    self.violation(time, description);
                 }
             }
         }
--- a/soak/src/keepers/disks.rs
+++ b/soak/src/keepers/disks.rs
@@ -1,33 +1,33 @@
-//! The keepers' disks: what is stored, refused and lost.
+//! The disks of keepers: writes, refusal of writes, and loss.
 
 use consensus::Record;
 use keeper::{Action, Keeper};
 use model::{NodeName, Time};
 use rand::Rng;
 
-use super::world::KeeperWorld;
+use super::simulation::KeeperSimulation;
 
-/// Most records of a batch that a loss of power leaves.
-const MOST_TORN: usize = 3;
+/// Most records of the last write that a power loss leaves on disk.
+const MAX_TORN_RECORDS: usize = 3;
 
-/// One keeper with its disk.
-pub(crate) struct Disked {
+/// A keeper with its disk.
+pub(crate) struct KeeperNode {
     pub name: NodeName,
     pub keeper: Option<Keeper>,
     pub disk: Vec<Record>,
     pub stalled_until: Time,
     pub cut_off: bool,
     pub tick_at: Option<Time>,
-    /// The disk takes nothing more.
+    /// Whether the disk refuses writes.
     pub full: bool,
-    /// What it has refused in this life.
-    pub refused: Vec<Action>,
-    /// It was moved to another host, and does not start here.
-    pub gone: bool,
+    /// Writes that the full disk refused since the keeper started.
+    pub refused_actions: Vec<Action>,
+    /// Whether the keeper was replaced by one on another host.
+    pub removed: bool,
 }
 
-impl Disked {
-    /// One that has not started yet.
+impl KeeperNode {
+    /// Creates a keeper that has not started yet.
     pub fn new(name: NodeName, disk: Vec<Record>, now: Time) -> Self {
         Self {
             name,
@@ -37,13 +37,13 @@
             cut_off: false,
             tick_at: None,
             full: false,
-            refused: Vec::new(),
-            gone: false,
+            refused_actions: Vec::new(),
+            removed: false,
         }
     }
 
-    /// Whether its disk holds all that it acknowledged.
-    pub fn holds_all(&self) -> bool {
+    /// Whether the disk holds all records that the keeper acknowledged.
+    pub fn holds_acknowledged(&self) -> bool {
         let states = self.disk.iter().rev().filter_map(|record| match record {
             Record::Blank(blank) => Some(!blank),
             _ => None,
@@ -51,8 +51,8 @@
         states.into_iter().next().unwrap_or(false)
     }
 
-    /// The last entry on its disk.
-    pub fn last_entry(&self) -> u64 {
+    /// Returns the index of the last log entry on the disk, or 0.
+    pub fn last_entry_index(&self) -> u64 {
         let entries = self.disk.iter().rev().find_map(|record| match record {
             Record::Append(entries) => entries.last().map(|entry| entry.index),
             Record::Snapshot(snapshot) => Some(snapshot.index),
@@ -66,8 +66,9 @@
     matches!(action, Action::Store(_) | Action::Rewrite(_))
 }
 
-impl KeeperWorld {
-    /// Stores what is to be stored; returns what the keeper does then, or instead where its disk is full.
+impl KeeperSimulation {
+    /// Applies the writes among `actions`. Returns the actions to carry out next, which the keeper
+    /// replaces if its disk is full.
     pub fn store_or_refuse(&mut self, number: usize, actions: Vec<Action>) -> Vec<Action> {
         if self.keepers[number].full && actions.iter().any(is_store) {
             return self.refuse(number, actions);
@@ -76,18 +77,18 @@
         actions
     }
 
-    /// Empties a dead keeper's disk.
+    /// Replaces the disk of a stopped keeper by an empty one.
     pub fn lose_disk(&mut self, number: usize) {
-        self.keepers[number].disk = self.arrangement.empty_disk();
+        self.keepers[number].disk = self.topology.empty_disk();
         self.checks.summary.disks_lost += 1;
     }
 
-    /// Ends a keeper while it stores what the next message to it leads to: of that, some of the first
-    /// records are on its disk, and nothing that was to follow is done.
-    pub fn die_while_storing(&mut self, number: usize) {
+    /// Kills a keeper while it writes the result of its next message: only some of the first
+    /// records reach the disk, and no other action is carried out.
+    pub fn crash_while_storing(&mut self, number: usize) {
         let now = self.now;
         let message = self.next_message(number);
-        let kept = self.rng.random_range(0..=MOST_TORN);
+        let kept = self.rng.random_range(0..=MAX_TORN_RECORDS);
         let keeper = &mut self.keepers[number];
         let Some(mut machine) = keeper.keeper.take() else { return };
         let Some(event) = message else { return };
@@ -101,7 +102,7 @@
         keeper.disk.extend(stores.flatten().take(kept));
     }
 
-    /// What is stored is synced before anything else is done.
+    /// Writes records; they count as synced before any other action.
     fn store(&mut self, number: usize, actions: &[Action]) {
         let disk = &mut self.keepers[number].disk;
         for action in actions {
@@ -113,25 +114,26 @@
         }
     }
 
-    /// A full disk refuses what is to be stored; returns what the keeper does instead.
+    /// Refuses all writes among `actions`; returns the actions that the keeper takes instead.
     fn refuse(&mut self, number: usize, actions: Vec<Action>) -> Vec<Action> {
         let now = self.now;
         let keeper = &mut self.keepers[number];
         let Some(machine) = &mut keeper.keeper else { return Vec::new() };
-        if !keeper.refused.is_empty() {
-            self.checks.violation(now, "a keeper stores on a disk that it knows to be full");
+        if !keeper.refused_actions.is_empty() {
+            self.checks.violation(now, "a keeper writes to a disk that it knows to be full");
             return Vec::new();
         }
-        keeper.refused = actions.iter().filter(|action| is_store(action)).cloned().collect();
+        keeper.refused_actions =
+            actions.iter().filter(|action| is_store(action)).cloned().collect();
         let mut instead = Vec::new();
         machine.disk_is_full(now, actions, &mut instead);
         self.checks.summary.full_disks += 1;
         instead
     }
 
-    /// A disk has room: what it has refused is stored.
-    pub fn make_room(&mut self, number: usize) {
-        let refused = std::mem::take(&mut self.keepers[number].refused);
+    /// Ends the refusal of writes and applies the refused ones.
+    pub fn free_disk(&mut self, number: usize) {
+        let refused = std::mem::take(&mut self.keepers[number].refused_actions);
         self.keepers[number].full = false;
         let Some(machine) = &mut self.keepers[number].keeper else { return };
         machine.disk_is_writable();
