--- a/bench/src/path.rs
+++ b/bench/src/path.rs
@@ -30,7 +30,7 @@
         entries: 1,
         agents: get("agents") as usize,
         slots: 128,
-        time: ServiceTime::None,
+        service_time: ServiceTime::None,
         ..ClusterOptions::small("booking", TREE)
     };
     let cluster = Cluster::start(options).map_err(|error| error.to_string())?;
@@ -68,7 +68,7 @@
 /// Response times of a target asked directly, one request after the other.
 fn direct() -> Result<Latency, String> {
     let target =
-        Target::start(ServiceTime::None, Behaviour::Answers).map_err(|error| error.to_string())?;
+        Target::start(ServiceTime::None, Behaviour::Succeed).map_err(|error| error.to_string())?;
     let address: SocketAddr = target.address();
     Ok(net::block_on(|tasks| async move {
         let client = Client::new(address, tasks);
--- a/components/fakes/src/lib.rs
+++ b/components/fakes/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what is outside dockpass: targets that take tasks over HTTP.
+//! Test doubles for the systems around dockpass: targets that run tasks over HTTP.
 
 mod target;
 
--- a/components/fakes/src/target.rs
+++ b/components/fakes/src/target.rs
@@ -1,4 +1,4 @@
-//! A target that takes as long as a task asks for and counts how often each was started.
+//! A fake HTTP target with a configurable service time that counts the starts of each task.
 
 use std::collections::HashMap;
 use std::io;
@@ -14,26 +14,27 @@
 use net::{Body, BodyError, Limits};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a task takes at the stand-in.
+/// How long the fake target takes to answer a task.
 #[derive(Clone, Copy, Debug)]
 pub enum ServiceTime {
-    /// No time.
+    /// Answers without delay.
     None,
-    /// A time within these bounds, in milliseconds, that depends on the task's text alone.
-    ByText {
-        /// The shortest.
+    /// A time between `min_ms` and `max_ms`, derived from a hash of the task's text, so that equal
+    /// tasks always take equally long.
+    FromTaskHash {
+        /// Lower bound, in milliseconds.
         min_ms: u64,
-        /// The longest.
+        /// Upper bound, in milliseconds.
         max_ms: u64,
     },
 }
 
 impl ServiceTime {
-    /// How long this task takes.
-    pub fn of(self, task: &str) -> Duration {
+    /// Returns the service time of a task with this text.
+    pub fn for_task(self, task: &str) -> Duration {
         match self {
             Self::None => Duration::ZERO,
-            Self::ByText { min_ms, max_ms } => {
+            Self::FromTaskHash { min_ms, max_ms } => {
                 let range = (max_ms - min_ms).max(1) * 1_000;
                 Duration::from_micros(min_ms * 1_000 + xxh3_64(task.as_bytes()) % range)
             }
@@ -41,55 +42,57 @@
     }
 }
 
-/// How the stand-in treats a task.
+/// How the fake target responds to a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers it.
-    Answers,
-    /// Answers with status 500.
-    Fails,
-    /// Takes it and never answers.
-    Stuck,
+    /// Responds with status 200 after the service time.
+    Succeed,
+    /// Responds with status 500 at once.
+    Fail,
+    /// Accepts the request and never responds.
+    Hang,
 }
 
-/// How often each task (submission and index as their headers say) was started.
-type Starts = Arc<Mutex<HashMap<(String, String), u32>>>;
+/// Number of starts of each task, by the submission and task index of its request headers.
+type StartCounts = Arc<Mutex<HashMap<(String, String), u32>>>;
 
-/// A running stand-in; it stops when dropped.
+/// A running fake target, which stops when dropped.
 pub struct Target {
     address: SocketAddr,
-    starts: Starts,
+    start_counts: StartCounts,
     stop: Option<async_channel::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Target {
-    /// Starts a stand-in on a free port of the loopback.
-    pub fn start(time: ServiceTime, behaviour: Behaviour) -> io::Result<Self> {
+    /// Starts a fake target on a free loopback port.
+    ///
+    /// Fails if the port can't be bound or the thread can't be spawned.
+    pub fn start(service_time: ServiceTime, behaviour: Behaviour) -> io::Result<Self> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
         let address = listener.get_ref().local_addr()?;
-        let starts = Starts::default();
+        let start_counts = StartCounts::default();
         let (stop, stopped) = async_channel::bounded(1);
-        let counted = starts.clone();
-        let run = move || run(listener, time, behaviour, counted, stopped);
-        let thread = thread::Builder::new().name("stand-in".to_owned()).spawn(run)?;
-        Ok(Self { address, starts, stop: Some(stop), thread: Some(thread) })
+        let thread_counts = start_counts.clone();
+        let serve = move || serve(listener, service_time, behaviour, thread_counts, stopped);
+        let thread = thread::Builder::new().name("stand-in".to_owned()).spawn(serve)?;
+        Ok(Self { address, start_counts, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// The address on which the target listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How many tasks were started, and the most often that one was.
-    pub fn starts(&self) -> (usize, u32) {
-        let starts = self.starts.lock().unwrap_or_else(PoisonError::into_inner);
-        (starts.len(), starts.values().copied().max().unwrap_or(0))
+    /// Returns the number of distinct tasks started, and the highest start count of any task.
+    pub fn start_summary(&self) -> (usize, u32) {
+        let start_counts = self.start_counts.lock().unwrap_or_else(PoisonError::into_inner);
+        (start_counts.len(), start_counts.values().copied().max().unwrap_or(0))
     }
 
-    /// Every started task with how often it was.
-    pub fn started(&self) -> HashMap<(String, String), u32> {
-        self.starts.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    /// Returns the start count of every started task, by submission and task index.
+    pub fn start_counts(&self) -> HashMap<(String, String), u32> {
+        self.start_counts.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
@@ -97,17 +100,17 @@
     fn drop(&mut self) {
         self.stop.take();
         if let Some(thread) = self.thread.take() {
-            // A stand-in that panicked has failed its test already.
+            // A panic of the thread is ignored: the test sees its requests fail.
             let _ = thread.join();
         }
     }
 }
 
-fn run(
+fn serve(
     listener: Async<TcpListener>,
-    time: ServiceTime,
+    service_time: ServiceTime,
     behaviour: Behaviour,
-    starts: Starts,
+    start_counts: StartCounts,
     stopped: async_channel::Receiver<()>,
 ) {
     let limits = Limits {
@@ -117,47 +120,47 @@
         max_connections: 1_000,
     };
     let handler = move |request: Request<Result<Bytes, BodyError>>| {
-        let starts = starts.clone();
-        async move { answer(request, time, behaviour, &starts).await }
+        let start_counts = start_counts.clone();
+        async move { handle_request(request, service_time, behaviour, &start_counts).await }
     };
     net::block_on(|tasks| async move {
         tasks.spawn(net::serve(listener, tasks.clone(), move || limits, handler));
-        // Ends when the handle is dropped.
+        // Returns an error once the `Target` has been dropped.
         let _ = stopped.recv().await;
     });
 }
 
-async fn answer(
+async fn handle_request(
     request: Request<Result<Bytes, BodyError>>,
-    time: ServiceTime,
+    service_time: ServiceTime,
     behaviour: Behaviour,
-    starts: &Starts,
+    start_counts: &StartCounts,
 ) -> Response<Body> {
     let (head, body) = request.into_parts();
     let Ok(body) = body else { return response(400, "no body".to_owned()) };
     let task = String::from_utf8_lossy(&body).into_owned();
-    count(&head.headers, starts);
+    record_start(&head.headers, start_counts);
     match behaviour {
-        Behaviour::Answers => {
-            Timer::after(time.of(&task)).await;
+        Behaviour::Succeed => {
+            Timer::after(service_time.for_task(&task)).await;
             response(200, format!("done: {task}"))
         }
-        Behaviour::Fails => response(500, "out of order".to_owned()),
-        Behaviour::Stuck => future::pending().await,
+        Behaviour::Fail => response(500, "out of order".to_owned()),
+        Behaviour::Hang => future::pending().await,
     }
 }
 
-fn count(headers: &HeaderMap, starts: &Starts) {
+fn record_start(headers: &HeaderMap, start_counts: &StartCounts) {
     let text = |name: &str| {
         let value = headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
-    let key = (text("dockpass-submission"), text("dockpass-task"));
-    *starts.lock().unwrap_or_else(PoisonError::into_inner).entry(key).or_default() += 1;
+    let task_key = (text("dockpass-submission"), text("dockpass-task"));
+    *start_counts.lock().unwrap_or_else(PoisonError::into_inner).entry(task_key).or_default() += 1;
 }
 
 fn response(status: u16, text: String) -> Response<Body> {
     let mut response = Response::new(Body::from(text));
-    *response.status_mut() = hyper::StatusCode::from_u16(status).expect("constant statuses");
+    *response.status_mut() = hyper::StatusCode::from_u16(status).expect("the status code is valid");
     response
 }
--- a/components/testbed/src/lib.rs
+++ b/components/testbed/src/lib.rs
@@ -1,7 +1,7 @@
-//! A whole dockpass in one process on loopback: keeper, entries, agents and stand-in targets,
-//! each role with its own threads and sockets.
+//! A complete dockpass cluster in one process on loopback: keepers, entries, agents and fake
+//! targets, each with its own threads and sockets.
 
-// How long a test waits.
+// `Instant` only measures how long a test waits.
 #![allow(clippy::disallowed_methods)]
 
 mod cluster;
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -20,7 +20,7 @@
 /// The settings tree that is in force by default.
 const TREE: &str = include_str!("../../examples/booking.ini");
 /// How long the stand-in targets take for a task.
-const TIME: ServiceTime = ServiceTime::ByText { min_ms: 50, max_ms: 500 };
+const TIME: ServiceTime = ServiceTime::FromTaskHash { min_ms: 50, max_ms: 500 };
 
 /// What came of one job.
 struct Done {
@@ -33,7 +33,7 @@
 pub fn run(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
     let (jobs, tree) = read_input(arguments)?;
     let service = jobs.jobs.first().map_or("booking", |job| job.service.as_str());
-    let options = ClusterOptions { time: TIME, ..ClusterOptions::small(service, &tree) };
+    let options = ClusterOptions { service_time: TIME, ..ClusterOptions::small(service, &tree) };
     // The cluster's own log would stand between the answers.
     spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
     let cluster = Cluster::start(options)?;
@@ -85,7 +85,7 @@
             let started = Instant::now();
             let outcome = submit(&callers[number % 2], new_submission_id(), job).await?;
             let response = started.elapsed();
-            let ideal = job.tasks.iter().map(|task| TIME.of(task)).max().unwrap_or_default();
+            let ideal = job.tasks.iter().map(|task| TIME.for_task(task)).max().unwrap_or_default();
             all.push(Done { outcome, response, ideal });
             progress.inc(1);
         }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -13,7 +13,7 @@
 use testbed::{Cluster, ClusterOptions};
 
 /// Long enough that a job still runs when a node stops.
-const SLOW: ServiceTime = ServiceTime::ByText { min_ms: 300, max_ms: 310 };
+const SLOW: ServiceTime = ServiceTime::FromTaskHash { min_ms: 300, max_ms: 310 };
 const TASKS: [&str; 12] = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
 
 /// Submits a job to the first entry from a thread, and waits until all its tasks run.
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_planned_stop_of_an_agent_cuts_off_nothing() {
-    let mut cluster = start(ClusterOptions { time: SLOW, ..options() });
+    let mut cluster = start(ClusterOptions { service_time: SLOW, ..options() });
     let submitted = submit_and_wait(&cluster);
     cluster.drain_agent(0);
     let outcome = submitted.join().unwrap();
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_planned_stop_of_an_entry_cuts_off_nothing() {
-    let mut cluster = start(ClusterOptions { time: SLOW, ..options() });
+    let mut cluster = start(ClusterOptions { service_time: SLOW, ..options() });
     let submitted = submit_and_wait(&cluster);
     cluster.drain_entry(0);
     let outcome = submitted.join().unwrap();
@@ -54,7 +54,7 @@
 #[test]
 fn a_target_that_the_list_says_is_leaving_gets_no_new_work() {
     let cluster = start(options());
-    cluster.list_agent_as_leaving(1);
+    cluster.mark_agent_leaving(1);
     let entries = [cluster.entry_address(0), cluster.entry_address(1)];
     let told = |cluster: &Cluster| {
         // Its own agent was told, and refuses; the entries were told, and do not ask.
@@ -63,7 +63,7 @@
     cluster.wait_for(told).unwrap();
     cluster
         .wait_for(|cluster| {
-            let before = cluster.target(1).starts().0;
+            let before = cluster.target(1).start_summary().0;
             run(|tasks| async move {
                 for entry in entries {
                     let caller = caller(entry, &tasks);
@@ -72,7 +72,7 @@
                     assert_eq!(answers(&outcome).len(), TASKS.len());
                 }
             });
-            cluster.target(1).starts().0 == before
+            cluster.target(1).start_summary().0 == before
         })
         .unwrap();
     finish(cluster);
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_killed_agent_gives_a_failed_job_that_may_have_run() {
-    let mut cluster = start(ClusterOptions { time: SLOW, ..options() });
+    let mut cluster = start(ClusterOptions { service_time: SLOW, ..options() });
     let submitted = submit_and_wait(&cluster);
     // Two agents have room for all tasks of the job, so that the first may have none.
     let running: Vec<u64> =
@@ -99,7 +99,7 @@
 
 #[test]
 fn the_owner_dead_a_resubmission_gets_a_verdict_and_no_second_start() {
-    let mut cluster = start(ClusterOptions { time: SLOW, ..options() });
+    let mut cluster = start(ClusterOptions { service_time: SLOW, ..options() });
     let (first, second) = (cluster.entry_address(0), cluster.entry_address(1));
     let id = new_submission_id();
     let submitted = std::thread::spawn(move || {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -96,7 +96,7 @@
     assert_eq!(change(&cluster, "c1", 1, "deadline_ms=900"), accepted(2));
     for (number, version) in [(0, 3), (1, 4)] {
         cluster.kill_keeper(number);
-        cluster.lose_keeper_disk(number).unwrap();
+        cluster.wipe_keeper_disk(number).unwrap();
         cluster.start_keeper(number).unwrap();
         // The second loss comes right after the repair of the first.
         let repaired =
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -61,7 +61,7 @@
     assert_eq!(breaches, 0, "breaches of what must always hold");
     let mut starts = std::collections::HashMap::new();
     for target in cluster.targets() {
-        for (task, count) in target.started() {
+        for (task, count) in target.start_counts() {
             *starts.entry(task).or_insert(0) += count;
         }
     }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -12,7 +12,7 @@
 use model::{SubmissionId, Verdict};
 use support::{answers, caller, finish, job, options, run, start};
 
-const SLOW: ServiceTime = ServiceTime::ByText { min_ms: 150, max_ms: 160 };
+const SLOW: ServiceTime = ServiceTime::FromTaskHash { min_ms: 150, max_ms: 160 };
 
 fn failure(outcome: &Outcome) -> (u16, &str, Verdict) {
     match outcome {
@@ -72,14 +72,14 @@
             assert_eq!(failure(&outcome), (409, "id-conflict", Verdict::MayHaveRun));
         }
     });
-    let started: usize = cluster.targets().iter().map(|target| target.starts().0).sum();
+    let started: usize = cluster.targets().iter().map(|target| target.start_summary().0).sum();
     assert_eq!(started, 2);
     finish(cluster);
 }
 
 #[test]
 fn a_resubmission_joins_the_running_job() {
-    let cluster = start(testbed::ClusterOptions { time: SLOW, ..options() });
+    let cluster = start(testbed::ClusterOptions { service_time: SLOW, ..options() });
     let (first, second) = (cluster.entry_address(0), cluster.entry_address(1));
     run(|tasks| async move {
         let id = new_submission_id();
@@ -92,7 +92,7 @@
         // Claims that cross may leave one entry without a quorum: then it says so.
         assert!(outcomes.iter().any(whole), "{outcomes:?}");
     });
-    let started: usize = cluster.targets().iter().map(|target| target.starts().0).sum();
+    let started: usize = cluster.targets().iter().map(|target| target.start_summary().0).sum();
     assert!(started <= 1);
     finish(cluster);
 }
@@ -131,7 +131,7 @@
 
 #[test]
 fn clients_that_speak_no_http_or_hang_up_harm_nothing() {
-    let cluster = start(testbed::ClusterOptions { time: SLOW, ..options() });
+    let cluster = start(testbed::ClusterOptions { service_time: SLOW, ..options() });
     let entry = cluster.entry_address(0);
     let mut babble = TcpStream::connect(entry).unwrap();
     babble.write_all(b"\x00\xffnot http\r\n\r\n").unwrap();
@@ -160,7 +160,7 @@
 
 #[test]
 fn a_failing_target_gives_a_failed_job_that_ran() {
-    let cluster = start(testbed::ClusterOptions { behaviour: Behaviour::Fails, ..options() });
+    let cluster = start(testbed::ClusterOptions { behaviour: Behaviour::Fail, ..options() });
     let entry = cluster.entry_address(0);
     run(|tasks| async move {
         let caller = caller(entry, &tasks);
@@ -172,7 +172,7 @@
 
 #[test]
 fn a_stuck_target_gives_a_failed_job_at_its_deadline() {
-    let cluster = start(testbed::ClusterOptions { behaviour: Behaviour::Stuck, ..options() });
+    let cluster = start(testbed::ClusterOptions { behaviour: Behaviour::Hang, ..options() });
     let entry = cluster.entry_address(0);
     run(|tasks| async move {
         let mut body = job(&["seat 1"]);
