--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line's arguments.
+//! Definition of the command line.
 
 use clap::{Arg, ArgAction, Command, ValueHint, value_parser};
 use clap_complete::Shell;
 
-/// Declares every subcommand with its arguments.
+/// Builds the command with all its subcommands and arguments.
 pub fn command() -> Command {
     Command::new("dockpass")
         .about("Operates a dockpass dispatcher")
@@ -18,7 +18,7 @@
                 .help("Print JSON for scripts"),
         )
         .after_help(
-            "Exit codes: 0 done, 1 failed, 2 bad arguments or input, 3 refused, 4 outcome unknown",
+            "Exit codes: 0 success, 1 failure, 2 invalid arguments or input, 3 refused, 4 outcome unknown",
         )
         .subcommand(demo())
         .subcommand(submit())
@@ -30,54 +30,54 @@
         .subcommand(explain())
         .subcommand(
             Command::new("completions")
-                .about("Print a shell's completions")
+                .about("Print the completion script of a shell")
                 .arg(Arg::new("shell").required(true).value_parser(value_parser!(Shell))),
         )
 }
 
 fn demo() -> Command {
     Command::new("demo")
-        .about("Run a whole dispatcher in this process and submit a file of jobs")
+        .about("Run a cluster in this process and submit a file of jobs to it")
         .arg(
             Arg::new("jobs")
                 .long("jobs")
                 .value_name("FILE")
                 .value_hint(ValueHint::FilePath)
-                .help("Jobs to submit; an embedded file of bookings by default"),
+                .help("JSON file of jobs to submit; by default an embedded booking example"),
         )
         .arg(
             Arg::new("tree")
                 .long("tree")
                 .value_name("FILE")
                 .value_hint(ValueHint::FilePath)
-                .help("Settings tree; an embedded one for bookings by default"),
+                .help("INI file of the settings tree; by default an embedded booking example"),
         )
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Follow one request through the logs of entries and agents")
-        .arg(Arg::new("id").value_name("ID").required(true).help("The request's id"))
+        .about("Show what happened to a request, from the logs of entries and agents")
+        .arg(Arg::new("id").value_name("ID").required(true).help("Submission id of the request"))
         .arg(
             Arg::new("logs")
                 .value_name("FILE")
                 .value_hint(ValueHint::FilePath)
                 .required(true)
                 .num_args(1..)
-                .help("Logs of any processes, in any order; other lines are left out"),
+                .help("Log files of entries and agents, in any order; lines about other requests are skipped"),
         )
 }
 
 fn submit() -> Command {
     Command::new("submit")
-        .about("Submit jobs of a file to a running entry, for trying a service")
+        .about("Submit the jobs of a file to a running entry and print their outcomes")
         .arg(entry_argument())
         .arg(
             Arg::new("file")
                 .required(true)
                 .value_name("FILE")
                 .value_hint(ValueHint::FilePath)
-                .help("JSON file of jobs, as examples/bookings.json"),
+                .help("JSON file of jobs, in the format of examples/bookings.json"),
         )
 }
 
@@ -89,14 +89,14 @@
                 .long("entry")
                 .value_name("IP:PORT")
                 .action(ArgAction::Append)
-                .help("HTTP address of an entry; may be given several times"),
+                .help("HTTP address of an entry; may be repeated"),
         )
         .arg(
             Arg::new("agent")
                 .long("agent")
                 .value_name("IP:PORT")
                 .action(ArgAction::Append)
-                .help("Address of an agent; may be given several times"),
+                .help("Address of an agent; may be repeated"),
         )
 }
 
@@ -106,14 +106,14 @@
         .subcommand_required(true)
         .subcommand(
             Command::new("get")
-                .about("Show a value in force, or a section's")
+                .about("Show the effective value of a key, or of all keys of a section")
                 .arg(keeper_argument())
                 .arg(Arg::new("section").required(true))
                 .arg(Arg::new("key")),
         )
         .subcommand(
             Command::new("set")
-                .about("Write values of a section, as KEY=VALUE; KEY= takes one away")
+                .about("Set values of a section, as KEY=VALUE; KEY= removes a value")
                 .arg(keeper_argument())
                 .arg(base_argument())
                 .arg(Arg::new("section").required(true))
@@ -121,69 +121,78 @@
         )
         .subcommand(
             Command::new("remove")
-                .about("Take a section away with all below it")
+                .about("Remove a section and all sections below it")
                 .arg(keeper_argument())
                 .arg(base_argument())
                 .arg(Arg::new("section").required(true)),
         )
-        .subcommand(Command::new("export").about("Print the tree as INI").arg(keeper_argument()))
+        .subcommand(
+            Command::new("export").about("Print the settings tree as INI").arg(keeper_argument()),
+        )
         .subcommand(
             Command::new("diff")
-                .about("Show what an import of an INI file would change")
+                .about("Show the changes that importing an INI file would make")
                 .arg(keeper_argument())
                 .arg(file_argument()),
         )
         .subcommand(
             Command::new("import")
-                .about("Make the tree equal to an INI file, in one change")
+                .about("Replace the settings tree by an INI file, in one change")
                 .arg(keeper_argument())
                 .arg(base_argument())
                 .arg(file_argument()),
         )
-        .subcommand(Command::new("history").about("Show the last changes").arg(keeper_argument()))
+        .subcommand(
+            Command::new("history").about("Show the most recent changes").arg(keeper_argument()),
+        )
 }
 
 fn halls() -> Command {
     let action = |name: &'static str, about: &'static str| {
-        let hall = Arg::new("hall").value_name("HALL").help("The data hall's name");
+        let hall = Arg::new("hall").value_name("HALL").help("Name of the data hall");
         keeper_action(name, about).arg(hall.required(true))
     };
     Command::new("halls")
-        .about("Empty data halls for work on them, and refill them")
+        .about("Empty data halls for maintenance, and refill them")
         .subcommand_required(true)
-        .subcommand(action("empty", "Start nothing more in a hall; what runs there ends by itself"))
-        .subcommand(action("refill", "Let a hall's targets take work again"))
-        .subcommand(keeper_action("show", "Show which are emptied"))
+        .subcommand(action("empty", "Stop placing tasks in a hall; running tasks finish"))
+        .subcommand(action("refill", "Place tasks in a hall again"))
+        .subcommand(keeper_action("show", "Show the emptied halls"))
 }
 
 fn service() -> Command {
     let action = |name: &'static str, about: &'static str| {
-        let service = Arg::new("service").help("A service, or a kind of it");
+        let service = Arg::new("service").help("Service or job kind, as SERVICE or SERVICE/KIND");
         keeper_action(name, about).arg(service.required(true))
     };
     Command::new("service")
         .about("Start and stop services")
         .subcommand_required(true)
-        .subcommand(action("start", "Let a service take work"))
-        .subcommand(action("stop", "Let a service take no new work; what runs goes on"))
+        .subcommand(action("start", "Accept new jobs for a service"))
+        .subcommand(action("stop", "Refuse new jobs for a service; accepted jobs continue"))
 }
 
-/// An action that asks keepers.
+/// Builds an action that sends requests to the keepers.
 fn keeper_action(name: &'static str, about: &'static str) -> Command {
     Command::new(name).about(about).arg(keeper_argument())
 }
 
 fn decisions() -> Command {
     Command::new("decisions")
-        .about("Show lines of a decision log")
+        .about("Show the lines of a decision log")
         .arg(Arg::new("file").required(true).value_hint(ValueHint::FilePath))
         .arg(
             Arg::new("submission")
                 .long("submission")
                 .value_name("ID")
-                .help("Only decisions on this submission"),
+                .help("Show only decisions about this submission"),
+        )
+        .arg(
+            Arg::new("refusals")
+                .long("refusals")
+                .action(ArgAction::SetTrue)
+                .help("Show only refusals"),
         )
-        .arg(Arg::new("refusals").long("refusals").action(ArgAction::SetTrue).help("Only refusals"))
 }
 
 fn entry_argument() -> Arg {
@@ -200,7 +209,7 @@
         .value_name("IP:PORT")
         .default_value("127.0.0.1:7100")
         .action(ArgAction::Append)
-        .help("HTTP address of a keeper; may be given several times")
+        .help("HTTP address of a keeper; may be repeated")
 }
 
 fn base_argument() -> Arg {
@@ -208,7 +217,7 @@
         .long("base")
         .value_name("VERSION")
         .value_parser(value_parser!(u64))
-        .help("Refuse the change where others changed the same sections since this version")
+        .help("Refuse the change if a section it edits has changed since this version")
 }
 
 fn file_argument() -> Arg {
--- a/src/cmd/completions.rs
+++ b/src/cmd/completions.rs
@@ -1,4 +1,4 @@
-//! `dockpass completions`: shell completions.
+//! `dockpass completions`: generates shell completion scripts.
 
 use std::io;
 use std::process::ExitCode;
@@ -8,9 +8,9 @@
 
 use super::CommandError;
 
-/// Prints the completions of a shell.
-pub fn run(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let shell = arguments.get_one::<Shell>("shell").copied().unwrap_or(Shell::Bash);
+/// Prints the completion script of the given shell.
+pub fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let shell = matches.get_one::<Shell>("shell").copied().unwrap_or(Shell::Bash);
     let mut command = crate::cli::command();
     clap_complete::generate(shell, &mut command, "dockpass", &mut io::stdout());
     Ok(ExitCode::SUCCESS)
--- a/src/cmd/decisions.rs
+++ b/src/cmd/decisions.rs
@@ -1,4 +1,4 @@
-//! `dockpass decisions`: lines of a decision log.
+//! `dockpass decisions`: filters the lines of a decision log.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -8,24 +8,24 @@
 
 use super::CommandError;
 
-/// Prints the lines that were asked for.
-pub fn run(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let path = arguments.get_one::<String>("file").map_or("", String::as_str);
-    let submission = arguments.get_one::<String>("submission");
-    let refusals = arguments.get_flag("refusals");
-    let json = arguments.get_flag("json");
+/// Prints the lines of the log that match the submission and refusal filters.
+pub fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let path = matches.get_one::<String>("file").map_or("", String::as_str);
+    let submission = matches.get_one::<String>("submission");
+    let refusals = matches.get_flag("refusals");
+    let json = matches.get_flag("json");
     let file = File::open(path).map_err(|e| CommandError::BadInput(format!("{path}: {e}")))?;
     for line in BufReader::new(file).lines() {
         let line = line?;
-        let wanted = submission.is_none_or(|id| line.split(' ').nth(1) == Some(id))
+        let selected = submission.is_none_or(|id| line.split(' ').nth(1) == Some(id))
             && (!refusals || line.contains(" refuse "));
-        if !wanted {
+        if !selected {
             continue;
         }
         if json {
-            say!("{}", serde_json::json!({ "decision": line }));
+            print_line!("{}", serde_json::json!({ "decision": line }));
         } else {
-            say!("{line}");
+            print_line!("{line}");
         }
     }
     Ok(ExitCode::SUCCESS)
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `dockpass explain`: follows one request through the logs of several processes.
+//! `dockpass explain`: reconstructs the history of a request from the logs of several processes.
 
 use std::fs;
 use std::process::ExitCode;
@@ -7,23 +7,26 @@
 use explain::{History, Line};
 use serde_json::json;
 
-use super::{CommandError, FAILED};
+use super::{CommandError, EXIT_FAILED};
 
-/// Prints what happened to a request, oldest first, and the decision that ended it.
-pub fn run(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let job = arguments.get_one::<String>("id").map(String::as_str).unwrap_or_default();
+/// Prints the request's log lines, oldest first, with its outcome and the cause.
+pub fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let request_id = matches.get_one::<String>("id").map(String::as_str).unwrap_or_default();
     let mut lines = Vec::new();
-    for file in arguments.get_many::<String>("logs").into_iter().flatten() {
-        let bytes =
+    for file in matches.get_many::<String>("logs").into_iter().flatten() {
+        let contents =
             fs::read(file).map_err(|error| CommandError::BadInput(format!("{file}: {error}")))?;
-        lines.extend(String::from_utf8_lossy(&bytes).lines().filter_map(Line::parse));
+        lines.extend(String::from_utf8_lossy(&contents).lines().filter_map(Line::parse));
     }
-    let history = History::of(job, lines);
+    let history = History::of(request_id, lines);
     if history.is_empty() {
-        eprintln!("dockpass: no line names {job}: look for 'omitted' lines, and at more logs");
-        return Ok(ExitCode::from(FAILED));
+        eprintln!(
+            "dockpass: no log line mentions request {request_id}: check the logs for 'omitted' events, or pass \
+             the logs of more processes"
+        );
+        return Ok(ExitCode::from(EXIT_FAILED));
     }
-    match arguments.get_flag("json") {
+    match matches.get_flag("json") {
         true => print_json(&history),
         false => print_text(&history),
     }
@@ -31,14 +34,19 @@
 }
 
 fn print_text(history: &History) {
-    let began = history.lines[0].time;
+    let start_time = history.lines[0].time;
     for line in history.merged() {
-        let after = (line.time - began) * 1e3;
+        let offset_ms = (line.time - start_time) * 1e3;
         let mark = if line.is_of_state() { "|" } else { " " };
-        say!("{after:+10.1} ms {mark} {:<24} {:<18} {}", line.node, line.event, line.show_fields());
+        print_line!(
+            "{offset_ms:+10.1} ms {mark} {:<24} {:<18} {}",
+            line.node,
+            line.event,
+            line.show_fields()
+        );
     }
     let verdict = history.verdict();
-    say!("{}: {}", verdict.outcome, verdict.cause);
+    print_line!("{}: {}", verdict.outcome, verdict.cause);
 }
 
 fn print_json(history: &History) {
@@ -51,5 +59,5 @@
                 "fields": line.fields})
         })
         .collect();
-    say!("{}", json!({"outcome": verdict.outcome, "cause": verdict.cause, "lines": lines}));
+    print_line!("{}", json!({"outcome": verdict.outcome, "cause": verdict.cause, "lines": lines}));
 }
--- a/src/cmd/halls.rs
+++ b/src/cmd/halls.rs
@@ -1,4 +1,4 @@
-//! `dockpass halls`: empties data halls for work on them, refills them, and shows which are emptied.
+//! `dockpass halls`: empties data halls for maintenance, refills them, and lists the emptied ones.
 
 use std::process::ExitCode;
 
@@ -6,68 +6,70 @@
 use client::{HallOutcome, OperatorClient};
 use wire::{EmptiedHalls, HallName, HallOrder};
 
-use super::{CommandError, REFUSED, UNKNOWN, addresses};
+use super::{CommandError, EXIT_REFUSED, EXIT_UNKNOWN, parse_addresses};
 
-/// Runs the action that the arguments name.
-pub fn run(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    match arguments.subcommand() {
-        Some(("empty", own)) => order(own, false),
-        Some(("refill", own)) => order(own, true),
-        Some(("show", own)) => show(own),
-        _ => Err(CommandError::BadInput("no action".to_owned())),
+/// Runs the parsed action: `empty`, `refill` or `show`.
+pub fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    match matches.subcommand() {
+        Some(("empty", matches)) => send_command(matches, false),
+        Some(("refill", matches)) => send_command(matches, true),
+        Some(("show", matches)) => show(matches),
+        _ => Err(CommandError::BadInput("no action given".to_owned())),
     }
 }
 
-fn order(arguments: &ArgMatches, takes_work: bool) -> Result<ExitCode, CommandError> {
-    let name = arguments.get_one::<String>("hall").map_or("", String::as_str);
-    let bad = |error| CommandError::BadInput(format!("'{name}': {error}"));
-    let hall: HallName = name.parse().map_err(bad)?;
-    let keepers = addresses(arguments, "keeper")?;
-    let order = HallOrder { hall, takes_work };
+fn send_command(matches: &ArgMatches, takes_work: bool) -> Result<ExitCode, CommandError> {
+    let name = matches.get_one::<String>("hall").map_or("", String::as_str);
+    let invalid = |error| CommandError::BadInput(format!("invalid hall name '{name}': {error}"));
+    let hall: HallName = name.parse().map_err(invalid)?;
+    let keepers = parse_addresses(matches, "keeper")?;
+    let command = HallOrder { hall, takes_work };
     let outcome = net::block_on(|tasks| async move {
-        OperatorClient::new(&keepers, &tasks).send_hall_command(&order).await
+        OperatorClient::new(&keepers, &tasks).send_hall_command(&command).await
     });
-    let json = arguments.get_flag("json");
+    let json = matches.get_flag("json");
     Ok(match outcome {
         HallOutcome::Accepted(halls) => {
-            print(&halls, json);
+            print_halls(&halls, json);
             ExitCode::SUCCESS
         }
         HallOutcome::Refused(reason) if json => {
-            say!("{}", serde_json::json!({"refused": reason}));
-            ExitCode::from(REFUSED)
+            print_line!("{}", serde_json::json!({"refused": reason}));
+            ExitCode::from(EXIT_REFUSED)
         }
         HallOutcome::Refused(reason) => {
-            say!("refused: {reason}");
-            ExitCode::from(REFUSED)
+            print_line!("refused: {reason}");
+            ExitCode::from(EXIT_REFUSED)
         }
         HallOutcome::Unknown if json => {
-            say!("{}", serde_json::json!("unknown"));
-            ExitCode::from(UNKNOWN)
+            print_line!("{}", serde_json::json!("unknown"));
+            ExitCode::from(EXIT_UNKNOWN)
         }
         HallOutcome::Unknown => {
-            say!("unknown: no keeper could tell; look with 'halls show'");
-            ExitCode::from(UNKNOWN)
+            print_line!(
+                "outcome unknown: no keeper confirmed the command; check with 'halls show'"
+            );
+            ExitCode::from(EXIT_UNKNOWN)
         }
     })
 }
 
-fn show(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let keepers = addresses(arguments, "keeper")?;
+fn show(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let keepers = parse_addresses(matches, "keeper")?;
     let halls: EmptiedHalls = net::block_on(|tasks| async move {
         OperatorClient::new(&keepers, &tasks).get_json("/v1/halls").await
     })?;
-    print(&halls, arguments.get_flag("json"));
+    print_halls(&halls, matches.get_flag("json"));
     Ok(ExitCode::SUCCESS)
 }
 
-fn print(halls: &EmptiedHalls, json: bool) {
+fn print_halls(halls: &EmptiedHalls, json: bool) {
     if json {
-        return say!("{}", serde_json::json!(halls));
+        return print_line!("{}", serde_json::json!(halls));
     }
     let revision = halls.revision;
     match halls.halls.is_empty() {
-        true => say!("no hall is emptied (revision {revision})"),
-        false => say!("emptied: {halls} (revision {revision})"),
+        true => print_line!("no hall is emptied (revision {revision})"),
+        false => print_line!("emptied: {halls} (revision {revision})"),
     }
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,10 +1,10 @@
-//! One file a subcommand.
+//! The subcommands of `dockpass`, one module each.
 
-/// Prints a line. A reader that has gone, such as `head`, is no failure.
-macro_rules! say {
-    ($($argument:tt)*) => {{
+/// Prints a line to standard output. Write errors, such as a pipe closed by `head`, are ignored.
+macro_rules! print_line {
+    ($($format_argument:tt)*) => {{
         use std::io::Write;
-        let _ = writeln!(std::io::stdout(), $($argument)*);
+        let _ = writeln!(std::io::stdout(), $($format_argument)*);
     }};
 }
 
@@ -25,71 +25,71 @@
 use client::{OperatorError, RequestError};
 use thiserror::Error;
 
-/// Exit code of work that failed.
-pub const FAILED: u8 = 1;
-/// Exit code of bad arguments or input.
-pub const BAD_INPUT: u8 = 2;
-/// Exit code of what was refused.
-pub const REFUSED: u8 = 3;
-/// Exit code of a change whose outcome is unknown.
-pub const UNKNOWN: u8 = 4;
+/// Exit code when a job or the subcommand itself failed.
+pub const EXIT_FAILED: u8 = 1;
+/// Exit code when arguments or input files are invalid.
+pub const EXIT_BAD_INPUT: u8 = 2;
+/// Exit code when the keepers refused a change.
+pub const EXIT_REFUSED: u8 = 3;
+/// Exit code when it is unknown whether a change was applied.
+pub const EXIT_UNKNOWN: u8 = 4;
 
-/// Why a subcommand could not do its work.
+/// Why a subcommand failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// Bad arguments or input.
+    /// An argument or input file is invalid (message for the user).
     #[error("{0}")]
     BadInput(String),
-    /// An entry could not be asked.
+    /// A request to an entry failed.
     #[error(transparent)]
-    Caller(#[from] RequestError),
-    /// The keepers could not be asked.
+    EntryRequest(#[from] RequestError),
+    /// A request to the keepers failed.
     #[error(transparent)]
-    Operator(#[from] OperatorError),
-    /// The demo's cluster failed.
+    KeeperRequest(#[from] OperatorError),
+    /// The demo's cluster could not be started.
     #[error(transparent)]
     Cluster(#[from] testbed::ClusterError),
-    /// A file or socket failed.
+    /// A file or socket operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// An agent could not be asked.
-    #[error("agent {0}: {1}")]
-    Agent(SocketAddr, String),
+    /// A request to the agent at this address failed (message of the transport).
+    #[error("cannot read the status of agent {0}: {1}")]
+    AgentRequest(SocketAddr, String),
 }
 
 impl CommandError {
-    /// The exit code that tells scripts of it.
+    /// Returns the exit code for this error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
-            Self::BadInput(_) => ExitCode::from(BAD_INPUT),
-            _ => ExitCode::from(FAILED),
+            Self::BadInput(_) => ExitCode::from(EXIT_BAD_INPUT),
+            _ => ExitCode::from(EXIT_FAILED),
         }
     }
 }
 
-/// Runs the subcommand that the arguments name.
-pub fn run(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    match arguments.subcommand() {
-        Some(("demo", own)) => demo::run(own),
-        Some(("submit", own)) => submit::run(own),
-        Some(("status", own)) => status::run(own),
-        Some(("settings", own)) => settings::run(own),
-        Some(("service", own)) => service::run(own),
-        Some(("halls", own)) => halls::run(own),
-        Some(("decisions", own)) => decisions::run(own),
-        Some(("explain", own)) => explain::run(own),
-        Some(("completions", own)) => completions::run(own),
-        _ => Err(CommandError::BadInput("no subcommand".to_owned())),
+/// Runs the parsed subcommand and returns its exit code.
+pub fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    match matches.subcommand() {
+        Some(("demo", matches)) => demo::run(matches),
+        Some(("submit", matches)) => submit::run(matches),
+        Some(("status", matches)) => status::run(matches),
+        Some(("settings", matches)) => settings::run(matches),
+        Some(("service", matches)) => service::run(matches),
+        Some(("halls", matches)) => halls::run(matches),
+        Some(("decisions", matches)) => decisions::run(matches),
+        Some(("explain", matches)) => explain::run(matches),
+        Some(("completions", matches)) => completions::run(matches),
+        _ => Err(CommandError::BadInput("no subcommand given".to_owned())),
     }
 }
 
-/// Reads the addresses of an argument.
-fn addresses(arguments: &ArgMatches, name: &str) -> Result<Vec<SocketAddr>, CommandError> {
-    let texts = arguments.get_many::<String>(name).into_iter().flatten();
+/// Parses every value of the argument `name` as a socket address.
+fn parse_addresses(matches: &ArgMatches, name: &str) -> Result<Vec<SocketAddr>, CommandError> {
+    let texts = matches.get_many::<String>(name).into_iter().flatten();
     texts
         .map(|text| {
-            let bad = |_| CommandError::BadInput(format!("--{name}: '{text}' is not IP:PORT"));
-            text.parse().map_err(bad)
+            let invalid = |_| CommandError::BadInput(format!("--{name}: '{text}' is not IP:PORT"));
+            text.parse().map_err(invalid)
         })
         .collect()
 }
--- a/src/cmd/settings.rs
+++ b/src/cmd/settings.rs
@@ -1,4 +1,4 @@
-//! `dockpass settings`: reads and changes the tree.
+//! `dockpass settings`: reads and changes the settings tree.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -9,83 +9,88 @@
 use settings::{Edit, SectionPath, Tree};
 use wire::ChangeResult;
 
-use super::{CommandError, REFUSED, UNKNOWN, addresses};
+use super::{CommandError, EXIT_REFUSED, EXIT_UNKNOWN, parse_addresses};
 
-/// Runs the action that the arguments name.
-pub fn run(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    match arguments.subcommand() {
-        Some(("get", own)) => get(own),
-        Some(("set", own)) => set(own),
-        Some(("remove", own)) => {
-            let section = section(own)?;
-            apply(own, |_| Ok(vec![Edit::Remove { section: section.clone() }]))
+/// Runs the parsed action.
+pub fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    match matches.subcommand() {
+        Some(("get", matches)) => get(matches),
+        Some(("set", matches)) => set(matches),
+        Some(("remove", matches)) => {
+            let section = parse_section(matches)?;
+            submit_change(matches, |_| Ok(vec![Edit::Remove { section: section.clone() }]))
         }
-        Some(("export", own)) => {
-            say!("{}", read(&addresses(own, "keeper")?)?.tree.to_ini().trim_end());
+        Some(("export", matches)) => {
+            print_line!(
+                "{}",
+                read_tree(&parse_addresses(matches, "keeper")?)?.tree.to_ini().trim_end()
+            );
             Ok(ExitCode::SUCCESS)
         }
-        Some(("diff", own)) => diff(own),
-        Some(("import", own)) => {
-            let wanted = file(own)?;
-            apply(own, |tree| Ok(tree.edits_to(&wanted)))
+        Some(("diff", matches)) => diff(matches),
+        Some(("import", matches)) => {
+            let imported = load_tree_file(matches)?;
+            submit_change(matches, |tree| Ok(tree.edits_to(&imported)))
         }
-        Some(("history", own)) => history(own),
-        _ => Err(CommandError::BadInput("no action".to_owned())),
+        Some(("history", matches)) => history(matches),
+        _ => Err(CommandError::BadInput("no action given".to_owned())),
     }
 }
 
-fn read(keepers: &[SocketAddr]) -> Result<TreeVersion, CommandError> {
-    let read =
+fn read_tree(keepers: &[SocketAddr]) -> Result<TreeVersion, CommandError> {
+    let tree =
         net::block_on(
             |tasks| async move { OperatorClient::new(keepers, &tasks).read_settings().await },
         );
-    Ok(read?)
+    Ok(tree?)
 }
 
-fn section(arguments: &ArgMatches) -> Result<SectionPath, CommandError> {
-    let text = arguments.get_one::<String>("section").map_or("", String::as_str);
+fn parse_section(matches: &ArgMatches) -> Result<SectionPath, CommandError> {
+    let text = matches.get_one::<String>("section").map_or("", String::as_str);
     text.parse().map_err(|error| CommandError::BadInput(format!("{error}")))
 }
 
-fn file(arguments: &ArgMatches) -> Result<Tree, CommandError> {
-    let path = arguments.get_one::<String>("file").map_or("", String::as_str);
-    let bad = |error: String| CommandError::BadInput(format!("{path}: {error}"));
-    let text = std::fs::read_to_string(path).map_err(|error| bad(error.to_string()))?;
-    Tree::from_ini(&text).map_err(|error| bad(error.to_string()))
+fn load_tree_file(matches: &ArgMatches) -> Result<Tree, CommandError> {
+    let path = matches.get_one::<String>("file").map_or("", String::as_str);
+    let invalid = |error: String| CommandError::BadInput(format!("{path}: {error}"));
+    let text = std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
+    Tree::from_ini(&text).map_err(|error| invalid(error.to_string()))
 }
 
-fn get(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let (path, wanted) = (section(arguments)?, arguments.get_one::<String>("key"));
-    let TreeVersion { version, tree } = read(&addresses(arguments, "keeper")?)?;
+fn get(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let (path, wanted_key) = (parse_section(matches)?, matches.get_one::<String>("key"));
+    let TreeVersion { version, tree } = read_tree(&parse_addresses(matches, "keeper")?)?;
     let keys = path.scope().keys();
-    let mut shown = 0;
-    for key in keys.iter().filter(|key| wanted.is_none_or(|name| name == key.name)) {
-        let (from, value) = tree.effective_text(&path, key);
-        shown += 1;
-        if arguments.get_flag("json") {
-            let from = from.map(|path| path.to_string());
+    let mut printed = 0;
+    for key in keys.iter().filter(|key| wanted_key.is_none_or(|name| name == key.name)) {
+        let (source, value) = tree.effective_text(&path, key);
+        printed += 1;
+        if matches.get_flag("json") {
+            let source = source.map(|path| path.to_string());
             let line = serde_json::json!({
-                "version": version, "key": key.name, "value": value, "from": from,
+                "version": version, "key": key.name, "value": value, "from": source,
             });
-            say!("{line}");
+            print_line!("{line}");
         } else {
-            let from = from.map_or("default".to_owned(), |path| format!("[{path}]"));
-            say!("{} = {value}  ({from}, version {version})", key.name);
+            let source = source.map_or("default".to_owned(), |path| format!("[{path}]"));
+            print_line!("{} = {value}  ({source}, version {version})", key.name);
         }
     }
-    if shown == 0 {
-        let name = wanted.map_or("", String::as_str);
-        return Err(CommandError::BadInput(format!("[{path}] {name}: unknown key")));
+    if printed == 0 {
+        let name = wanted_key.map_or("", String::as_str);
+        return Err(CommandError::BadInput(format!("section [{path}] has no key '{name}'")));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn set(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let section = section(arguments)?;
+fn set(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let section = parse_section(matches)?;
     let mut edits = Vec::new();
-    for pair in arguments.get_many::<String>("values").into_iter().flatten() {
+    for pair in matches.get_many::<String>("values").into_iter().flatten() {
         let Some((key, value)) = pair.split_once('=') else {
-            return Err(CommandError::BadInput(format!("'{pair}' is not KEY=VALUE")));
+            return Err(CommandError::BadInput(format!(
+                "invalid assignment '{pair}': expected KEY=VALUE"
+            )));
         };
         let (section, key) = (section.clone(), key.trim().to_owned());
         edits.push(match value.trim() {
@@ -93,19 +98,19 @@
             value => Edit::Set { section, key, value: value.to_owned() },
         });
     }
-    apply(arguments, |_| Ok(edits.clone()))
+    submit_change(matches, |_| Ok(edits.clone()))
 }
 
-fn diff(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let wanted = file(arguments)?;
-    let TreeVersion { tree, .. } = read(&addresses(arguments, "keeper")?)?;
-    for edit in tree.edits_to(&wanted) {
-        say!("{}", edit_line(&edit));
+fn diff(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let imported = load_tree_file(matches)?;
+    let TreeVersion { tree, .. } = read_tree(&parse_addresses(matches, "keeper")?)?;
+    for edit in tree.edits_to(&imported) {
+        print_line!("{}", format_edit(&edit));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn edit_line(edit: &Edit) -> String {
+fn format_edit(edit: &Edit) -> String {
     match edit {
         Edit::Set { section, key, value } => format!("+ [{section}] {key} = {value}"),
         Edit::Add { section } => format!("+ [{section}]"),
@@ -114,27 +119,30 @@
     }
 }
 
-/// Sends a change and prints one of: accepted at a version, refused, unknown.
-pub fn apply(
-    arguments: &ArgMatches,
+/// Submits the edits that `edits` derives from the current tree, and prints whether the change was
+/// accepted, refused, or has an unknown outcome.
+///
+/// The change is based on the version of `--base`, or else on the version that was read.
+pub fn submit_change(
+    matches: &ArgMatches,
     edits: impl Fn(&Tree) -> Result<Vec<Edit>, CommandError>,
 ) -> Result<ExitCode, CommandError> {
-    let keepers = addresses(arguments, "keeper")?;
-    let TreeVersion { version, tree } = read(&keepers)?;
-    let base = arguments.try_get_one::<u64>("base").ok().flatten().copied().unwrap_or(version);
+    let keepers = parse_addresses(matches, "keeper")?;
+    let TreeVersion { version, tree } = read_tree(&keepers)?;
+    let base = matches.try_get_one::<u64>("base").ok().flatten().copied().unwrap_or(version);
     let edits = edits(&tree)?;
     if edits.is_empty() {
-        say!("nothing to change at version {version}");
+        print_line!("nothing to change at version {version}");
         return Ok(ExitCode::SUCCESS);
     }
     let outcome = net::block_on(|tasks| async move {
         OperatorClient::new(&keepers, &tasks).submit_edits(base, edits).await
     });
-    print_outcome(&outcome, arguments.get_flag("json"));
+    print_outcome(&outcome, matches.get_flag("json"));
     Ok(match outcome {
         ChangeOutcome::Known(ChangeResult::Accepted { .. }) => ExitCode::SUCCESS,
-        ChangeOutcome::Known(_) => ExitCode::from(REFUSED),
-        ChangeOutcome::Unknown => ExitCode::from(UNKNOWN),
+        ChangeOutcome::Known(_) => ExitCode::from(EXIT_REFUSED),
+        ChangeOutcome::Unknown => ExitCode::from(EXIT_UNKNOWN),
     })
 }
 
@@ -144,40 +152,44 @@
             ChangeOutcome::Known(result) => serde_json::json!(result),
             ChangeOutcome::Unknown => serde_json::json!("unknown"),
         };
-        return say!("{line}");
+        return print_line!("{line}");
     }
     match outcome {
         ChangeOutcome::Known(ChangeResult::Accepted { version }) => {
-            say!("accepted at version {version}");
+            print_line!("accepted at version {version}");
         }
         ChangeOutcome::Known(ChangeResult::Conflict { version, sections }) => {
             let sections = sections.join(", ");
-            say!("refused: version {version} changed {sections} since");
+            print_line!(
+                "refused: {sections} changed since the base version; the current version is {version}"
+            );
         }
-        ChangeOutcome::Known(ChangeResult::Invalid { reason }) => say!("refused: {reason}"),
-        ChangeOutcome::Unknown => say!("unknown: no keeper could tell; read the tree again"),
+        ChangeOutcome::Known(ChangeResult::Invalid { reason }) => print_line!("refused: {reason}"),
+        ChangeOutcome::Unknown => print_line!(
+            "outcome unknown: no keeper confirmed the change; check with 'settings get' or 'settings export'"
+        ),
     }
 }
 
-/// How long ago a keeper's time, in microseconds since the Unix epoch, is.
-fn seconds_ago(taken: &serde_json::Value) -> u64 {
+/// Seconds since a time in microseconds after the Unix epoch.
+fn seconds_ago(timestamp: &serde_json::Value) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    now.as_secs().saturating_sub(taken.as_u64().unwrap_or_default() / 1_000_000)
+    now.as_secs().saturating_sub(timestamp.as_u64().unwrap_or_default() / 1_000_000)
 }
 
-fn history(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let keepers = addresses(arguments, "keeper")?;
+fn history(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let keepers = parse_addresses(matches, "keeper")?;
     let versions: Vec<serde_json::Value> = net::block_on(|tasks| async move {
         OperatorClient::new(&keepers, &tasks).get_json("/v1/history").await
     })?;
     for version in versions {
-        if arguments.get_flag("json") {
-            say!("{version}");
+        if matches.get_flag("json") {
+            print_line!("{version}");
             continue;
         }
-        say!("version {}, {} s ago", version["version"], seconds_ago(&version["taken"]));
+        print_line!("version {}, {} s ago", version["version"], seconds_ago(&version["taken"]));
         let edits: Vec<Edit> = serde_json::from_value(version["edits"].clone()).unwrap_or_default();
-        edits.iter().for_each(|edit| say!("  {}", edit_line(edit)));
+        edits.iter().for_each(|edit| print_line!("  {}", format_edit(edit)));
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `dockpass status`: counters of entries and agents.
+//! `dockpass status`: shows the counters of entries and agents.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -10,26 +10,28 @@
 use tarpc::client::{Config, NewClient};
 use wire::{AgentServiceClient, AgentStatus};
 
-use super::{CommandError, addresses};
+use super::{CommandError, parse_addresses};
 
-/// Longest wait for a node.
-const NODE_TIME: Duration = Duration::from_secs(3);
+/// Timeout of a status request to an entry.
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Prints a line for each node, or its whole status as JSON.
-pub fn run(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let entries = addresses(arguments, "entry")?;
-    let agents = addresses(arguments, "agent")?;
+/// Prints one line per node, or with `--json` its full status.
+pub fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let entries = parse_addresses(matches, "entry")?;
+    let agents = parse_addresses(matches, "agent")?;
     if entries.is_empty() && agents.is_empty() {
-        return Err(CommandError::BadInput("name an --entry or an --agent".to_owned()));
+        return Err(CommandError::BadInput(
+            "at least one --entry or --agent is required".to_owned(),
+        ));
     }
-    let json = arguments.get_flag("json");
+    let json = matches.get_flag("json");
     net::block_on(|tasks| async move {
         for entry in entries {
-            let caller = EntryClient::new(entry, tasks.clone(), NODE_TIME);
-            print_entry(&caller.status().await?, json);
+            let client = EntryClient::new(entry, tasks.clone(), ENTRY_TIMEOUT);
+            print_entry(&client.status().await?, json);
         }
         for agent in agents {
-            print_agent(&ask_agent(agent, &tasks).await?, json);
+            print_agent(&fetch_agent_status(agent, &tasks).await?, json);
         }
         Ok(ExitCode::SUCCESS)
     })
@@ -37,10 +39,10 @@
 
 fn print_entry(status: &serde_json::Value, json: bool) {
     if json {
-        return say!("{status}");
+        return print_line!("{status}");
     }
     let counters = &status["counters"];
-    say!(
+    print_line!(
         "entry {} ready={} settings={} submitted={} completed={} failed={} refused={} active={} \
          queued={} idle={} breaches={}",
         status["name"].as_str().unwrap_or("?"),
@@ -57,25 +59,28 @@
     );
 }
 
-async fn ask_agent(address: SocketAddr, tasks: &Spawner) -> Result<AgentStatus, CommandError> {
-    let failed = |error: String| CommandError::Agent(address, error);
-    let stream = net::connect(address).await.map_err(|error| failed(error.to_string()))?;
+async fn fetch_agent_status(
+    address: SocketAddr,
+    tasks: &Spawner,
+) -> Result<AgentStatus, CommandError> {
+    let request_failed = |error: String| CommandError::AgentRequest(address, error);
+    let stream = net::connect(address).await.map_err(|error| request_failed(error.to_string()))?;
     let NewClient { client, dispatch } =
         AgentServiceClient::new(Config::default(), net::framed_transport(stream));
     tasks.spawn_rpc(async move {
-        // The call sees why it ended.
+        // A transport error also fails the pending call, which reports it.
         let _ = dispatch.await;
     });
-    client.status(net::call_context()).await.map_err(|error| failed(error.to_string()))
+    client.status(net::call_context()).await.map_err(|error| request_failed(error.to_string()))
 }
 
 fn print_agent(status: &AgentStatus, json: bool) {
     if json {
-        let text = serde_json::to_string(status).expect("plain structs become JSON");
-        return say!("{text}");
+        let text = serde_json::to_string(status).expect("the agent status serializes to JSON");
+        return print_line!("{text}");
     }
     let (info, counters) = (&status.info, &status.counters);
-    say!(
+    print_line!(
         "agent {} service={} hall={} rack={} slots={} leaving={} settings={} running={} \
          started={} refused={} claims={} breaches={}",
         info.agent.name,
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -1,4 +1,4 @@
-//! `dockpass submit`: jobs of a file to a running entry.
+//! `dockpass submit`: submits the jobs of a file to a running entry.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -10,35 +10,36 @@
 use model::SubmissionId;
 use testbed::{JobFile, JobSpec};
 
-use super::{CommandError, FAILED, addresses};
+use super::{CommandError, EXIT_FAILED, parse_addresses};
 
-/// Longest wait for an outcome.
-pub const OUTCOME_TIME: Duration = Duration::from_secs(610);
+/// Longest wait for the outcome of a job, slightly more than the longest deadline.
+pub const OUTCOME_TIMEOUT: Duration = Duration::from_secs(610);
 
-/// Submits every job in order and prints its outcome.
-pub fn run(arguments: &ArgMatches) -> Result<ExitCode, CommandError> {
-    let entry = addresses(arguments, "entry")?;
-    let path = arguments.get_one::<String>("file").map_or("", String::as_str);
+/// Submits the jobs one after the other and prints the outcome of each; fails unless all are
+/// complete.
+pub fn run(matches: &ArgMatches) -> Result<ExitCode, CommandError> {
+    let entry = parse_addresses(matches, "entry")?;
+    let path = matches.get_one::<String>("file").map_or("", String::as_str);
     let file = JobFile::load(Path::new(path)).map_err(|e| CommandError::BadInput(e.to_string()))?;
-    let json = arguments.get_flag("json");
+    let json = matches.get_flag("json");
     let failed = net::block_on(|tasks| async move {
-        let caller = EntryClient::new(entry[0], tasks.clone(), OUTCOME_TIME);
+        let client = EntryClient::new(entry[0], tasks.clone(), OUTCOME_TIMEOUT);
         let mut failed = 0;
         for job in &file.jobs {
             let id = new_submission_id();
             let started = Instant::now();
-            let outcome = submit(&caller, id, job).await?;
-            failed += usize::from(!is_whole(job, &outcome));
+            let outcome = submit(&client, id, job).await?;
+            failed += usize::from(!is_complete(job, &outcome));
             print_outcome(id, job, &outcome, started.elapsed(), json);
         }
         Ok::<usize, CommandError>(failed)
     })?;
-    Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::from(FAILED) })
+    Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILED) })
 }
 
-/// Submits one job: as a repeatable request, or as a job.
+/// Submits a repeatable job of a single task as a request, and any other as a job.
 pub async fn submit(
-    caller: &EntryClient,
+    client: &EntryClient,
     id: SubmissionId,
     job: &JobSpec,
 ) -> Result<Outcome, RequestError> {
@@ -51,38 +52,44 @@
             deadline_ms: job.deadline_ms,
             repeatable: true,
         };
-        return caller.submit_request(id, &body).await;
+        return client.submit_request(id, &body).await;
     }
     let body = JobBody { service, kind, tasks: job.tasks.clone(), deadline_ms: job.deadline_ms };
-    caller.submit_job(id, &body).await
+    client.submit_job(id, &body).await
 }
 
-/// Whether an outcome has the answer of every task.
-pub fn is_whole(job: &JobSpec, outcome: &Outcome) -> bool {
+/// Whether the outcome holds an answer for every task of the job.
+pub fn is_complete(job: &JobSpec, outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::Complete(answers) if answers.len() == job.tasks.len())
 }
 
-fn print_outcome(id: SubmissionId, job: &JobSpec, outcome: &Outcome, time: Duration, json: bool) {
-    let millis = time.as_millis();
+fn print_outcome(
+    id: SubmissionId,
+    job: &JobSpec,
+    outcome: &Outcome,
+    elapsed: Duration,
+    json: bool,
+) {
+    let elapsed_ms = elapsed.as_millis();
     if json {
         let line = match outcome {
             Outcome::Complete(answers) => serde_json::json!({
-                "submission": id.to_string(), "outcome": "complete", "ms": millis, "answers": answers,
+                "submission": id.to_string(), "outcome": "complete", "ms": elapsed_ms, "answers": answers,
             }),
             Outcome::Failed { status, code, verdict, message, .. } => serde_json::json!({
-                "submission": id.to_string(), "outcome": "failed", "ms": millis, "status": status,
+                "submission": id.to_string(), "outcome": "failed", "ms": elapsed_ms, "status": status,
                 "code": code, "verdict": verdict.as_str(), "message": message,
             }),
         };
-        return say!("{line}");
+        return print_line!("{line}");
     }
     match outcome {
         Outcome::Complete(answers) => {
-            say!("{id} {}/{} complete in {millis} ms", job.service, job.kind);
-            answers.iter().for_each(|answer| say!("  {answer}"));
+            print_line!("{id} {}/{} complete in {elapsed_ms} ms", job.service, job.kind);
+            answers.iter().for_each(|answer| print_line!("  {answer}"));
         }
         Outcome::Failed { code, verdict, message, .. } => {
-            say!("{id} {}/{} failed: {code}, {verdict}: {message}", job.service, job.kind);
+            print_line!("{id} {}/{} failed: {code}, {verdict}: {message}", job.service, job.kind);
         }
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,6 @@
 //! `dockpass`: the command-line client of the dockpass dispatcher.
 
-// Spans that a person is shown.
+// `Instant` only measures durations that are shown to the user.
 #![allow(clippy::disallowed_methods)]
 
 mod cli;
@@ -9,9 +9,9 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let arguments = cli::command().get_matches();
-    match cmd::run(&arguments) {
-        Ok(code) => code,
+    let matches = cli::command().get_matches();
+    match cmd::run(&matches) {
+        Ok(exit_code) => exit_code,
         Err(error) => {
             eprintln!("dockpass: {error}");
             error.exit_code()
