--- a/bench/src/changes.rs
+++ b/bench/src/changes.rs
@@ -1,4 +1,4 @@
-//! How long a change of the settings takes until keepers with synced disks have accepted it.
+//! Latency of settings changes with one and with three keepers, which sync each change to disk.
 
 use std::time::{Duration, Instant};
 
@@ -9,30 +9,30 @@
 use testbed::{Cluster, ClusterOptions};
 use wire::ChangeResult;
 
-/// The settings tree that is changed.
-const TREE: &str = "[booking]\n[booking/holds]\n[fleet]\nclock_skew_ms = 20\n";
+/// Initial settings tree.
+const SETTINGS_TREE: &str = "[booking]\n[booking/holds]\n[fleet]\nclock_skew_ms = 20\n";
 
-/// Makes changes one after the other and prints how long each took.
-pub fn run(arguments: &ArgMatches) -> Result<(), String> {
-    let changes = arguments.get_one::<u64>("changes").copied().unwrap_or(1);
+/// Measures sequential changes for each number of keepers and prints the latency quantiles.
+pub fn run(matches: &ArgMatches) -> Result<(), String> {
+    let changes = matches.get_one::<u64>("changes").copied().unwrap_or(1);
     println!("{:<10} {:>8} {:>9} {:>9} {:>9}", "keepers", "changes", "p50 ms", "p99 ms", "max ms");
     for keepers in [1, 3] {
-        let options = ClusterOptions { keepers, ..ClusterOptions::small("booking", TREE) };
+        let options = ClusterOptions { keepers, ..ClusterOptions::small("booking", SETTINGS_TREE) };
         let cluster = Cluster::start(options).map_err(|error| error.to_string())?;
-        let latency = measure(&cluster, changes)?;
-        let millis = |time: Duration| time.as_secs_f64() * 1e3;
+        let latency = measure_changes(&cluster, changes)?;
+        let to_ms = |time: Duration| time.as_secs_f64() * 1e3;
         println!(
             "{keepers:<10} {changes:>8} {:>9.2} {:>9.2} {:>9.2}",
-            millis(latency.at(0.5)),
-            millis(latency.at(0.99)),
-            millis(latency.at(1.0)),
+            to_ms(latency.at(0.5)),
+            to_ms(latency.at(0.99)),
+            to_ms(latency.at(1.0)),
         );
         cluster.stop();
     }
     Ok(())
 }
 
-fn measure(cluster: &Cluster, changes: u64) -> Result<Latency, String> {
+fn measure_changes(cluster: &Cluster, changes: u64) -> Result<Latency, String> {
     let keepers = cluster.keeper_addresses();
     net::block_on(|tasks| async move {
         let operator = OperatorClient::new(&keepers, &tasks);
@@ -46,7 +46,9 @@
             let started = Instant::now();
             match operator.submit_edits(version, vec![edit]).await {
                 ChangeOutcome::Known(ChangeResult::Accepted { version: next }) => version = next,
-                other => return Err(format!("not accepted: {other:?}")),
+                other => {
+                    return Err(format!("settings change {number} was not accepted: {other:?}"));
+                }
             }
             latency.record(started.elapsed());
         }
--- a/bench/src/cli.rs
+++ b/bench/src/cli.rs
@@ -1,37 +1,37 @@
-//! The bench's arguments.
+//! Definition of the command line.
 
 use clap::{Arg, Command, value_parser};
 
-/// Declares every subcommand with its arguments.
+/// Builds the command with all its subcommands and arguments.
 pub fn command() -> Command {
-    let number = |name: &'static str, default: &'static str, help: &'static str| {
+    let number_argument = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
     };
     Command::new("dockpass-bench")
-        .about("Load through all roles on loopback, with stand-in targets")
+        .about("Load tests of a cluster on loopback, and simulations of the decision libraries")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("path")
-                .about("What one entry and its agents carry, and what they add to a request")
-                .arg(number("seconds", "5", "How long each load lasts"))
-                .arg(number("callers", "64", "Callers at once at the peak"))
-                .arg(number("agents", "3", "Agents, each with a target that answers at once")),
+                .about("Measure the throughput of one entry and its agents, and the latency that they add")
+                .arg(number_argument("seconds", "5", "Duration of each load, in seconds"))
+                .arg(number_argument("callers", "64", "Concurrent callers at peak load"))
+                .arg(number_argument("agents", "3", "Number of agents, each with a target that answers without delay")),
         )
         .subcommand(
             Command::new("slopes")
-                .about("Memory, processor time and messages of the libraries at growing sizes"),
+                .about("Measure memory, CPU time and messages of the decision libraries at growing sizes"),
         )
         .subcommand(
             Command::new("changes")
-                .about("How long keepers with synced disks take to accept a change")
-                .arg(number("changes", "300", "Changes, one after the other")),
+                .about("Measure how long one and three keepers take to accept a settings change")
+                .arg(number_argument("changes", "300", "Number of changes, submitted one after the other")),
         )
         .subcommand(
             Command::new("policy")
-                .about("Placement policies under load, through the decision libraries, in virtual time")
-                .arg(number("seconds", "120", "Virtual seconds of load in each run"))
-                .arg(number("seed", "1", "Makes the runs"))
+                .about("Simulate placement policies under load, in virtual time")
+                .arg(number_argument("seconds", "120", "Duration of the load in each run, in virtual seconds"))
+                .arg(number_argument("seed", "1", "Seed of the random number generators"))
                 .arg(
                     Arg::new("csv").long("csv").value_name("FILE").help("Write the table as CSV"),
                 )
@@ -39,7 +39,7 @@
                     Arg::new("plot")
                         .long("plot")
                         .value_name("FILE")
-                        .help("Write a plot of response over ideal as SVG"),
+                        .help("Write an SVG plot of the response time over the ideal, by quantile"),
                 ),
         )
 }
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers: as many at once as are asked for, or at a fixed rate.
+//! Load generator: concurrent callers that submit jobs back to back or at a fixed rate.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,95 +10,102 @@
 use client::{EntryClient, Outcome, new_submission_id};
 use telemetry::Latency;
 
-/// Longest wait for one outcome.
-const OUTCOME_TIME: Duration = Duration::from_secs(20);
+/// Deadline of a job and longest wait for its outcome.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What callers do.
+/// Parameters of a load.
 #[derive(Clone, Copy, Debug)]
-pub struct Load {
-    /// Where they submit.
+pub struct LoadOptions {
+    /// HTTP address of the entry.
     pub entry: SocketAddr,
-    /// Threads of callers.
+    /// Number of threads that run callers.
     pub threads: usize,
-    /// Callers on each thread.
+    /// Concurrent callers per thread.
     pub callers: usize,
-    /// Tasks in each job.
+    /// Tasks per job.
     pub tasks: usize,
-    /// How long they go on.
-    pub time: Duration,
-    /// Pause from one job's start to the next's of the same caller; none for at once.
-    pub every: Option<Duration>,
+    /// Time during which callers submit new jobs.
+    pub duration: Duration,
+    /// Time between the starts of two jobs of the same caller; `None` submits the next job as soon
+    /// as the previous one is answered.
+    pub interval: Option<Duration>,
 }
 
-/// What came of it.
+/// Results of a load.
 #[derive(Clone, Debug, Default)]
-pub struct Done {
-    /// Jobs answered whole.
-    pub whole: u64,
-    /// Jobs that were not.
+pub struct LoadResult {
+    /// Jobs with an answer for every task.
+    pub complete: u64,
+    /// All other jobs.
     pub failed: u64,
-    /// Response times of the whole ones.
+    /// Response times of the complete jobs.
     pub latency: Latency,
 }
 
-/// Runs a load to its end.
-pub fn run(load: Load) -> Done {
-    let threads: Vec<_> =
-        (0..load.threads).map(|number| thread::spawn(move || run_thread(load, number))).collect();
-    let mut total = Done::default();
+/// Runs a load on its own threads and returns the combined results.
+pub fn run(options: LoadOptions) -> LoadResult {
+    let threads: Vec<_> = (0..options.threads)
+        .map(|index| thread::spawn(move || run_thread(options, index)))
+        .collect();
+    let mut total = LoadResult::default();
     for thread in threads {
-        let done = thread.join().expect("callers do not panic");
-        total.whole += done.whole;
-        total.failed += done.failed;
-        total.latency.add(&done.latency);
+        let result = thread.join().expect("the load thread does not panic");
+        total.complete += result.complete;
+        total.failed += result.failed;
+        total.latency.add(&result.latency);
     }
     total
 }
 
-fn run_thread(load: Load, thread: usize) -> Done {
+fn run_thread(options: LoadOptions, thread_index: usize) -> LoadResult {
     let job = JobBody {
         service: "booking".to_owned(),
         kind: "holds".to_owned(),
-        tasks: (0..load.tasks).map(|n| Arc::from(format!("hold seat {n} of coach 7"))).collect(),
-        deadline_ms: Some(OUTCOME_TIME.as_millis() as u64),
+        tasks: (0..options.tasks).map(|n| Arc::from(format!("hold seat {n} of coach 7"))).collect(),
+        deadline_ms: Some(OUTCOME_TIMEOUT.as_millis() as u64),
     };
     net::block_on(|tasks| async move {
-        let caller = EntryClient::new(load.entry, tasks, OUTCOME_TIME);
-        let all = (0..load.callers).map(|number| {
-            let slot = thread * load.callers + number;
-            run_caller(&caller, &job, load, slot)
+        let client = EntryClient::new(options.entry, tasks, OUTCOME_TIMEOUT);
+        let callers = (0..options.callers).map(|index| {
+            let caller_index = thread_index * options.callers + index;
+            run_caller(&client, &job, options, caller_index)
         });
-        let mut total = Done::default();
-        for done in futures::future::join_all(all).await {
-            total.whole += done.whole;
-            total.failed += done.failed;
-            total.latency.add(&done.latency);
+        let mut total = LoadResult::default();
+        for result in futures::future::join_all(callers).await {
+            total.complete += result.complete;
+            total.failed += result.failed;
+            total.latency.add(&result.latency);
         }
         total
     })
 }
 
-async fn run_caller(caller: &EntryClient, job: &JobBody, load: Load, slot: usize) -> Done {
-    let mut done = Done::default();
-    let begun = Instant::now();
-    let mut next = begun;
-    if let Some(every) = load.every {
-        // Callers start one after the other, so that the rate is even.
-        next += every.mul_f64(slot as f64 / (load.threads * load.callers) as f64);
+async fn run_caller(
+    client: &EntryClient,
+    job: &JobBody,
+    options: LoadOptions,
+    caller_index: usize,
+) -> LoadResult {
+    let mut result = LoadResult::default();
+    let start = Instant::now();
+    let mut next = start;
+    if let Some(interval) = options.interval {
+        // Staggers the callers over one interval, so that the overall rate is even.
+        next += interval.mul_f64(caller_index as f64 / (options.threads * options.callers) as f64);
     }
-    while begun.elapsed() < load.time {
-        if let Some(every) = load.every {
+    while start.elapsed() < options.duration {
+        if let Some(interval) = options.interval {
             Timer::at(next).await;
-            next += every;
+            next += interval;
         }
         let started = Instant::now();
-        match caller.submit_job(new_submission_id(), job).await {
-            Ok(Outcome::Complete(answers)) if answers.len() == load.tasks => {
-                done.whole += 1;
-                done.latency.record(started.elapsed());
+        match client.submit_job(new_submission_id(), job).await {
+            Ok(Outcome::Complete(answers)) if answers.len() == options.tasks => {
+                result.complete += 1;
+                result.latency.record(started.elapsed());
             }
-            _ => done.failed += 1,
+            _ => result.failed += 1,
         }
     }
-    done
+    result
 }
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -1,6 +1,7 @@
-//! `dockpass-bench`: load through all roles on loopback, with stand-in targets.
+//! `dockpass-bench`: load tests of a cluster on loopback, and simulations of the decision
+//! libraries.
 
-// Spans of work that is measured.
+// `Instant` only measures durations.
 #![allow(clippy::disallowed_methods)]
 
 mod changes;
@@ -16,20 +17,20 @@
 
 use cap::Cap;
 
-/// Counts the bytes that are allocated, for the memory figures.
+/// Global allocator that counts the allocated bytes.
 #[global_allocator]
-pub static MEMORY: Cap<System> = Cap::new(System, usize::MAX);
+pub static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
 fn main() -> ExitCode {
-    let arguments = cli::command().get_matches();
-    // The nodes' log would stand between the figures.
+    let matches = cli::command().get_matches();
+    // Keeps the nodes' log lines out of the printed tables.
     spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
-    let result = match arguments.subcommand() {
-        Some(("path", own)) => path::run(own),
+    let result = match matches.subcommand() {
+        Some(("path", matches)) => path::run(matches),
         Some(("slopes", _)) => slopes::run(),
-        Some(("changes", own)) => changes::run(own),
-        Some(("policy", own)) => policy::run(own),
-        _ => Err("no subcommand".to_owned()),
+        Some(("changes", matches)) => changes::run(matches),
+        Some(("policy", matches)) => policy::run(matches),
+        _ => Err("no subcommand given".to_owned()),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/bench/src/policy/baseline.rs
+++ b/bench/src/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines: a task goes to a target at once and queues there.
+//! Baseline policies, which send each task to a target at once, where it waits for a slot.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,142 +7,154 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::clock::Clock;
-use super::report::Measured;
-use super::workload::{CLIENT_LINK, Mishap, SHARES, SLOTS, START, TARGETS, Workload};
+use super::event_queue::EventQueue;
+use super::report::Measurements;
+use super::workload::{CLIENT_LINK, ENTRY_SHARES, Fault, SLOTS, START, TARGETS, Workload};
 
-/// How a target is chosen.
+/// How an entry chooses the target of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
-    /// Any one.
+pub enum TargetChoice {
+    /// A random target.
     Random,
-    /// The one of two with the lower load, as last reported on an answer, plus what this entry
-    /// sent it since.
+    /// The less loaded of two random targets, by the load in their last answer plus the tasks that
+    /// this entry has sent since.
     TwoChoices,
-    /// None: one queue for all, that knows every slot at once. No such thing can be had; it is
-    /// the bound for all that serve in the order of arrival.
+    /// One queue shared by all targets, with immediate knowledge of every free slot: a theoretical
+    /// bound for policies that serve tasks in order of arrival.
     Central,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Task {
     job: usize,
-    number: usize,
+    index: usize,
     entry: usize,
 }
 
 #[derive(Debug)]
-enum Happening {
-    Arrives(usize),
-    AtTarget(usize, Task),
-    Ends(usize, Task),
-    Answered { task: Task, target: usize, load: usize },
-    Killed(usize),
+enum SimulationEvent {
+    JobArrived(usize),
+    TaskArrived(usize, Task),
+    TaskEnded(usize, Task),
+    AnswerArrived { task: Task, target: usize, load: usize },
+    TargetKilled(usize),
 }
 
 #[derive(Debug, Default)]
 struct Target {
     running: u32,
     queue: VecDeque<Task>,
-    dead: bool,
+    is_dead: bool,
 }
 
-struct Run<'a> {
+struct Simulation<'a> {
     workload: &'a Workload,
-    choice: Choice,
+    target_choice: TargetChoice,
     rng: ChaCha8Rng,
-    clock: Clock<Happening>,
+    events: EventQueue<SimulationEvent>,
     targets: Vec<Target>,
-    /// The one queue of the bound.
-    common: VecDeque<Task>,
-    /// What each entry takes for each target's load.
-    loads: Vec<Vec<usize>>,
-    missing: Vec<usize>,
-    measured: Measured,
+    /// The shared queue of [`TargetChoice::Central`].
+    shared_queue: VecDeque<Task>,
+    /// Each entry's estimate of the load of each target.
+    load_estimates: Vec<Vec<usize>>,
+    /// Number of unanswered tasks of each job.
+    unanswered_tasks: Vec<usize>,
+    measurements: Measurements,
 }
 
-/// Runs a workload.
-pub fn run(workload: &Workload, seed: u64, choice: Choice) -> Measured {
-    let mut run = Run {
+/// Simulates a workload and returns its measurements. Jobs without all answers count as failed.
+pub fn run(workload: &Workload, seed: u64, target_choice: TargetChoice) -> Measurements {
+    let mut simulation = Simulation {
         workload,
-        choice,
+        target_choice,
         rng: ChaCha8Rng::seed_from_u64(seed + 1),
-        clock: Clock::new(START),
+        events: EventQueue::new(START),
         targets: (0..TARGETS).map(|_| Target::default()).collect(),
-        common: VecDeque::new(),
-        loads: vec![vec![0; TARGETS]; SHARES.len()],
-        missing: workload.jobs.iter().map(|job| job.tasks.len()).collect(),
-        measured: Measured::default(),
+        shared_queue: VecDeque::new(),
+        load_estimates: vec![vec![0; TARGETS]; ENTRY_SHARES.len()],
+        unanswered_tasks: workload.jobs.iter().map(|job| job.tasks.len()).collect(),
+        measurements: Measurements::default(),
     };
-    for (number, job) in workload.jobs.iter().enumerate() {
-        run.clock.at(job.at + CLIENT_LINK, Happening::Arrives(number));
-        run.measured.tasks += job.tasks.len() as u64;
+    for (index, job) in workload.jobs.iter().enumerate() {
+        simulation
+            .events
+            .schedule_at(job.submitted_at + CLIENT_LINK, SimulationEvent::JobArrived(index));
+        simulation.measurements.tasks += job.tasks.len() as u64;
     }
-    if workload.scenario.mishap == Mishap::Killed {
-        run.clock.at(workload.mishap_at, Happening::Killed(0));
+    if workload.scenario.fault == Fault::Killed {
+        simulation.events.schedule_at(workload.fault_at, SimulationEvent::TargetKilled(0));
     }
-    while let Some(happening) = run.clock.next() {
-        run.happen(happening);
+    while let Some(event) = simulation.events.pop_next() {
+        simulation.handle_event(event);
     }
-    let lost = run.missing.iter().filter(|missing| **missing > 0).count();
-    run.measured.failed += lost as u64;
-    run.measured
+    let incomplete_jobs = simulation.unanswered_tasks.iter().filter(|count| **count > 0).count();
+    simulation.measurements.failed += incomplete_jobs as u64;
+    simulation.measurements
 }
 
-impl Run<'_> {
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrives(job) => self.arrives(job),
-            Happening::AtTarget(target, task) => self.at_target(target, task),
-            Happening::Ends(target, task) => self.ends(target, task),
-            Happening::Answered { task, target, load } => self.answered(task, target, load),
-            Happening::Killed(target) => {
-                self.targets[target].dead = true;
+impl Simulation<'_> {
+    fn handle_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::JobArrived(job) => self.job_arrived(job),
+            SimulationEvent::TaskArrived(target, task) => self.task_arrived(target, task),
+            SimulationEvent::TaskEnded(target, task) => self.task_ended(target, task),
+            SimulationEvent::AnswerArrived { task, target, load } => {
+                self.answer_arrived(task, target, load)
+            }
+            SimulationEvent::TargetKilled(target) => {
+                self.targets[target].is_dead = true;
                 self.targets[target].queue.clear();
             }
         }
     }
 
-    fn arrives(&mut self, job: usize) {
+    fn job_arrived(&mut self, job: usize) {
         let entry = self.workload.jobs[job].entry;
-        for number in 0..self.workload.jobs[job].tasks.len() {
-            let target = self.choose(entry);
-            self.loads[entry][target] += 1;
-            self.measured.messages += 1;
-            let task = Task { job, number, entry };
-            self.clock.after(self.workload.link, Happening::AtTarget(target, task));
+        for index in 0..self.workload.jobs[job].tasks.len() {
+            let target = self.choose_target(entry);
+            self.load_estimates[entry][target] += 1;
+            self.measurements.messages += 1;
+            let task = Task { job, index, entry };
+            self.events
+                .schedule_after(self.workload.link, SimulationEvent::TaskArrived(target, task));
         }
     }
 
-    /// A dead target is known to be dead at once: its connection is refused.
-    fn choose(&mut self, entry: usize) -> usize {
-        let living: Vec<usize> =
-            (0..TARGETS).filter(|target| !self.targets[*target].dead).collect();
-        let first = living[self.rng.random_range(0..living.len())];
-        let second = living[self.rng.random_range(0..living.len())];
-        match self.choice {
-            Choice::Random => first,
-            Choice::TwoChoices if self.loads[entry][second] < self.loads[entry][first] => second,
-            Choice::TwoChoices => first,
-            // Whichever has a free slot, or else the common queue's first.
-            Choice::Central => self.freest().unwrap_or(first),
+    /// Chooses a target among those alive. Entries detect a dead target at once because it refuses
+    /// connections.
+    fn choose_target(&mut self, entry: usize) -> usize {
+        let alive: Vec<usize> =
+            (0..TARGETS).filter(|target| !self.targets[*target].is_dead).collect();
+        let first = alive[self.rng.random_range(0..alive.len())];
+        let second = alive[self.rng.random_range(0..alive.len())];
+        match self.target_choice {
+            TargetChoice::Random => first,
+            TargetChoice::TwoChoices
+                if self.load_estimates[entry][second] < self.load_estimates[entry][first] =>
+            {
+                second
+            }
+            TargetChoice::TwoChoices => first,
+            // The shared queue decides where a task runs. The choice only matters if the target dies
+            // before the task arrives.
+            TargetChoice::Central => self.least_loaded().unwrap_or(first),
         }
     }
 
-    fn freest(&self) -> Option<usize> {
-        let living = (0..TARGETS).filter(|target| !self.targets[*target].dead);
-        living.min_by_key(|target| {
+    fn least_loaded(&self) -> Option<usize> {
+        let alive = (0..TARGETS).filter(|target| !self.targets[*target].is_dead);
+        alive.min_by_key(|target| {
             let target = &self.targets[*target];
             target.running as usize + target.queue.len()
         })
     }
 
-    fn at_target(&mut self, target: usize, task: Task) {
-        if self.targets[target].dead {
+    fn task_arrived(&mut self, target: usize, task: Task) {
+        if self.targets[target].is_dead {
             return;
         }
-        if self.choice == Choice::Central {
-            self.common.push_back(task);
+        if self.target_choice == TargetChoice::Central {
+            self.shared_queue.push_back(task);
             (0..TARGETS).for_each(|target| self.start_next(target));
             return;
         }
@@ -151,40 +163,43 @@
     }
 
     fn start_next(&mut self, target: usize) {
-        while self.targets[target].running < SLOTS && !self.targets[target].dead {
-            let queue = match self.choice {
-                Choice::Central => &mut self.common,
+        while self.targets[target].running < SLOTS && !self.targets[target].is_dead {
+            let queue = match self.target_choice {
+                TargetChoice::Central => &mut self.shared_queue,
                 _ => &mut self.targets[target].queue,
             };
             let Some(task) = queue.pop_front() else { return };
             self.targets[target].running += 1;
-            let time = self.workload.jobs[task.job].tasks[task.number];
-            let time = self.workload.time_at(target, time);
-            self.clock.after(time, Happening::Ends(target, task));
+            let service_time = self.workload.jobs[task.job].tasks[task.index];
+            let service_time = self.workload.service_time_at(target, service_time);
+            self.events.schedule_after(service_time, SimulationEvent::TaskEnded(target, task));
         }
     }
 
-    fn ends(&mut self, target: usize, task: Task) {
-        if self.targets[target].dead {
+    fn task_ended(&mut self, target: usize, task: Task) {
+        if self.targets[target].is_dead {
             return;
         }
         self.targets[target].running -= 1;
         let load = self.targets[target].running as usize + self.targets[target].queue.len();
-        self.measured.messages += 1;
-        self.clock.after(self.workload.link, Happening::Answered { task, target, load });
+        self.measurements.messages += 1;
+        self.events.schedule_after(
+            self.workload.link,
+            SimulationEvent::AnswerArrived { task, target, load },
+        );
         self.start_next(target);
     }
 
-    fn answered(&mut self, task: Task, target: usize, load: usize) {
-        self.loads[task.entry][target] = load;
-        self.missing[task.job] -= 1;
-        if self.missing[task.job] > 0 {
+    fn answer_arrived(&mut self, task: Task, target: usize, load: usize) {
+        self.load_estimates[task.entry][target] = load;
+        self.unanswered_tasks[task.job] -= 1;
+        if self.unanswered_tasks[task.job] > 0 {
             return;
         }
         let job = &self.workload.jobs[task.job];
-        let done: Time = self.clock.now + CLIENT_LINK;
-        let response: Duration = done.since(job.at);
-        self.measured.answered(response, job.ideal());
-        self.measured.useful += self.workload.share_of(job);
+        let answered_at: Time = self.events.now + CLIENT_LINK;
+        let response: Duration = answered_at.since(job.submitted_at);
+        self.measurements.record_answer(response, job.ideal());
+        self.measurements.useful_share += self.workload.capacity_share(job);
     }
 }
--- a/bench/src/policy/report.rs
+++ b/bench/src/policy/report.rs
@@ -1,4 +1,4 @@
-//! The table, its CSV and its plot.
+//! Measurements of the simulation, as a table, as CSV and as a plot.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -7,36 +7,36 @@
 use plotters::prelude::*;
 use telemetry::Latency;
 
-/// What one run measured.
+/// Measurements of one run.
 #[derive(Clone, Debug, Default)]
-pub struct Measured {
-    /// Response over ideal; a ratio of 1 is stored as a second.
+pub struct Measurements {
+    /// Response time over the ideal; a ratio of 1 is recorded as one second.
     pub ratios: Latency,
-    /// Jobs answered whole.
-    pub whole: u64,
-    /// Jobs that were not, after they were taken.
+    /// Jobs with an answer for every task.
+    pub complete: u64,
+    /// Jobs that were accepted but not completed.
     pub failed: u64,
-    /// Jobs refused at once as not run.
+    /// Jobs refused as not run.
     pub refused: u64,
-    /// Slot seconds of the jobs answered whole, over all there were.
-    pub useful: f64,
-    /// Tasks of all jobs.
+    /// Slot time of the complete jobs, as a share of the slot time of all targets.
+    pub useful_share: f64,
+    /// Number of tasks of all jobs.
     pub tasks: u64,
-    /// Messages between entries and agents.
+    /// Number of messages between entries and agents.
     pub messages: u64,
-    /// Those that did no useful work.
+    /// Number of messages that led to no progress.
     pub wasted: u64,
 }
 
-impl Measured {
-    /// Adds a whole answer.
-    pub fn answered(&mut self, response: Duration, ideal: Duration) {
-        self.whole += 1;
+impl Measurements {
+    /// Records a complete job with its response time and its ideal.
+    pub fn record_answer(&mut self, response: Duration, ideal: Duration) {
+        self.complete += 1;
         let ratio = response.as_secs_f64() / ideal.as_secs_f64();
         self.ratios.record(Duration::from_secs_f64(ratio));
     }
 
-    /// A quantile of response over ideal.
+    /// Returns a quantile, from 0 to 1, of the response time over the ideal.
     pub fn ratio(&self, quantile: f64) -> f64 {
         self.ratios.at(quantile).as_secs_f64()
     }
@@ -46,19 +46,19 @@
     }
 }
 
-/// One run of one policy.
+/// Result of one policy in one scenario.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// The policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// What it measured.
-    pub measured: Measured,
+    /// Measurements of the run.
+    pub measurements: Measurements,
 }
 
-/// Prints the table's head.
-pub fn print_head() {
+/// Prints the column headings of the table.
+pub fn print_header() {
     println!(
         "{:<22} {:<18} {:>7} {:>6} {:>7} {:>6} {:>7} {:>7} {:>7} {:>9} {:>9}",
         "scenario",
@@ -75,56 +75,57 @@
     );
 }
 
-/// Prints a row.
+/// Prints a row of the table.
 pub fn print_row(row: &Row) {
-    let measured = &row.measured;
+    let measurements = &row.measurements;
     println!(
         "{:<22} {:<18} {:>7} {:>6} {:>7} {:>5.1}% {:>7.3} {:>7.3} {:>7.3} {:>9.2} {:>9.3}",
         row.scenario,
         row.policy,
-        measured.whole,
-        measured.failed,
-        measured.refused,
-        measured.useful * 100.0,
-        measured.ratio(0.5),
-        measured.ratio(0.99),
-        measured.ratio(0.999),
-        measured.per_task(measured.messages),
-        measured.per_task(measured.wasted),
+        measurements.complete,
+        measurements.failed,
+        measurements.refused,
+        measurements.useful_share * 100.0,
+        measurements.ratio(0.5),
+        measurements.ratio(0.99),
+        measurements.ratio(0.999),
+        measurements.per_task(measurements.messages),
+        measurements.per_task(measurements.wasted),
     );
 }
 
-/// Writes every row as CSV.
+/// Writes every row as CSV; fails if the file can't be written.
 pub fn write_csv(path: &str, rows: &[Row]) -> std::io::Result<()> {
     let mut text = String::from(
         "scenario,policy,whole,failed,refused,useful,p50,p99,p99_9,messages_per_task,wasted_per_task\n",
     );
     for row in rows {
-        let measured = &row.measured;
+        let measurements = &row.measurements;
         let _ = writeln!(
             text,
             "\"{}\",\"{}\",{},{},{},{:.4},{:.4},{:.4},{:.4},{:.4},{:.4}",
             row.scenario,
             row.policy,
-            measured.whole,
-            measured.failed,
-            measured.refused,
-            measured.useful,
-            measured.ratio(0.5),
-            measured.ratio(0.99),
-            measured.ratio(0.999),
-            measured.per_task(measured.messages),
-            measured.per_task(measured.wasted),
+            measurements.complete,
+            measurements.failed,
+            measurements.refused,
+            measurements.useful_share,
+            measurements.ratio(0.5),
+            measurements.ratio(0.99),
+            measurements.ratio(0.999),
+            measurements.per_task(measurements.messages),
+            measurements.per_task(measurements.wasted),
         );
     }
     fs::write(path, text)
 }
 
-/// Plots response over ideal by quantile for each policy of the first scenario.
+/// Plots the response time over the ideal by quantile, for each policy of the first scenario, and
+/// writes it as SVG. Writes nothing without rows; fails if the file can't be written.
 pub fn write_plot(path: &str, rows: &[Row]) -> Result<(), Box<dyn std::error::Error>> {
     let Some(scenario) = rows.first().map(|row| row.scenario) else { return Ok(()) };
     let rows: Vec<&Row> = rows.iter().filter(|row| row.scenario == scenario).collect();
-    let top = rows.iter().map(|row| row.measured.ratio(0.999)).fold(1.0, f64::max);
+    let max_ratio = rows.iter().map(|row| row.measurements.ratio(0.999)).fold(1.0, f64::max);
     let area = SVGBackend::new(path, (800, 500)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -132,13 +133,13 @@
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..1.0, 1.0..top * 1.05)?;
+        .build_cartesian_2d(0.0..1.0, 1.0..max_ratio * 1.05)?;
     chart.configure_mesh().x_desc("share of requests").y_desc("times the ideal").draw()?;
-    for (number, row) in rows.iter().enumerate() {
-        let color = Palette99::pick(number).to_rgba();
-        let points = (0..=999).map(|mille| {
-            let quantile = f64::from(mille) / 1_000.0;
-            (quantile, row.measured.ratio(quantile))
+    for (index, row) in rows.iter().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
+        let points = (0..=999).map(|permille| {
+            let quantile = f64::from(permille) / 1_000.0;
+            (quantile, row.measurements.ratio(quantile))
         });
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))?
--- a/bench/src/policy/tokens.rs
+++ b/bench/src/policy/tokens.rs
@@ -1,4 +1,4 @@
-//! Slot tokens, through the libraries of entry and agent as they run in the daemon.
+//! Simulation of slot tokens, with the entry and agent libraries that the daemon runs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,18 +11,18 @@
 use settings::{Catalog, Tree};
 use wire::{HelloRequest, RelayReply, RelayRequest};
 
-use super::clock::Clock;
-use super::report::Measured;
-use super::workload::{CLIENT_LINK, Mishap, SHARES, SLOTS, START, TARGETS, Workload};
+use super::event_queue::EventQueue;
+use super::report::Measurements;
+use super::workload::{CLIENT_LINK, ENTRY_SHARES, Fault, SLOTS, START, TARGETS, Workload};
 
-/// Longest time between two ticks of a node.
-const TICK: Duration = Duration::from_millis(250);
-/// How long the run goes on after its last job.
-const TAIL: Duration = Duration::from_secs(12);
+/// Longest interval between two timer events of a node.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Simulated time after the arrival of the last job.
+const DRAIN_TIME: Duration = Duration::from_secs(12);
 
-/// What an entry called for.
+/// Purpose of a pending call from an entry to an agent.
 #[derive(Clone, Debug)]
-enum Called {
+enum CallPurpose {
     Hello,
     Claim(SubmissionId),
     Start(TaskKey),
@@ -31,153 +31,159 @@
 }
 
 #[derive(Debug)]
-enum Happening {
-    Arrives(usize),
-    Call { entry: usize, agent: usize, call: CallId, request: Request },
-    Reply { entry: usize, agent: usize, call: CallId, reply: Box<Reply> },
-    Ends { agent: usize, key: TaskKey },
+enum SimulationEvent {
+    JobArrived(usize),
+    CallArrived { entry: usize, agent: usize, call: CallId, request: Request },
+    ReplyArrived { entry: usize, agent: usize, call: CallId, reply: Box<Reply> },
+    TaskEnded { agent: usize, key: TaskKey },
     EntryTick(usize),
     AgentTick(usize),
-    Killed(usize),
+    AgentKilled(usize),
 }
 
-struct Run<'a> {
+struct Simulation<'a> {
     workload: &'a Workload,
+    /// Whether jobs need a claim, as they are not repeatable.
     claims: bool,
-    clock: Clock<Happening>,
+    events: EventQueue<SimulationEvent>,
     entries: Vec<Entry>,
     agents: Vec<Option<Agent>>,
-    /// Calls without a reply: to which agent, and for what.
-    calls: HashMap<CallId, (usize, Called)>,
+    /// Calls without a reply: the agent's index and the purpose.
+    pending_calls: HashMap<CallId, (usize, CallPurpose)>,
     next_call: u64,
-    jobs: HashMap<SubmissionId, usize>,
-    ids: Vec<SubmissionId>,
+    /// Index of each job in the workload.
+    job_indices: HashMap<SubmissionId, usize>,
+    /// Submission id of each job of the workload.
+    submission_ids: Vec<SubmissionId>,
     end: Time,
-    measured: Measured,
+    measurements: Measurements,
 }
 
-fn entry_node(number: usize) -> NodeRef {
-    let incarnation = Incarnation(number as u64 + 1);
-    NodeRef { name: NodeName::new(&format!("e{number}")), incarnation }
+fn entry_node(index: usize) -> NodeRef {
+    let incarnation = Incarnation(index as u64 + 1);
+    NodeRef { name: NodeName::new(&format!("e{index}")), incarnation }
 }
 
-fn agent_node(number: usize) -> NodeRef {
-    let incarnation = Incarnation(number as u64 + 101);
-    NodeRef { name: NodeName::new(&format!("a{number}")), incarnation }
+fn agent_node(index: usize) -> NodeRef {
+    let incarnation = Incarnation(index as u64 + 101);
+    NodeRef { name: NodeName::new(&format!("a{index}")), incarnation }
 }
 
 fn catalog() -> Arc<Catalog> {
     let members: Vec<String> =
-        (0..TARGETS).map(|number| format!("a{number}@r{}", number / 3)).collect();
+        (0..TARGETS).map(|index| format!("a{index}@r{}", index / 3)).collect();
     let text = format!(
         "[work]\nexpected_ms = 275\n[work/task]\n\
          [fleet]\nclaim_view = {}\nsettings_age_max_ms = 80000000\n",
         members.join(" ")
     );
-    let tree = Tree::from_ini(&text).expect("the experiment's tree is valid");
+    let tree = Tree::from_ini(&text).expect("the simulation's settings tree is valid");
     Arc::new(Catalog::new(1, &tree))
 }
 
-/// Runs a workload; `claims` as requests that are not repeatable.
-pub fn run(workload: &Workload, seed: u64, claims: bool) -> Measured {
-    let last = workload.jobs.last().map_or(START, |job| job.at);
-    let mut run = Run {
+/// Simulates a workload and returns its measurements. With `claims` the jobs are not repeatable, so
+/// that entries claim them before the first start.
+pub fn run(workload: &Workload, seed: u64, claims: bool) -> Measurements {
+    let last = workload.jobs.last().map_or(START, |job| job.submitted_at);
+    let mut simulation = Simulation {
         workload,
         claims,
-        clock: Clock::new(START),
+        events: EventQueue::new(START),
         entries: Vec::new(),
         agents: Vec::new(),
-        calls: HashMap::new(),
+        pending_calls: HashMap::new(),
         next_call: 0,
-        jobs: HashMap::new(),
-        ids: Vec::new(),
-        end: last + TAIL,
-        measured: Measured::default(),
+        job_indices: HashMap::new(),
+        submission_ids: Vec::new(),
+        end: last + DRAIN_TIME,
+        measurements: Measurements::default(),
     };
-    run.start(seed);
-    while let Some(happening) = run.clock.next() {
-        if run.clock.now > run.end {
+    simulation.set_up(seed);
+    while let Some(event) = simulation.events.pop_next() {
+        if simulation.events.now > simulation.end {
             break;
         }
-        run.happen(happening);
+        simulation.handle_event(event);
     }
-    run.sum_up();
-    run.measured
+    simulation.collect_counters();
+    simulation.measurements
 }
 
-impl Run<'_> {
-    fn start(&mut self, seed: u64) {
+impl Simulation<'_> {
+    fn set_up(&mut self, seed: u64) {
         let catalog = catalog();
-        for number in 0..TARGETS {
+        for index in 0..TARGETS {
             let setup = agent::Setup {
-                node: agent_node(number),
+                node: agent_node(index),
                 service: "work".to_owned(),
                 hall: "h1".to_owned(),
-                rack: format!("r{}", number / 3),
+                rack: format!("r{}", index / 3),
                 slots: SLOTS,
                 started: START - Duration::from_secs(10),
             };
             self.agents.push(Some(Agent::new(setup, 1, Arc::new(catalog.fleet().clone()))));
-            self.clock.after(TICK, Happening::AgentTick(number));
+            self.events.schedule_after(TICK_INTERVAL, SimulationEvent::AgentTick(index));
         }
-        for number in 0..SHARES.len() {
-            let setup = entry::Setup { node: entry_node(number), hall: "h1".to_owned() };
+        for index in 0..ENTRY_SHARES.len() {
+            let setup = entry::Setup { node: entry_node(index), hall: "h1".to_owned() };
             self.entries.push(Entry::new(setup));
             let catalog = catalog.clone();
-            self.deliver_to_entry(number, Event::Settings { catalog });
-            self.deliver_to_entry(number, Event::EntryCount { count: SHARES.len() as u32 });
-            self.clock.after(TICK, Happening::EntryTick(number));
+            self.deliver_to_entry(index, Event::Settings { catalog });
+            self.deliver_to_entry(index, Event::EntryCount { count: ENTRY_SHARES.len() as u32 });
+            self.events.schedule_after(TICK_INTERVAL, SimulationEvent::EntryTick(index));
             for agent in 0..TARGETS {
-                let request = Request::Hello(HelloRequest { entry: entry_node(number) });
-                self.call(number, agent, request, Called::Hello);
+                let request = Request::Hello(HelloRequest { entry: entry_node(index) });
+                self.send_call(index, agent, request, CallPurpose::Hello);
             }
         }
-        for (number, job) in self.workload.jobs.iter().enumerate() {
-            self.clock.at(job.at + CLIENT_LINK, Happening::Arrives(number));
-            self.measured.tasks += job.tasks.len() as u64;
-            let random = (u128::from(seed) << 64 | number as u128) << 56;
-            let id = SubmissionId::from_parts(job.at, random);
-            self.jobs.insert(id, number);
-            self.ids.push(id);
+        for (index, job) in self.workload.jobs.iter().enumerate() {
+            self.events
+                .schedule_at(job.submitted_at + CLIENT_LINK, SimulationEvent::JobArrived(index));
+            self.measurements.tasks += job.tasks.len() as u64;
+            let random = (u128::from(seed) << 64 | index as u128) << 56;
+            let id = SubmissionId::from_parts(job.submitted_at, random);
+            self.job_indices.insert(id, index);
+            self.submission_ids.push(id);
         }
-        if self.workload.scenario.mishap == Mishap::Killed {
-            self.clock.at(self.workload.mishap_at, Happening::Killed(0));
+        if self.workload.scenario.fault == Fault::Killed {
+            self.events.schedule_at(self.workload.fault_at, SimulationEvent::AgentKilled(0));
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrives(job) => self.arrives(job),
-            Happening::Call { entry, agent, call, request } => {
+    fn handle_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::JobArrived(job) => self.job_arrived(job),
+            SimulationEvent::CallArrived { entry, agent, call, request } => {
                 let session = Session(entry as u64);
                 self.deliver_to_agent(agent, agent::Event::Call { session, call, request });
             }
-            Happening::Reply { entry, agent, call, reply } => {
-                self.reply_arrives(entry, agent, call, *reply);
+            SimulationEvent::ReplyArrived { entry, agent, call, reply } => {
+                self.reply_arrived(entry, agent, call, *reply);
             }
-            Happening::Ends { agent, key } => {
+            SimulationEvent::TaskEnded { agent, key } => {
                 let outcome = TaskOutcome::Answer("done".into());
                 self.deliver_to_agent(agent, agent::Event::Ended { key, outcome });
             }
-            Happening::EntryTick(entry) => {
+            SimulationEvent::EntryTick(entry) => {
                 self.deliver_to_entry(entry, Event::Tick);
                 let due = self.entries[entry].next_timer();
-                let next = due.map_or(TICK, |due| due.since(self.clock.now)).min(TICK);
+                let next =
+                    due.map_or(TICK_INTERVAL, |due| due.since(self.events.now)).min(TICK_INTERVAL);
                 let next = next.max(Duration::from_millis(1));
-                self.clock.after(next, Happening::EntryTick(entry));
+                self.events.schedule_after(next, SimulationEvent::EntryTick(entry));
             }
-            Happening::AgentTick(agent) => {
+            SimulationEvent::AgentTick(agent) => {
                 self.deliver_to_agent(agent, agent::Event::Tick);
-                self.clock.after(TICK, Happening::AgentTick(agent));
+                self.events.schedule_after(TICK_INTERVAL, SimulationEvent::AgentTick(agent));
             }
-            Happening::Killed(agent) => self.killed(agent),
+            SimulationEvent::AgentKilled(agent) => self.kill_agent(agent),
         }
     }
 
-    fn arrives(&mut self, number: usize) {
-        let job = &self.workload.jobs[number];
+    fn job_arrived(&mut self, index: usize) {
+        let job = &self.workload.jobs[index];
         let (entry, deadline) = (job.entry, job.deadline);
-        let submission = self.ids[number];
+        let submission = self.submission_ids[index];
         let tasks = (0..job.tasks.len()).map(|task| Arc::from(task.to_string())).collect();
         let request = RelayRequest {
             submission,
@@ -187,89 +193,97 @@
             deadline_ms: Some(deadline.as_millis() as u64),
             repeatable: !self.claims,
         };
-        let call = entry::CallId(number as u64);
+        let call = entry::CallId(index as u64);
         self.deliver_to_entry(entry, Event::Submit { call, request, relayed: false });
     }
 
-    fn deliver_to_entry(&mut self, number: usize, event: Event) {
+    fn deliver_to_entry(&mut self, index: usize, event: Event) {
         let mut actions = Vec::new();
-        self.entries[number].handle(self.clock.now, event, &mut actions);
+        self.entries[index].handle(self.events.now, event, &mut actions);
         for action in actions {
-            self.entry_acts(number, action);
+            self.apply_entry_action(index, action);
         }
     }
 
-    fn entry_acts(&mut self, entry: usize, action: entry::Action) {
+    fn apply_entry_action(&mut self, entry: usize, action: entry::Action) {
         use entry::Action;
-        let number = |name: &NodeName| name.as_str()[1..].parse().unwrap_or(0);
+        let node_index = |name: &NodeName| name.as_str()[1..].parse().unwrap_or(0);
         match action {
             Action::Respond { call, reply } => self.respond(call, &reply),
             Action::Claim { holder, request } => {
-                let called = Called::Claim(request.submission);
-                self.call(entry, number(&holder), Request::Claim(request), called);
+                let purpose = CallPurpose::Claim(request.submission);
+                self.send_call(entry, node_index(&holder), Request::Claim(request), purpose);
             }
             Action::Start { agent, request, .. } => {
-                let called = Called::Start(request.key);
-                self.call(entry, number(&agent), Request::Start(request), called);
+                let purpose = CallPurpose::Start(request.key);
+                self.send_call(entry, node_index(&agent), Request::Start(request), purpose);
             }
             Action::Settle { agent, request } => {
-                let called = Called::Settle(request.key);
-                self.call(entry, number(&agent), Request::Settle(request), called);
+                let purpose = CallPurpose::Settle(request.key);
+                self.send_call(entry, node_index(&agent), Request::Settle(request), purpose);
             }
             Action::Sync { agent, request, .. } => {
-                self.call(entry, number(&agent), Request::Sync(request), Called::Sync);
+                self.send_call(
+                    entry,
+                    node_index(&agent),
+                    Request::Sync(request),
+                    CallPurpose::Sync,
+                );
             }
             _ => {}
         }
     }
 
-    fn call(&mut self, entry: usize, agent: usize, request: Request, called: Called) {
+    fn send_call(&mut self, entry: usize, agent: usize, request: Request, purpose: CallPurpose) {
         self.next_call += 1;
         let call = CallId(self.next_call << 8 | entry as u64);
-        self.calls.insert(call, (agent, called));
-        self.clock.after(self.workload.link, Happening::Call { entry, agent, call, request });
+        self.pending_calls.insert(call, (agent, purpose));
+        self.events.schedule_after(
+            self.workload.link,
+            SimulationEvent::CallArrived { entry, agent, call, request },
+        );
     }
 
-    fn deliver_to_agent(&mut self, number: usize, event: agent::Event) {
-        let Some(agent) = &mut self.agents[number] else { return };
+    fn deliver_to_agent(&mut self, index: usize, event: agent::Event) {
+        let Some(agent) = &mut self.agents[index] else { return };
         let mut actions = Vec::new();
-        agent.handle(self.clock.now, event, &mut actions);
+        agent.handle(self.events.now, event, &mut actions);
         for action in actions {
             match action {
                 agent::Action::Reply { call, reply } => {
                     let entry = (call.0 & 0xff) as usize;
                     let reply = Box::new(reply);
-                    let happening = Happening::Reply { entry, agent: number, call, reply };
-                    self.clock.after(self.workload.link, happening);
+                    let event = SimulationEvent::ReplyArrived { entry, agent: index, call, reply };
+                    self.events.schedule_after(self.workload.link, event);
                 }
-                agent::Action::Run { key, .. } => self.run_task(number, key),
+                agent::Action::Run { key, .. } => self.run_task(index, key),
                 agent::Action::Log(_) => {}
             }
         }
     }
 
     fn run_task(&mut self, agent: usize, key: TaskKey) {
-        let job = &self.workload.jobs[self.jobs[&key.submission]];
-        let time = self.workload.time_at(agent, job.tasks[key.index as usize]);
-        self.clock.after(time, Happening::Ends { agent, key });
+        let job = &self.workload.jobs[self.job_indices[&key.submission]];
+        let service_time = self.workload.service_time_at(agent, job.tasks[key.index as usize]);
+        self.events.schedule_after(service_time, SimulationEvent::TaskEnded { agent, key });
     }
 
-    fn reply_arrives(&mut self, entry: usize, agent: usize, call: CallId, reply: Reply) {
-        let Some((_, called)) = self.calls.remove(&call) else { return };
+    fn reply_arrived(&mut self, entry: usize, agent: usize, call: CallId, reply: Reply) {
+        let Some((_, purpose)) = self.pending_calls.remove(&call) else { return };
         let connection = Connection(agent as u64);
         let name = agent_node(agent).name;
-        let event = match (called, reply) {
-            (Called::Hello, Reply::Hello(info)) => Event::Connected { connection, info },
-            (Called::Claim(submission), Reply::Claim(reply)) => {
+        let event = match (purpose, reply) {
+            (CallPurpose::Hello, Reply::Hello(info)) => Event::Connected { connection, info },
+            (CallPurpose::Claim(submission), Reply::Claim(reply)) => {
                 Event::ClaimReplied { holder: name, submission, reply: Some(reply) }
             }
-            (Called::Start(key), Reply::Start(reply)) => {
+            (CallPurpose::Start(key), Reply::Start(reply)) => {
                 Event::StartReplied { agent: name, connection, key, reply: Some(reply) }
             }
-            (Called::Settle(key), Reply::Settle(reply)) => {
+            (CallPurpose::Settle(key), Reply::Settle(reply)) => {
                 Event::SettleReplied { agent: name, key, reply: Some(reply) }
             }
-            (Called::Sync, Reply::Sync(reply)) => {
+            (CallPurpose::Sync, Reply::Sync(reply)) => {
                 Event::SyncReplied { agent: name, connection, reply: Some(reply) }
             }
             _ => return,
@@ -277,30 +291,33 @@
         self.deliver_to_entry(entry, event);
     }
 
-    /// A worker dies: its connections break, and it refuses new ones.
-    fn killed(&mut self, number: usize) {
-        self.agents[number] = None;
-        let name = agent_node(number).name;
+    /// Kills a worker: its connections break, its pending calls fail, and it accepts no new ones.
+    fn kill_agent(&mut self, index: usize) {
+        self.agents[index] = None;
+        let name = agent_node(index).name;
         for entry in 0..self.entries.len() {
-            let connection = Connection(number as u64);
+            let connection = Connection(index as u64);
             self.deliver_to_entry(entry, Event::Disconnected { agent: name.clone(), connection });
             self.deliver_to_entry(entry, Event::AgentDead { agent: name.clone() });
         }
-        let lost = |(_, (agent, _)): &(&CallId, &(usize, Called))| *agent == number;
-        let mut calls: Vec<CallId> = self.calls.iter().filter(lost).map(|(id, _)| *id).collect();
-        calls.sort();
-        for call in calls {
+        let is_lost = |(_, (agent, _)): &(&CallId, &(usize, CallPurpose))| *agent == index;
+        let mut pending_calls: Vec<CallId> =
+            self.pending_calls.iter().filter(is_lost).map(|(id, _)| *id).collect();
+        pending_calls.sort();
+        for call in pending_calls {
             let entry = (call.0 & 0xff) as usize;
-            let connection = Connection(number as u64);
-            let Some((_, called)) = self.calls.remove(&call) else { continue };
+            let connection = Connection(index as u64);
+            let Some((_, purpose)) = self.pending_calls.remove(&call) else { continue };
             let agent = name.clone();
-            let event = match called {
-                Called::Claim(submission) => {
+            let event = match purpose {
+                CallPurpose::Claim(submission) => {
                     Event::ClaimReplied { holder: agent, submission, reply: None }
                 }
-                Called::Start(key) => Event::StartReplied { agent, connection, key, reply: None },
-                Called::Settle(key) => Event::SettleReplied { agent, key, reply: None },
-                Called::Hello | Called::Sync => continue,
+                CallPurpose::Start(key) => {
+                    Event::StartReplied { agent, connection, key, reply: None }
+                }
+                CallPurpose::Settle(key) => Event::SettleReplied { agent, key, reply: None },
+                CallPurpose::Hello | CallPurpose::Sync => continue,
             };
             self.deliver_to_entry(entry, event);
         }
@@ -310,23 +327,24 @@
         let job = &self.workload.jobs[call.0 as usize];
         match reply {
             Ok(_) => {
-                let response = (self.clock.now + CLIENT_LINK).since(job.at);
-                self.measured.answered(response, job.ideal());
-                self.measured.useful += self.workload.share_of(job);
+                let response = (self.events.now + CLIENT_LINK).since(job.submitted_at);
+                self.measurements.record_answer(response, job.ideal());
+                self.measurements.useful_share += self.workload.capacity_share(job);
             }
-            Err(failure) if failure.verdict == Verdict::NotRun => self.measured.refused += 1,
-            Err(_) => self.measured.failed += 1,
+            Err(failure) if failure.verdict == Verdict::NotRun => self.measurements.refused += 1,
+            Err(_) => self.measurements.failed += 1,
         }
     }
 
-    fn sum_up(&mut self) {
+    fn collect_counters(&mut self) {
         let agents = self.agents.iter().flatten().map(|agent| agent.counters().messages);
         let entries = self.entries.iter().map(|entry| entry.counters().messages);
         for counts in agents.chain(entries) {
-            self.measured.messages += counts.total_sent();
-            self.measured.wasted += counts.total_wasted();
+            self.measurements.messages += counts.total_sent();
+            self.measurements.wasted += counts.total_wasted();
         }
-        let answered = self.measured.whole + self.measured.failed + self.measured.refused;
-        self.measured.failed += (self.workload.jobs.len() as u64).saturating_sub(answered);
+        let answered =
+            self.measurements.complete + self.measurements.failed + self.measurements.refused;
+        self.measurements.failed += (self.workload.jobs.len() as u64).saturating_sub(answered);
     }
 }
--- a/bench/src/policy/workload.rs
+++ b/bench/src/policy/workload.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: Kyushu's and Blue Mountain's work, at a share of the capacity.
+//! Synthetic workloads of the clients Kyushu and Blue Mountain, at a given share of the capacity.
 
 use std::time::Duration;
 
@@ -6,187 +6,188 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// When every run begins.
+/// Virtual time at which every run starts.
 pub const START: Time = Time::from_millis(1_764_000_000_000);
-/// Targets, and slots of each.
+/// Number of targets.
 pub const TARGETS: usize = 10;
-/// Slots of each target.
+/// Slots per target.
 pub const SLOTS: u32 = 8;
-/// Entries, and the balancer's shares, in parts of a hundred.
-pub const SHARES: [u32; 3] = [50, 30, 20];
-/// One way from a client to an entry.
+/// Share of the jobs that the load balancer sends to each entry, in percent.
+pub const ENTRY_SHARES: [u32; 3] = [50, 30, 20];
+/// One-way delay between a client and an entry.
 pub const CLIENT_LINK: Duration = Duration::from_millis(3);
-/// How long a burst lasts, and how often one comes.
+/// Duration of a burst, and interval between the starts of two bursts.
 const BURST: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(20));
 
-/// Whose work it is.
+/// The client whose mix of jobs is simulated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Users {
-    /// Seat holds, settlements, timetable lookups.
+pub enum ClientMix {
+    /// Seat holds, settlements and timetable lookups.
     Kyushu,
-    /// Moves, adjudications, clock checks.
+    /// Moves, adjudications and clock checks.
     BlueMountain,
 }
 
-/// What happens to a target during a run.
+/// Fault of a target during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mishap {
-    /// Nothing.
+pub enum Fault {
+    /// No fault.
     None,
-    /// One worker is killed a third into the run and stays away.
+    /// One worker is killed after a third of the run and does not return.
     Killed,
-    /// One target takes three times as long as the others.
+    /// One target takes three times as long as the others for each task.
     Straggler,
 }
 
-/// One scenario.
+/// Parameters of a workload.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// Name shown in the results.
     pub name: &'static str,
-    /// Whose work it is.
-    pub users: Users,
-    /// Busy slots over all slots, on average.
+    /// The client whose mix of jobs is simulated.
+    pub client_mix: ClientMix,
+    /// Mean share of busy slots; above 1 for an overload.
     pub load: f64,
-    /// How many times the load a burst is; 1 for none.
-    pub burst: f64,
-    /// What happens to a target.
-    pub mishap: Mishap,
-    /// Time to the answer.
+    /// Load during a burst as a multiple of the load outside; 1 for no bursts.
+    pub burst_factor: f64,
+    /// Fault of a target.
+    pub fault: Fault,
+    /// Time allowed until the answer of each job.
     pub deadline: Duration,
 }
 
 impl Scenario {
-    /// Every scenario.
+    /// Returns all scenarios.
     pub fn all() -> Vec<Self> {
-        let scenario = |name, users, load, burst, mishap| Self {
+        let scenario = |name, client_mix, load, burst_factor, fault| Self {
             name,
-            users,
+            client_mix,
             load,
-            burst,
-            mishap,
+            burst_factor,
+            fault,
             deadline: Duration::from_secs(10),
         };
-        let overload = scenario("kyushu 200%, 2 s", Users::Kyushu, 2.0, 1.0, Mishap::None);
+        let overload = scenario("kyushu 200%, 2 s", ClientMix::Kyushu, 2.0, 1.0, Fault::None);
         vec![
-            scenario("kyushu 70%", Users::Kyushu, 0.7, 1.0, Mishap::None),
-            scenario("kyushu 90%, bursts", Users::Kyushu, 0.9, 3.0, Mishap::None),
-            scenario("kyushu 70%, killed", Users::Kyushu, 0.7, 1.0, Mishap::Killed),
-            scenario("kyushu 70%, straggler", Users::Kyushu, 0.7, 1.0, Mishap::Straggler),
-            scenario("matchdesk 70%", Users::BlueMountain, 0.7, 1.0, Mishap::None),
-            scenario("matchdesk 90%, bursts", Users::BlueMountain, 0.9, 3.0, Mishap::None),
+            scenario("kyushu 70%", ClientMix::Kyushu, 0.7, 1.0, Fault::None),
+            scenario("kyushu 90%, bursts", ClientMix::Kyushu, 0.9, 3.0, Fault::None),
+            scenario("kyushu 70%, killed", ClientMix::Kyushu, 0.7, 1.0, Fault::Killed),
+            scenario("kyushu 70%, straggler", ClientMix::Kyushu, 0.7, 1.0, Fault::Straggler),
+            scenario("matchdesk 70%", ClientMix::BlueMountain, 0.7, 1.0, Fault::None),
+            scenario("matchdesk 90%, bursts", ClientMix::BlueMountain, 0.9, 3.0, Fault::None),
             Self { deadline: Duration::from_secs(2), ..overload },
         ]
     }
 }
 
-/// One job as a caller sends it.
+/// One job, as a client submits it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// When it leaves the caller.
-    pub at: Time,
-    /// The entry that the balancer gives it to.
+    /// When the client submits the job.
+    pub submitted_at: Time,
+    /// Index of the entry that receives the job.
     pub entry: usize,
-    /// How long each task takes on a target that is well.
+    /// Service time of each task on a target without a fault.
     pub tasks: Vec<Duration>,
-    /// Time to the answer.
+    /// Time allowed until the answer.
     pub deadline: Duration,
 }
 
 impl Job {
-    /// The time on an idle, perfect fleet: the client's link and the longest task.
+    /// Returns the lower bound of the response time: the client's round trip and the longest task.
     pub fn ideal(&self) -> Duration {
         CLIENT_LINK * 2 + self.tasks.iter().max().copied().unwrap_or_default()
     }
 }
 
-/// Every job of a run.
+/// All jobs of a run.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// The scenario that made it.
+    /// Scenario from which the jobs were generated.
     pub scenario: Scenario,
-    /// The jobs, by time.
+    /// Jobs in order of submission.
     pub jobs: Vec<Job>,
-    /// One way between an entry and a target.
+    /// One-way delay between an entry and a target.
     pub link: Duration,
-    /// When a target is killed.
-    pub mishap_at: Time,
+    /// When a target is killed, in scenarios with [`Fault::Killed`].
+    pub fault_at: Time,
 }
 
 impl Workload {
-    /// Makes the jobs of a scenario.
+    /// Generates the jobs of a scenario for a run of `seconds` virtual seconds.
     pub fn new(scenario: Scenario, seconds: u64, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let end = START + Duration::from_secs(seconds);
-        let mut at = START + Duration::from_secs(1);
+        let mut submitted_at = START + Duration::from_secs(1);
         let mut jobs = Vec::new();
         let slots = TARGETS as f64 * f64::from(SLOTS);
-        // In a burst more comes in, so that the average is the load that is asked for.
-        let (length, every) = BURST;
-        let share = length.as_secs_f64() / every.as_secs_f64();
-        let calm_load = scenario.load / (1.0 + share * (scenario.burst - 1.0));
-        while at < end {
-            let job = make_job(&scenario, at, &mut rng);
-            let in_burst = at.since(START).as_millis() % every.as_millis() < length.as_millis();
-            let load = calm_load * if in_burst { scenario.burst } else { 1.0 };
-            let work: f64 = mean_work(scenario.users);
-            let rate = slots * load / work;
+        // Lowers the load outside bursts, so that the mean is the scenario's load.
+        let (burst_duration, burst_interval) = BURST;
+        let burst_share = burst_duration.as_secs_f64() / burst_interval.as_secs_f64();
+        let base_load = scenario.load / (1.0 + burst_share * (scenario.burst_factor - 1.0));
+        while submitted_at < end {
+            let job = generate_job(&scenario, submitted_at, &mut rng);
+            let in_burst = submitted_at.since(START).as_millis() % burst_interval.as_millis()
+                < burst_duration.as_millis();
+            let load = base_load * if in_burst { scenario.burst_factor } else { 1.0 };
+            let mean_seconds: f64 = mean_slot_seconds(scenario.client_mix);
+            let rate = slots * load / mean_seconds;
             let uniform: f64 = rng.random_range(1e-9..1.0);
-            at = at + Duration::from_secs_f64(-uniform.ln() / rate);
+            submitted_at = submitted_at + Duration::from_secs_f64(-uniform.ln() / rate);
             jobs.push(job);
         }
-        let link = match scenario.users {
-            Users::Kyushu => Duration::from_millis(1),
-            Users::BlueMountain => Duration::from_micros(1_500),
+        let link = match scenario.client_mix {
+            ClientMix::Kyushu => Duration::from_millis(1),
+            ClientMix::BlueMountain => Duration::from_micros(1_500),
         };
-        let mishap_at = START + Duration::from_secs(seconds / 3);
-        Self { scenario, jobs, link, mishap_at }
+        let fault_at = START + Duration::from_secs(seconds / 3);
+        Self { scenario, jobs, link, fault_at }
     }
 
-    /// The part of all slots' time that a job's tasks are.
-    pub fn share_of(&self, job: &Job) -> f64 {
-        let last = self.jobs.last().map_or(START, |job| job.at);
-        let all = TARGETS as f64 * f64::from(SLOTS) * last.since(START).as_secs_f64();
-        job.tasks.iter().map(Duration::as_secs_f64).sum::<f64>() / all
+    /// Returns a job's slot time as a share of the slot time of all targets during the run.
+    pub fn capacity_share(&self, job: &Job) -> f64 {
+        let last = self.jobs.last().map_or(START, |job| job.submitted_at);
+        let capacity = TARGETS as f64 * f64::from(SLOTS) * last.since(START).as_secs_f64();
+        job.tasks.iter().map(Duration::as_secs_f64).sum::<f64>() / capacity
     }
 
-    /// How long a task takes at a target.
-    pub fn time_at(&self, target: usize, task: Duration) -> Duration {
-        let slow = self.scenario.mishap == Mishap::Straggler && target == 0;
-        if slow { task * 3 } else { task }
+    /// Returns the service time at a target of a task that takes `task` without a fault.
+    pub fn service_time_at(&self, target: usize, task: Duration) -> Duration {
+        let is_straggler = self.scenario.fault == Fault::Straggler && target == 0;
+        if is_straggler { task * 3 } else { task }
     }
 }
 
-/// Mean slot seconds of a job.
-fn mean_work(users: Users) -> f64 {
-    // Tasks a job on average, times the mean of 50 to 500 ms.
-    let tasks = match users {
-        Users::Kyushu => (0.4 * 2.5) + 0.3 + 0.3,
-        Users::BlueMountain => 0.6 + (0.2 * 5.0) + 0.2,
+/// Returns the mean slot time of a job, in seconds.
+fn mean_slot_seconds(client_mix: ClientMix) -> f64 {
+    // Mean number of tasks per job, from the distribution in `generate_job`.
+    let tasks = match client_mix {
+        ClientMix::Kyushu => (0.4 * 2.5) + 0.3 + 0.3,
+        ClientMix::BlueMountain => 0.6 + (0.2 * 5.0) + 0.2,
     };
     tasks * 0.275
 }
 
-fn make_job(scenario: &Scenario, at: Time, rng: &mut ChaCha8Rng) -> Job {
-    let users = scenario.users;
-    let pick: f64 = rng.random_range(0.0..1.0);
-    let tasks = match users {
-        // Holds of one to four seats, settlements, lookups.
-        Users::Kyushu if pick < 0.4 => rng.random_range(1..=4),
-        Users::Kyushu => 1,
-        // Moves, adjudications of two to eight games, clock checks.
-        Users::BlueMountain if pick < 0.6 => 1,
-        Users::BlueMountain if pick < 0.8 => rng.random_range(2..=8),
-        Users::BlueMountain => 1,
+fn generate_job(scenario: &Scenario, submitted_at: Time, rng: &mut ChaCha8Rng) -> Job {
+    let client_mix = scenario.client_mix;
+    let job_sample: f64 = rng.random_range(0.0..1.0);
+    let tasks = match client_mix {
+        // Holds of one to four seats; settlements and lookups have one task.
+        ClientMix::Kyushu if job_sample < 0.4 => rng.random_range(1..=4),
+        ClientMix::Kyushu => 1,
+        // Adjudications of two to eight games; moves and clock checks have one task.
+        ClientMix::BlueMountain if job_sample < 0.6 => 1,
+        ClientMix::BlueMountain if job_sample < 0.8 => rng.random_range(2..=8),
+        ClientMix::BlueMountain => 1,
     };
-    let share = rng.random_range(0..100);
-    let entry = if share < SHARES[0] {
+    let entry_sample = rng.random_range(0..100);
+    let entry = if entry_sample < ENTRY_SHARES[0] {
         0
-    } else if share < SHARES[0] + SHARES[1] {
+    } else if entry_sample < ENTRY_SHARES[0] + ENTRY_SHARES[1] {
         1
     } else {
         2
     };
     let task = |_| Duration::from_micros(rng.random_range(50_000..500_000));
-    Job { at, entry, tasks: (0..tasks).map(task).collect(), deadline: scenario.deadline }
+    Job { submitted_at, entry, tasks: (0..tasks).map(task).collect(), deadline: scenario.deadline }
 }
--- a/bench/src/slopes/agent.rs
+++ b/bench/src/slopes/agent.rs
@@ -1,4 +1,4 @@
-//! What an agent keeps and what its decisions cost.
+//! Memory of an agent's claims and start table, and the time of its decisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use settings::{Catalog, Tree};
 use wire::{HelloRequest, StartRequest};
 
-use super::table::{bytes_of, head, seconds_of, slope};
+use super::table::{measure_bytes, measure_seconds, print_header, slope};
 
 const START: Time = Time::from_millis(1_764_000_000_000);
 const SESSION: Session = Session(1);
@@ -36,13 +36,13 @@
     agent
 }
 
-fn submission(number: usize) -> SubmissionId {
-    SubmissionId::from_parts(START + Duration::from_secs(2), (number as u128) << 64)
+fn submission(index: usize) -> SubmissionId {
+    SubmissionId::from_parts(START + Duration::from_secs(2), (index as u128) << 64)
 }
 
-/// Claims that an agent holds.
-pub fn claims() {
-    head(
+/// Measures the memory and time per claim held.
+pub fn measure_claims() {
+    print_header(
         "agent: claims held (64-bit names, one entry incarnation)",
         "    claims       bytes  bytes/claim   us/claim",
     );
@@ -53,30 +53,33 @@
         let digest = Digest::of("booking", "holds", false, ["seat"].into_iter());
         let now = START + Duration::from_secs(3);
         let mut out = Vec::with_capacity(4);
-        let (bytes, seconds) = bytes_of(|| {
+        let (bytes, seconds) = measure_bytes(|| {
             let claim_all = || {
-                for number in 0..count {
+                for index in 0..count {
                     let claim = Claim { owner: owner.clone(), digest };
-                    let request = ClaimRequest { submission: submission(number), claim };
+                    let request = ClaimRequest { submission: submission(index), claim };
                     let request = Request::Claim(request);
-                    let call = CallId(number as u64);
+                    let call = CallId(index as u64);
                     agent.handle(now, Event::Call { session: SESSION, call, request }, &mut out);
                     out.clear();
                 }
             };
-            seconds_of(claim_all).0
+            measure_seconds(claim_all).0
         });
         points.push((count as f64, bytes as f64));
-        let each = bytes as f64 / count as f64;
-        println!("{count:>10} {bytes:>11} {each:>12.1} {:>10.3}", seconds * 1e6 / count as f64);
+        let bytes_each = bytes as f64 / count as f64;
+        println!(
+            "{count:>10} {bytes:>11} {bytes_each:>12.1} {:>10.3}",
+            seconds * 1e6 / count as f64
+        );
         drop(agent);
     }
     println!("slope: {:.1} bytes a claim", slope(&points));
 }
 
-/// Tasks that an agent starts, ends and remembers.
-pub fn starts() {
-    head(
+/// Measures the memory and time per task that is started, ended and kept in the start table.
+pub fn measure_starts() {
+    print_header(
         "agent: start table (each task started, ended, remembered with a 20-byte answer)",
         "     tasks       bytes   bytes/task    us/task",
     );
@@ -84,10 +87,14 @@
     for count in [10_000, 30_000, 100_000] {
         let mut agent = agent();
         let mut out: Vec<Action> = Vec::with_capacity(8);
-        let (bytes, seconds) = bytes_of(|| seconds_of(|| run_tasks(&mut agent, count, &mut out)).0);
+        let (bytes, seconds) =
+            measure_bytes(|| measure_seconds(|| run_tasks(&mut agent, count, &mut out)).0);
         points.push((count as f64, bytes as f64));
-        let each = bytes as f64 / count as f64;
-        println!("{count:>10} {bytes:>11} {each:>12.1} {:>10.3}", seconds * 1e6 / count as f64);
+        let bytes_each = bytes as f64 / count as f64;
+        println!(
+            "{count:>10} {bytes:>11} {bytes_each:>12.1} {:>10.3}",
+            seconds * 1e6 / count as f64
+        );
         drop(agent);
     }
     println!("slope: {:.1} bytes a task (outcomes are kept up to 4 MiB)", slope(&points));
@@ -96,8 +103,8 @@
 fn run_tasks(agent: &mut Agent, count: usize, out: &mut Vec<Action>) {
     let now = START + Duration::from_secs(3);
     let task: Arc<str> = Arc::from("hold seat 4A of coach 7");
-    for number in 0..count {
-        let submission = submission(number);
+    for index in 0..count {
+        let submission = submission(index);
         let key = TaskKey { submission, index: 0, attempt: 0, origin: 0 };
         let request = Request::Start(StartRequest {
             key,
@@ -107,7 +114,7 @@
             deadline: now + Duration::from_secs(9),
             wanted: 0,
         });
-        let call = CallId(number as u64);
+        let call = CallId(index as u64);
         agent.handle(now, Event::Call { session: SESSION, call, request }, out);
         let outcome = TaskOutcome::Answer("done: hold seat 4A..".into());
         agent.handle(now, Event::Ended { key, outcome }, out);
--- a/bench/src/slopes/entry.rs
+++ b/bench/src/slopes/entry.rs
@@ -1,4 +1,4 @@
-//! What an entry keeps and what its decisions cost.
+//! Memory of an entry, and the CPU time of its decisions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,11 +11,11 @@
 use settings::{Catalog, Tree};
 use wire::{AgentInfo, RelayRequest, StartReply, StartResult, SyncReply};
 
-use super::table::{bytes_of, head, seconds_of, slope};
+use super::table::{measure_bytes, measure_seconds, print_header, slope};
 
 const START: Time = Time::from_millis(1_764_000_000_000);
 
-/// An entry whose agents answer at once.
+/// An entry connected to simulated agents that reply without delay.
 struct Driver {
     entry: Entry,
     now: Time,
@@ -30,15 +30,15 @@
     NodeRef { name: NodeName::new(name), incarnation: Incarnation(1) }
 }
 
-fn tree(targets: usize, teams: usize) -> Tree {
+fn settings_tree(targets: usize, teams: usize) -> Tree {
     let members: Vec<String> =
-        (0..targets).map(|number| format!("agent-{number:03}@rack-{:03}", number / 3)).collect();
+        (0..targets).map(|index| format!("agent-{index:03}@rack-{:03}", index / 3)).collect();
     let mut text = format!("[booking]\n[fleet]\nclaim_view = {}\n", members.join(" "));
     for team in 0..teams {
         text.push_str(&format!("[booking/kind-{team}]\nteam = team-{team}\n"));
         text.push_str(&format!("[teams/team-{team}]\nweight = {}\n", team % 7 + 1));
     }
-    Tree::from_ini(&text).expect("the bench's tree is valid")
+    Tree::from_ini(&text).expect("the benchmark's settings tree is valid")
 }
 
 impl Driver {
@@ -53,20 +53,20 @@
             answered: 0,
             started: 0,
         };
-        let catalog = Arc::new(Catalog::new(1, &tree(targets, teams)));
+        let catalog = Arc::new(Catalog::new(1, &settings_tree(targets, teams)));
         driver.events.push_back(Event::Settings { catalog });
-        for number in 0..targets {
-            let name = format!("agent-{number:03}");
+        for index in 0..targets {
+            let name = format!("agent-{index:03}");
             let info = AgentInfo {
                 agent: node(&name),
                 service: "booking".to_owned(),
-                hall: format!("h{}", number % 7),
-                rack: format!("rack-{:03}", number / 3),
+                hall: format!("h{}", index % 7),
+                rack: format!("rack-{:03}", index / 3),
                 slots,
                 votes_from: START - Duration::from_secs(5),
                 leaving: false,
             };
-            let connection = Connection(number as u64);
+            let connection = Connection(index as u64);
             driver.events.push_back(Event::Connected { connection, info });
             let reply = Some(SyncReply { granted: slots, ..SyncReply::default() });
             let agent = NodeName::new(&name);
@@ -91,19 +91,19 @@
         self.events.push_back(Event::Submit { call, request, relayed: false });
     }
 
-    /// Handles events until none is left; agents answer starts at once where `answer` says so.
+    /// Handles queued events until none is left. With `answer` the agents also answer each task.
     fn run(&mut self, answer: bool) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.entry.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action, answer);
+                self.apply_action(action, answer);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, action: Action, answer: bool) {
+    fn apply_action(&mut self, action: Action, answer: bool) {
         match action {
             Action::Claim { holder, request } => {
                 let (submission, reply) = (request.submission, Some(ClaimReply::Granted));
@@ -124,10 +124,10 @@
     }
 }
 
-/// Processor time of a decision on a task, from submission to answer.
-pub fn placement() {
-    head(
-        "entry: processor time of all decisions, from submission to answer (agents answer at once)",
+/// Measures the CPU time of all decisions from submission to answer, per task and per job.
+pub fn measure_placement() {
+    print_header(
+        "entry: CPU time of all decisions, from submission to answer (agents answer at once)",
         "   targets    slots    teams  tasks/job   us/task   us/job",
     );
     for (targets, slots, teams, tasks, jobs) in [
@@ -139,39 +139,45 @@
         (750, 16, 360, 690, 200),
     ] {
         let mut driver = Driver::new(targets, slots, teams);
-        let (seconds, ()) = seconds_of(|| {
+        let (seconds, ()) = measure_seconds(|| {
             for _ in 0..jobs {
                 driver.now = driver.now + Duration::from_micros(100);
                 driver.submit(teams, tasks);
                 driver.run(true);
             }
         });
-        assert_eq!(driver.answered, jobs as u64, "every job is answered");
-        let (all, each) = (seconds * 1e6 / (jobs * tasks) as f64, seconds * 1e6 / jobs as f64);
-        let total = targets as u32 * slots;
-        println!("{targets:>10} {total:>8} {teams:>8} {tasks:>10} {all:>9.3} {each:>8.1}");
+        assert_eq!(driver.answered, jobs as u64, "the number of answered jobs");
+        let (per_task, per_job) =
+            (seconds * 1e6 / (jobs * tasks) as f64, seconds * 1e6 / jobs as f64);
+        let slots_total = targets as u32 * slots;
+        println!(
+            "{targets:>10} {slots_total:>8} {teams:>8} {tasks:>10} {per_task:>9.3} {per_job:>8.1}"
+        );
     }
 }
 
-/// Memory of an entry by what it keeps.
-pub fn memory() {
-    head("entry: memory by agents known (360 teams)", "   targets       bytes  bytes/target");
+/// Measures an entry's memory per known agent and per stored outcome.
+pub fn measure_memory() {
+    print_header(
+        "entry: memory by agents known (360 teams)",
+        "   targets       bytes  bytes/target",
+    );
     let mut points = Vec::new();
     for targets in [10, 100, 300, 750] {
-        let (bytes, driver) = bytes_of(|| Driver::new(targets, 16, 360));
+        let (bytes, driver) = measure_bytes(|| Driver::new(targets, 16, 360));
         points.push((targets as f64, bytes as f64));
         println!("{targets:>10} {bytes:>11} {:>13.0}", bytes as f64 / targets as f64);
         drop(driver);
     }
     println!("slope: {:.0} bytes an agent", slope(&points));
-    head(
+    print_header(
         "entry: memory by outcomes kept (one task, 4-byte answer)",
         "  outcomes       bytes  bytes/outcome",
     );
     let mut points = Vec::new();
     for count in [10_000, 30_000, 60_000] {
         let mut driver = Driver::new(10, 8, 2);
-        let (bytes, ()) = bytes_of(|| {
+        let (bytes, ()) = measure_bytes(|| {
             for _ in 0..count {
                 driver.submit(2, 1);
                 driver.run(true);
--- a/bench/src/slopes/mod.rs
+++ b/bench/src/slopes/mod.rs
@@ -1,17 +1,16 @@
-//! Memory, processor time and messages of the decision libraries at growing sizes, for
-//! `docs/CAPACITY.md`.
+//! Memory, CPU time and messages of the decision libraries at growing sizes.
 
 mod agent;
 mod detector;
 mod entry;
 mod table;
 
-/// Prints every table.
+/// Runs every measurement and prints its table.
 pub fn run() -> Result<(), String> {
-    agent::claims();
-    agent::starts();
-    entry::placement();
-    entry::memory();
-    detector::load();
+    agent::measure_claims();
+    agent::measure_starts();
+    entry::measure_placement();
+    entry::measure_memory();
+    detector::measure_load();
     Ok(())
 }
--- a/bench/src/slopes/table.rs
+++ b/bench/src/slopes/table.rs
@@ -1,15 +1,15 @@
-//! Points, and the line through them.
+//! Helpers to measure memory and time and to print the results.
 
 use std::time::Instant;
 
-use crate::MEMORY;
+use crate::ALLOCATOR;
 
-/// Prints the head of a table.
-pub fn head(title: &str, columns: &str) {
+/// Prints the title and the column headings of a table.
+pub fn print_header(title: &str, columns: &str) {
     println!("\n{title}\n{columns}");
 }
 
-/// The slope of the least-squares line through points.
+/// Returns the slope of the least-squares line through `(x, y)` points.
 pub fn slope(points: &[(f64, f64)]) -> f64 {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -19,15 +19,15 @@
     covariance / variance
 }
 
-/// Bytes that a value takes, and the value.
-pub fn bytes_of<T>(make: impl FnOnce() -> T) -> (usize, T) {
-    let before = MEMORY.allocated();
+/// Returns the growth of the allocated memory while `make` runs, in bytes, and its result.
+pub fn measure_bytes<T>(make: impl FnOnce() -> T) -> (usize, T) {
+    let before = ALLOCATOR.allocated();
     let value = make();
-    (MEMORY.allocated().saturating_sub(before), value)
+    (ALLOCATOR.allocated().saturating_sub(before), value)
 }
 
-/// Seconds that something takes, and what it gives.
-pub fn seconds_of<T>(run: impl FnOnce() -> T) -> (f64, T) {
+/// Returns the duration of `run`, in seconds, and its result.
+pub fn measure_seconds<T>(run: impl FnOnce() -> T) -> (f64, T) {
     let started = Instant::now();
     let value = run();
     (started.elapsed().as_secs_f64(), value)
