--- a/bench/src/cli.rs
+++ b/bench/src/cli.rs
@@ -4,7 +4,7 @@
 
 /// Builds the command with all its subcommands and arguments.
 pub fn command() -> Command {
-    let number_argument = |name: &'static str, default: &'static str, help: &'static str| {
+    let number = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
     };
     Command::new("dockpass-bench")
@@ -13,28 +13,30 @@
         .arg_required_else_help(true)
         .subcommand(
             Command::new("path")
-                .about("Measure the throughput of one entry and its agents, and the latency that they add")
-                .arg(number_argument("seconds", "5", "Duration of each load, in seconds"))
-                .arg(number_argument("callers", "64", "Concurrent callers at peak load"))
-                .arg(number_argument("agents", "3", "Number of agents, each with a target that answers without delay")),
+                .about("Measure the throughput and added latency of one entry and its agents")
+                .arg(number("seconds", "5", "Duration of each load, in seconds"))
+                .arg(number("callers", "64", "Concurrent callers at peak load"))
+                .arg(number(
+                    "agents",
+                    "3",
+                    "Agents, each with a target that answers without delay",
+                )),
         )
         .subcommand(
             Command::new("slopes")
-                .about("Measure memory, CPU time and messages of the decision libraries at growing sizes"),
+                .about("Measure memory, CPU time and messages of the decision libraries by size"),
         )
         .subcommand(
             Command::new("changes")
                 .about("Measure how long one and three keepers take to accept a settings change")
-                .arg(number_argument("changes", "300", "Number of changes, submitted one after the other")),
+                .arg(number("changes", "300", "Changes, submitted one after the other")),
         )
         .subcommand(
             Command::new("policy")
                 .about("Simulate placement policies under load, in virtual time")
-                .arg(number_argument("seconds", "120", "Duration of the load in each run, in virtual seconds"))
-                .arg(number_argument("seed", "1", "Seed of the random number generators"))
-                .arg(
-                    Arg::new("csv").long("csv").value_name("FILE").help("Write the table as CSV"),
-                )
+                .arg(number("seconds", "120", "Duration of the load, in virtual seconds"))
+                .arg(number("seed", "1", "Seed of the random number generators"))
+                .arg(Arg::new("csv").long("csv").value_name("FILE").help("Write the table as CSV"))
                 .arg(
                     Arg::new("plot")
                         .long("plot")
--- a/bench/src/policy/baseline.rs
+++ b/bench/src/policy/baseline.rs
@@ -135,8 +135,8 @@
                 second
             }
             TargetChoice::TwoChoices => first,
-            // The shared queue decides where a task runs. The choice only matters if the target dies
-            // before the task arrives.
+            // The shared queue decides where a task runs; the choice only matters if the target
+            // dies before the task arrives.
             TargetChoice::Central => self.least_loaded().unwrap_or(first),
         }
     }
--- a/components/testbed/src/cluster.rs
+++ b/components/testbed/src/cluster.rs
@@ -177,8 +177,8 @@
         addresses.collect::<Vec<String>>().join(" ")
     }
 
-    /// Adds a node to the platform's host list, or replaces the entry of the same name. Does nothing
-    /// without an address.
+    /// Adds a node to the platform's host list, or replaces the host of the same name. Does
+    /// nothing without an address.
     fn add_to_host_list(&self, name: &str, role: Role, address: Option<SocketAddr>, rack: &str) {
         let Some(address) = address else { return };
         let name = NodeName::new(name);
@@ -304,7 +304,7 @@
         self.directory.path().join(format!("k{}", index + 1))
     }
 
-    /// Builds the configuration of a keeper. Its peers' ports are 0 because their addresses come from
+    /// Builds the configuration of a keeper. Its peers' ports are 0, as their addresses come from
     /// the platform's host list.
     fn keeper_config(&self, index: usize) -> Result<Config, ClusterError> {
         let peers: Vec<String> =
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -18,7 +18,8 @@
                 .help("Print JSON for scripts"),
         )
         .after_help(
-            "Exit codes: 0 success, 1 failure, 2 invalid arguments or input, 3 refused, 4 outcome unknown",
+            "Exit codes: 0 success, 1 failure, 2 invalid arguments or input, 3 refused, \
+             4 outcome unknown",
         )
         .subcommand(demo())
         .subcommand(submit())
@@ -64,7 +65,7 @@
                 .value_hint(ValueHint::FilePath)
                 .required(true)
                 .num_args(1..)
-                .help("Log files of entries and agents, in any order; lines about other requests are skipped"),
+                .help("Log files of entries and agents, in any order; other lines are skipped"),
         )
 }
 
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -21,8 +21,8 @@
     let history = History::of(request_id, lines);
     if history.is_empty() {
         eprintln!(
-            "dockpass: no log line mentions request {request_id}: check the logs for 'omitted' events, or pass \
-             the logs of more processes"
+            "dockpass: no log line mentions request {request_id}: check the \
+             logs for 'omitted' events, or pass the logs of more processes"
         );
         return Ok(ExitCode::from(EXIT_FAILED));
     }
--- a/src/cmd/settings.rs
+++ b/src/cmd/settings.rs
@@ -161,12 +161,12 @@
         ChangeOutcome::Known(ChangeResult::Conflict { version, sections }) => {
             let sections = sections.join(", ");
             print_line!(
-                "refused: {sections} changed since the base version; the current version is {version}"
+                "refused: {sections} changed since the base version; current version: {version}"
             );
         }
         ChangeOutcome::Known(ChangeResult::Invalid { reason }) => print_line!("refused: {reason}"),
         ChangeOutcome::Unknown => print_line!(
-            "outcome unknown: no keeper confirmed the change; check with 'settings get' or 'settings export'"
+            "outcome unknown: no keeper confirmed the change; check with 'settings export'"
         ),
     }
 }
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -94,7 +94,7 @@
             futures::future::join_all(clients.iter().map(|client| client.submit_job(id, &body)))
                 .await;
         let is_complete = |outcome: &Result<Outcome, _>| matches!(outcome, Ok(Outcome::Complete(answers)) if answers.len() == 1);
-        // Concurrent claims may leave an entry without a quorum, and its clients then get a failure.
+        // Concurrent claims may leave an entry without a quorum, so that its client gets a failure.
         assert!(outcomes.iter().any(is_complete), "{outcomes:?}");
     });
     let started_tasks: usize =
--- a/tests/node_shutdown.rs
+++ b/tests/node_shutdown.rs
@@ -126,7 +126,7 @@
     check_and_stop(cluster);
 }
 
-/// Guards against a draining entry that closes connections whose request it has not read completely.
+/// Guards against a draining entry that closes connections before it has read their requests.
 #[test]
 fn draining_an_entry_answers_a_request_that_is_still_being_read() {
     let mut cluster = start_cluster(cluster_options());
