--- a/bench/src/changes.rs
+++ b/bench/src/changes.rs
@@ -47,7 +47,7 @@
             match operator.submit_edits(version, vec![edit]).await {
                 ChangeOutcome::Known(ChangeResult::Accepted { version: next }) => version = next,
                 other => {
-                    return Err(format!("settings change {number} was not accepted: {other:?}"));
+                    return Err(format!("change {number} was not accepted: {other:?}"));
                 }
             }
             latency.record(started.elapsed());
