--- a/bench/src/changes.rs
+++ b/bench/src/changes.rs
@@ -46,9 +46,7 @@
             let started = Instant::now();
             match operator.submit_edits(version, vec![edit]).await {
                 ChangeOutcome::Known(ChangeResult::Accepted { version: next }) => version = next,
-                other => {
-                    return Err(format!("change {number} was not accepted: {other:?}"));
-                }
+                other => return Err(format!("change {number} was not accepted: {other:?}")),
             }
             latency.record(started.elapsed());
         }
--- a/bench/src/policy/baseline.rs
+++ b/bench/src/policy/baseline.rs
@@ -11,9 +11,9 @@
 use super::report::Measurements;
 use super::workload::{CLIENT_LINK, ENTRY_SHARES, Fault, SLOTS, START, TARGETS, Workload};
 
-/// How an entry chooses the target of a task.
+/// How an entry selects the target of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetChoice {
+pub enum Selection {
     /// A random target.
     Random,
     /// The less loaded of two random targets, by the load in their last answer plus the tasks that
@@ -32,11 +32,11 @@
 }
 
 #[derive(Debug)]
-enum SimulationEvent {
+enum SimEvent {
     JobArrived(usize),
     TaskArrived(usize, Task),
     TaskEnded(usize, Task),
-    AnswerArrived { task: Task, target: usize, load: usize },
+    Answered { task: Task, target: usize, load: usize },
     TargetKilled(usize),
 }
 
@@ -49,40 +49,38 @@
 
 struct Simulation<'a> {
     workload: &'a Workload,
-    target_choice: TargetChoice,
+    selection: Selection,
     rng: ChaCha8Rng,
-    events: EventQueue<SimulationEvent>,
+    events: EventQueue<SimEvent>,
     targets: Vec<Target>,
-    /// The shared queue of [`TargetChoice::Central`].
+    /// The shared queue of [`Selection::Central`].
     shared_queue: VecDeque<Task>,
     /// Each entry's estimate of the load of each target.
-    load_estimates: Vec<Vec<usize>>,
+    loads: Vec<Vec<usize>>,
     /// Number of unanswered tasks of each job.
     unanswered_tasks: Vec<usize>,
     measurements: Measurements,
 }
 
 /// Simulates a workload and returns its measurements. Jobs without all answers count as failed.
-pub fn run(workload: &Workload, seed: u64, target_choice: TargetChoice) -> Measurements {
+pub fn run(workload: &Workload, seed: u64, selection: Selection) -> Measurements {
     let mut simulation = Simulation {
         workload,
-        target_choice,
+        selection,
         rng: ChaCha8Rng::seed_from_u64(seed + 1),
         events: EventQueue::new(START),
         targets: (0..TARGETS).map(|_| Target::default()).collect(),
         shared_queue: VecDeque::new(),
-        load_estimates: vec![vec![0; TARGETS]; ENTRY_SHARES.len()],
+        loads: vec![vec![0; TARGETS]; ENTRY_SHARES.len()],
         unanswered_tasks: workload.jobs.iter().map(|job| job.tasks.len()).collect(),
         measurements: Measurements::default(),
     };
     for (index, job) in workload.jobs.iter().enumerate() {
-        simulation
-            .events
-            .schedule_at(job.submitted_at + CLIENT_LINK, SimulationEvent::JobArrived(index));
+        simulation.events.schedule_at(job.submitted_at + CLIENT_LINK, SimEvent::JobArrived(index));
         simulation.measurements.tasks += job.tasks.len() as u64;
     }
     if workload.scenario.fault == Fault::Killed {
-        simulation.events.schedule_at(workload.fault_at, SimulationEvent::TargetKilled(0));
+        simulation.events.schedule_at(workload.fault_at, SimEvent::TargetKilled(0));
     }
     while let Some(event) = simulation.events.pop_next() {
         simulation.handle_event(event);
@@ -93,15 +91,13 @@
 }
 
 impl Simulation<'_> {
-    fn handle_event(&mut self, event: SimulationEvent) {
+    fn handle_event(&mut self, event: SimEvent) {
         match event {
-            SimulationEvent::JobArrived(job) => self.job_arrived(job),
-            SimulationEvent::TaskArrived(target, task) => self.task_arrived(target, task),
-            SimulationEvent::TaskEnded(target, task) => self.task_ended(target, task),
-            SimulationEvent::AnswerArrived { task, target, load } => {
-                self.answer_arrived(task, target, load)
-            }
-            SimulationEvent::TargetKilled(target) => {
+            SimEvent::JobArrived(job) => self.job_arrived(job),
+            SimEvent::TaskArrived(target, task) => self.task_arrived(target, task),
+            SimEvent::TaskEnded(target, task) => self.task_ended(target, task),
+            SimEvent::Answered { task, target, load } => self.answer_arrived(task, target, load),
+            SimEvent::TargetKilled(target) => {
                 self.targets[target].is_dead = true;
                 self.targets[target].queue.clear();
             }
@@ -111,33 +107,28 @@
     fn job_arrived(&mut self, job: usize) {
         let entry = self.workload.jobs[job].entry;
         for index in 0..self.workload.jobs[job].tasks.len() {
-            let target = self.choose_target(entry);
-            self.load_estimates[entry][target] += 1;
+            let target = self.select_target(entry);
+            self.loads[entry][target] += 1;
             self.measurements.messages += 1;
             let task = Task { job, index, entry };
-            self.events
-                .schedule_after(self.workload.link, SimulationEvent::TaskArrived(target, task));
+            self.events.schedule_after(self.workload.link, SimEvent::TaskArrived(target, task));
         }
     }
 
-    /// Chooses a target among those alive. Entries detect a dead target at once because it refuses
+    /// Selects a target among those alive. Entries detect a dead target at once because it refuses
     /// connections.
-    fn choose_target(&mut self, entry: usize) -> usize {
+    fn select_target(&mut self, entry: usize) -> usize {
         let alive: Vec<usize> =
             (0..TARGETS).filter(|target| !self.targets[*target].is_dead).collect();
         let first = alive[self.rng.random_range(0..alive.len())];
         let second = alive[self.rng.random_range(0..alive.len())];
-        match self.target_choice {
-            TargetChoice::Random => first,
-            TargetChoice::TwoChoices
-                if self.load_estimates[entry][second] < self.load_estimates[entry][first] =>
-            {
-                second
-            }
-            TargetChoice::TwoChoices => first,
+        match self.selection {
+            Selection::Random => first,
+            Selection::TwoChoices if self.loads[entry][second] < self.loads[entry][first] => second,
+            Selection::TwoChoices => first,
             // The shared queue decides where a task runs; the choice only matters if the target
             // dies before the task arrives.
-            TargetChoice::Central => self.least_loaded().unwrap_or(first),
+            Selection::Central => self.least_loaded().unwrap_or(first),
         }
     }
 
@@ -153,7 +144,7 @@
         if self.targets[target].is_dead {
             return;
         }
-        if self.target_choice == TargetChoice::Central {
+        if self.selection == Selection::Central {
             self.shared_queue.push_back(task);
             (0..TARGETS).for_each(|target| self.start_next(target));
             return;
@@ -164,15 +155,15 @@
 
     fn start_next(&mut self, target: usize) {
         while self.targets[target].running < SLOTS && !self.targets[target].is_dead {
-            let queue = match self.target_choice {
-                TargetChoice::Central => &mut self.shared_queue,
+            let queue = match self.selection {
+                Selection::Central => &mut self.shared_queue,
                 _ => &mut self.targets[target].queue,
             };
             let Some(task) = queue.pop_front() else { return };
             self.targets[target].running += 1;
             let service_time = self.workload.jobs[task.job].tasks[task.index];
             let service_time = self.workload.service_time_at(target, service_time);
-            self.events.schedule_after(service_time, SimulationEvent::TaskEnded(target, task));
+            self.events.schedule_after(service_time, SimEvent::TaskEnded(target, task));
         }
     }
 
@@ -183,15 +174,12 @@
         self.targets[target].running -= 1;
         let load = self.targets[target].running as usize + self.targets[target].queue.len();
         self.measurements.messages += 1;
-        self.events.schedule_after(
-            self.workload.link,
-            SimulationEvent::AnswerArrived { task, target, load },
-        );
+        self.events.schedule_after(self.workload.link, SimEvent::Answered { task, target, load });
         self.start_next(target);
     }
 
     fn answer_arrived(&mut self, task: Task, target: usize, load: usize) {
-        self.load_estimates[task.entry][target] = load;
+        self.loads[task.entry][target] = load;
         self.unanswered_tasks[task.job] -= 1;
         if self.unanswered_tasks[task.job] > 0 {
             return;
--- a/bench/src/policy/mod.rs
+++ b/bench/src/policy/mod.rs
@@ -11,7 +11,7 @@
 
 use clap::ArgMatches;
 
-use baseline::TargetChoice;
+use baseline::Selection;
 use report::Row;
 use workload::{Scenario, Workload};
 
@@ -27,9 +27,9 @@
         let runs = [
             tokens::run(&workload, seed, true),
             tokens::run(&workload, seed, false),
-            baseline::run(&workload, seed, TargetChoice::Random),
-            baseline::run(&workload, seed, TargetChoice::TwoChoices),
-            baseline::run(&workload, seed, TargetChoice::Central),
+            baseline::run(&workload, seed, Selection::Random),
+            baseline::run(&workload, seed, Selection::TwoChoices),
+            baseline::run(&workload, seed, Selection::Central),
         ];
         let names = ["tokens", "tokens, no claims", "random", "two choices", "(central queue)"];
         for (name, measurements) in names.into_iter().zip(runs) {
--- a/bench/src/policy/tokens.rs
+++ b/bench/src/policy/tokens.rs
@@ -20,9 +20,9 @@
 /// Simulated time after the arrival of the last job.
 const DRAIN_TIME: Duration = Duration::from_secs(12);
 
-/// Purpose of a pending call from an entry to an agent.
+/// Kind of a pending call from an entry to an agent.
 #[derive(Clone, Debug)]
-enum CallPurpose {
+enum CallKind {
     Hello,
     Claim(SubmissionId),
     Start(TaskKey),
@@ -31,7 +31,7 @@
 }
 
 #[derive(Debug)]
-enum SimulationEvent {
+enum SimEvent {
     JobArrived(usize),
     CallArrived { entry: usize, agent: usize, call: CallId, request: Request },
     ReplyArrived { entry: usize, agent: usize, call: CallId, reply: Box<Reply> },
@@ -45,11 +45,11 @@
     workload: &'a Workload,
     /// Whether jobs need a claim, as they are not repeatable.
     claims: bool,
-    events: EventQueue<SimulationEvent>,
+    events: EventQueue<SimEvent>,
     entries: Vec<Entry>,
     agents: Vec<Option<Agent>>,
-    /// Calls without a reply: the agent's index and the purpose.
-    pending_calls: HashMap<CallId, (usize, CallPurpose)>,
+    /// Calls without a reply: the agent's index and the kind of call.
+    pending_calls: HashMap<CallId, (usize, CallKind)>,
     next_call: u64,
     /// Index of each job in the workload.
     job_indices: HashMap<SubmissionId, usize>,
@@ -122,7 +122,7 @@
                 started: START - Duration::from_secs(10),
             };
             self.agents.push(Some(Agent::new(setup, 1, Arc::new(catalog.fleet().clone()))));
-            self.events.schedule_after(TICK_INTERVAL, SimulationEvent::AgentTick(index));
+            self.events.schedule_after(TICK_INTERVAL, SimEvent::AgentTick(index));
         }
         for index in 0..ENTRY_SHARES.len() {
             let setup = entry::Setup { node: entry_node(index), hall: "h1".to_owned() };
@@ -130,15 +130,14 @@
             let catalog = catalog.clone();
             self.deliver_to_entry(index, Event::Settings { catalog });
             self.deliver_to_entry(index, Event::EntryCount { count: ENTRY_SHARES.len() as u32 });
-            self.events.schedule_after(TICK_INTERVAL, SimulationEvent::EntryTick(index));
+            self.events.schedule_after(TICK_INTERVAL, SimEvent::EntryTick(index));
             for agent in 0..TARGETS {
                 let request = Request::Hello(HelloRequest { entry: entry_node(index) });
-                self.send_call(index, agent, request, CallPurpose::Hello);
+                self.send_call(index, agent, request, CallKind::Hello);
             }
         }
         for (index, job) in self.workload.jobs.iter().enumerate() {
-            self.events
-                .schedule_at(job.submitted_at + CLIENT_LINK, SimulationEvent::JobArrived(index));
+            self.events.schedule_at(job.submitted_at + CLIENT_LINK, SimEvent::JobArrived(index));
             self.measurements.tasks += job.tasks.len() as u64;
             let random = (u128::from(seed) << 64 | index as u128) << 56;
             let id = SubmissionId::from_parts(job.submitted_at, random);
@@ -146,37 +145,37 @@
             self.submission_ids.push(id);
         }
         if self.workload.scenario.fault == Fault::Killed {
-            self.events.schedule_at(self.workload.fault_at, SimulationEvent::AgentKilled(0));
+            self.events.schedule_at(self.workload.fault_at, SimEvent::AgentKilled(0));
         }
     }
 
-    fn handle_event(&mut self, event: SimulationEvent) {
+    fn handle_event(&mut self, event: SimEvent) {
         match event {
-            SimulationEvent::JobArrived(job) => self.job_arrived(job),
-            SimulationEvent::CallArrived { entry, agent, call, request } => {
+            SimEvent::JobArrived(job) => self.job_arrived(job),
+            SimEvent::CallArrived { entry, agent, call, request } => {
                 let session = Session(entry as u64);
                 self.deliver_to_agent(agent, agent::Event::Call { session, call, request });
             }
-            SimulationEvent::ReplyArrived { entry, agent, call, reply } => {
+            SimEvent::ReplyArrived { entry, agent, call, reply } => {
                 self.reply_arrived(entry, agent, call, *reply);
             }
-            SimulationEvent::TaskEnded { agent, key } => {
+            SimEvent::TaskEnded { agent, key } => {
                 let outcome = TaskOutcome::Answer("done".into());
                 self.deliver_to_agent(agent, agent::Event::Ended { key, outcome });
             }
-            SimulationEvent::EntryTick(entry) => {
+            SimEvent::EntryTick(entry) => {
                 self.deliver_to_entry(entry, Event::Tick);
                 let due = self.entries[entry].next_timer();
                 let next =
                     due.map_or(TICK_INTERVAL, |due| due.since(self.events.now)).min(TICK_INTERVAL);
                 let next = next.max(Duration::from_millis(1));
-                self.events.schedule_after(next, SimulationEvent::EntryTick(entry));
+                self.events.schedule_after(next, SimEvent::EntryTick(entry));
             }
-            SimulationEvent::AgentTick(agent) => {
+            SimEvent::AgentTick(agent) => {
                 self.deliver_to_agent(agent, agent::Event::Tick);
-                self.events.schedule_after(TICK_INTERVAL, SimulationEvent::AgentTick(agent));
+                self.events.schedule_after(TICK_INTERVAL, SimEvent::AgentTick(agent));
             }
-            SimulationEvent::AgentKilled(agent) => self.kill_agent(agent),
+            SimEvent::AgentKilled(agent) => self.kill_agent(agent),
         }
     }
 
@@ -211,36 +210,31 @@
         match action {
             Action::Respond { call, reply } => self.respond(call, &reply),
             Action::Claim { holder, request } => {
-                let purpose = CallPurpose::Claim(request.submission);
-                self.send_call(entry, node_index(&holder), Request::Claim(request), purpose);
+                let call_kind = CallKind::Claim(request.submission);
+                self.send_call(entry, node_index(&holder), Request::Claim(request), call_kind);
             }
             Action::Start { agent, request, .. } => {
-                let purpose = CallPurpose::Start(request.key);
-                self.send_call(entry, node_index(&agent), Request::Start(request), purpose);
+                let call_kind = CallKind::Start(request.key);
+                self.send_call(entry, node_index(&agent), Request::Start(request), call_kind);
             }
             Action::Settle { agent, request } => {
-                let purpose = CallPurpose::Settle(request.key);
-                self.send_call(entry, node_index(&agent), Request::Settle(request), purpose);
+                let call_kind = CallKind::Settle(request.key);
+                self.send_call(entry, node_index(&agent), Request::Settle(request), call_kind);
             }
             Action::Sync { agent, request, .. } => {
-                self.send_call(
-                    entry,
-                    node_index(&agent),
-                    Request::Sync(request),
-                    CallPurpose::Sync,
-                );
+                self.send_call(entry, node_index(&agent), Request::Sync(request), CallKind::Sync);
             }
             _ => {}
         }
     }
 
-    fn send_call(&mut self, entry: usize, agent: usize, request: Request, purpose: CallPurpose) {
+    fn send_call(&mut self, entry: usize, agent: usize, request: Request, call_kind: CallKind) {
         self.next_call += 1;
         let call = CallId(self.next_call << 8 | entry as u64);
-        self.pending_calls.insert(call, (agent, purpose));
+        self.pending_calls.insert(call, (agent, call_kind));
         self.events.schedule_after(
             self.workload.link,
-            SimulationEvent::CallArrived { entry, agent, call, request },
+            SimEvent::CallArrived { entry, agent, call, request },
         );
     }
 
@@ -253,7 +247,7 @@
                 agent::Action::Reply { call, reply } => {
                     let entry = (call.0 & 0xff) as usize;
                     let reply = Box::new(reply);
-                    let event = SimulationEvent::ReplyArrived { entry, agent: index, call, reply };
+                    let event = SimEvent::ReplyArrived { entry, agent: index, call, reply };
                     self.events.schedule_after(self.workload.link, event);
                 }
                 agent::Action::Run { key, .. } => self.run_task(index, key),
@@ -265,25 +259,25 @@
     fn run_task(&mut self, agent: usize, key: TaskKey) {
         let job = &self.workload.jobs[self.job_indices[&key.submission]];
         let service_time = self.workload.service_time_at(agent, job.tasks[key.index as usize]);
-        self.events.schedule_after(service_time, SimulationEvent::TaskEnded { agent, key });
+        self.events.schedule_after(service_time, SimEvent::TaskEnded { agent, key });
     }
 
     fn reply_arrived(&mut self, entry: usize, agent: usize, call: CallId, reply: Reply) {
-        let Some((_, purpose)) = self.pending_calls.remove(&call) else { return };
+        let Some((_, call_kind)) = self.pending_calls.remove(&call) else { return };
         let connection = Connection(agent as u64);
         let name = agent_node(agent).name;
-        let event = match (purpose, reply) {
-            (CallPurpose::Hello, Reply::Hello(info)) => Event::Connected { connection, info },
-            (CallPurpose::Claim(submission), Reply::Claim(reply)) => {
+        let event = match (call_kind, reply) {
+            (CallKind::Hello, Reply::Hello(info)) => Event::Connected { connection, info },
+            (CallKind::Claim(submission), Reply::Claim(reply)) => {
                 Event::ClaimReplied { holder: name, submission, reply: Some(reply) }
             }
-            (CallPurpose::Start(key), Reply::Start(reply)) => {
+            (CallKind::Start(key), Reply::Start(reply)) => {
                 Event::StartReplied { agent: name, connection, key, reply: Some(reply) }
             }
-            (CallPurpose::Settle(key), Reply::Settle(reply)) => {
+            (CallKind::Settle(key), Reply::Settle(reply)) => {
                 Event::SettleReplied { agent: name, key, reply: Some(reply) }
             }
-            (CallPurpose::Sync, Reply::Sync(reply)) => {
+            (CallKind::Sync, Reply::Sync(reply)) => {
                 Event::SyncReplied { agent: name, connection, reply: Some(reply) }
             }
             _ => return,
@@ -300,24 +294,22 @@
             self.deliver_to_entry(entry, Event::Disconnected { agent: name.clone(), connection });
             self.deliver_to_entry(entry, Event::AgentDead { agent: name.clone() });
         }
-        let is_lost = |(_, (agent, _)): &(&CallId, &(usize, CallPurpose))| *agent == index;
+        let is_lost = |(_, (agent, _)): &(&CallId, &(usize, CallKind))| *agent == index;
         let mut pending_calls: Vec<CallId> =
             self.pending_calls.iter().filter(is_lost).map(|(id, _)| *id).collect();
         pending_calls.sort();
         for call in pending_calls {
             let entry = (call.0 & 0xff) as usize;
             let connection = Connection(index as u64);
-            let Some((_, purpose)) = self.pending_calls.remove(&call) else { continue };
+            let Some((_, call_kind)) = self.pending_calls.remove(&call) else { continue };
             let agent = name.clone();
-            let event = match purpose {
-                CallPurpose::Claim(submission) => {
+            let event = match call_kind {
+                CallKind::Claim(submission) => {
                     Event::ClaimReplied { holder: agent, submission, reply: None }
                 }
-                CallPurpose::Start(key) => {
-                    Event::StartReplied { agent, connection, key, reply: None }
-                }
-                CallPurpose::Settle(key) => Event::SettleReplied { agent, key, reply: None },
-                CallPurpose::Hello | CallPurpose::Sync => continue,
+                CallKind::Start(key) => Event::StartReplied { agent, connection, key, reply: None },
+                CallKind::Settle(key) => Event::SettleReplied { agent, key, reply: None },
+                CallKind::Hello | CallKind::Sync => continue,
             };
             self.deliver_to_entry(entry, event);
         }
