--- a/components/dispatch/src/admission.rs
+++ b/components/dispatch/src/admission.rs
@@ -5,11 +5,11 @@
 
 use model::Time;
 
-use crate::dispatcher::{Dispatcher, queue_entry};
+use crate::dispatcher::{Dispatcher, queued_task};
 use crate::event::{Action, CallId, JobRequest, LogEvent, Outcome, Reason};
 use crate::job::Job;
 
-/// Retry delay when this entry is stopping. Another entry could take the job at once, but where all
+/// Retry delay when this entry is stopping. Another entry could take the job at once, but if all
 /// entries are stopping, clients would retry in a loop.
 const DRAINING_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Retry delay when all suitable halls are emptied. Operators take minutes to refill a hall, so
@@ -60,7 +60,7 @@
         self.reserve.record_job(now, &request);
         let job = Job::new(now, call, request);
         for index in 0..job.request.shape.count {
-            self.queue.insert(queue_entry(&job, index, self.policy));
+            self.queue.insert(queued_task(&job, index, self.policy));
         }
         self.calls.insert(call, id.clone());
         self.jobs.insert(id.clone(), job);
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Returns why a known job can't be started again, if so: the entry is stopping, or the
-    /// submission may be stale after a pause.
+    /// Returns the reason why a known job can't be started again, or `None` if it can: the entry is
+    /// stopping, or the submission may be stale after a pause.
     pub(crate) fn resubmission_refusal(&self, now: Time) -> Option<Reason> {
         if self.stop_deadline.is_some() {
             return Some(Reason::Draining);
--- a/components/dispatch/src/agents.rs
+++ b/components/dispatch/src/agents.rs
@@ -23,7 +23,8 @@
     pub last_contact: Time,
     last_heartbeat: Time,
     next_sequence: u64,
-    /// Sequence and resources of starts that the last reported load does not include yet.
+    /// Sequence number and resources of the starts that the last reported load does not include
+    /// yet.
     unacknowledged: VecDeque<(u64, Resources)>,
     /// Tasks of this entry placed at this agent.
     pub placed_tasks: usize,
@@ -52,8 +53,8 @@
     /// Estimates the free capacity of the target: the last reported load, less this entry's starts
     /// since then and the expected starts of other entries.
     pub fn free(&self, now: Time) -> Resources {
-        let age = now.since(self.last_contact).as_secs_f64() * 1e3;
-        let taken_by_others = (age * f64::from(self.load.taken_per_ms)) as u64;
+        let age_ms = now.since(self.last_contact).as_secs_f64() * 1e3;
+        let taken_by_others = (age_ms * f64::from(self.load.taken_per_ms)) as u64;
         let mut free = self
             .load
             .free
--- a/components/dispatch/src/bulk_end.rs
+++ b/components/dispatch/src/bulk_end.rs
@@ -23,9 +23,9 @@
         agents.into_iter().for_each(|id| self.remove_agent(id, "stood still", out));
     }
 
-    /// Answers all jobs because the process is about to exit. Without an answer a client can't tell
-    /// whether its job ran; this way it can resubmit at once, and remaining tasks are stopped
-    /// before it does.
+    /// Answers all jobs because the process is about to exit. Without an answer a client
+    /// does not know whether its job ran. With one it can resubmit at once, and remaining tasks are
+    /// stopped before it does.
     pub(crate) fn answer_all(&mut self, now: Time, out: &mut Vec<Action>) {
         self.stop_deadline = Some(now);
         let outcome = |job: &Job| match job.is_provably_not_run() {
--- a/components/dispatch/src/crashes.rs
+++ b/components/dispatch/src/crashes.rs
@@ -2,8 +2,8 @@
 //!
 //! A task may crash every target that starts it, and its client submits the job again when it gets
 //! no answer. So crashes are remembered after the job has ended, and agents report each crash to
-//! all of their entries. A task that merely ran beside the cause is unlikely to see a second crash
-//! in that time.
+//! all of their entries. A task that merely ran beside the cause of a crash is unlikely to be in
+//! a second one before the first is forgotten.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -99,7 +99,7 @@
 /// Key of a waiting task in the queue. Tasks of jobs that have started sort first, then by
 /// priority, then by the end of the job's objective.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct QueueEntry {
+pub(crate) struct QueuedTask {
     /// Whether no task of the job has been started yet.
     pub unstarted: bool,
     pub priority: u8,
@@ -118,7 +118,7 @@
     pub(crate) agents: BTreeMap<SessionId, Agent>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     pub(crate) calls: BTreeMap<CallId, JobId>,
-    pub(crate) queue: BTreeSet<QueueEntry>,
+    pub(crate) queue: BTreeSet<QueuedTask>,
     /// Starts to be sent at the end of the current event, by agent and job.
     pub(crate) pending_starts: BTreeMap<(SessionId, JobId), Vec<wire::StartTask>>,
     pub(crate) last_event: Time,
@@ -133,7 +133,7 @@
     /// Halls that operators have emptied. Their targets get no new work.
     pub(crate) emptied_halls: EmptiedHalls,
     pub(crate) reserve: UrgentReserve,
-    /// Work that rejected clients were told to submit again, by time.
+    /// Retry delays assigned to rejected clients.
     pub(crate) retries: RetrySchedule,
     /// Set once the entry is stopping: jobs that may not end by then are refused.
     pub(crate) stop_deadline: Option<Time>,
@@ -200,7 +200,7 @@
         }
         self.check_agents(now, out);
         // Capacity is assigned before jobs are refused for lack of it, and starts are sent before
-        // the stops of jobs that end.
+        // jobs time out, so that no stop precedes its start.
         self.place_tasks(now, changed, out);
         self.send_starts(now, out);
         self.check_timeouts(now, out);
@@ -284,8 +284,9 @@
     }
 }
 
-/// Returns the agents at which queued tasks may find capacity after an event. A load changes the
-/// capacity of a single agent; any other event may have queued tasks that were not tried anywhere.
+/// Returns the agents at which queued tasks may find capacity after an event. A load or a report of
+/// completed tasks changes the capacity of a single agent; any other event may have queued tasks
+/// that were not tried anywhere.
 fn changed_capacity(event: &Event) -> ChangedCapacity {
     match event {
         Event::FromAgent(id, ToEntry::Load(_)) => ChangedCapacity::Agent(*id),
@@ -299,8 +300,8 @@
 }
 
 /// Returns the queue key of a task of a job.
-pub(crate) fn queue_entry(job: &Job, index: u32, policy: Policy) -> QueueEntry {
-    QueueEntry {
+pub(crate) fn queued_task(job: &Job, index: u32, policy: Policy) -> QueuedTask {
+    QueuedTask {
         unstarted: policy.started_first && job.starts == 0,
         priority: job.request.priority,
         due: job.submitted + job.request.objective,
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -275,7 +275,7 @@
         tasks: u32,
         /// The job's objective, in milliseconds.
         objective_ms: u64,
-        /// Number of tasks that waited for capacity before this job.
+        /// Number of tasks that already waited for capacity at this entry.
         waiting: usize,
     },
     /// A job was refused on submission.
--- a/components/dispatch/src/halls.rs
+++ b/components/dispatch/src/halls.rs
@@ -1,7 +1,7 @@
 //! Data halls that operators have emptied: no task is placed there.
 //!
 //! Agents in such a hall refuse starts themselves. An entry that knows of the hall avoids those
-//! refusals, and forwards the set to agents that may be cut off from all keepers.
+//! refusals, and forwards the set of emptied halls to agents that may be cut off from all keepers.
 
 use model::{JobId, Time};
 use wire::{EmptiedHalls, ToAgent};
--- a/components/dispatch/src/job.rs
+++ b/components/dispatch/src/job.rs
@@ -29,7 +29,7 @@
     pub failures: u32,
     /// Number of runs that ended without a result.
     pub losses: u32,
-    /// The agent where the last run was refused or lost, and until when it is avoided.
+    /// The agent where the last run was refused, failed or was lost, and until when it is avoided.
     pub avoid: Option<(SessionId, Time)>,
     /// When the task last started to wait for capacity.
     pub waiting_since: Time,
@@ -38,7 +38,7 @@
 /// A job and the calls that wait for its answer.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// Calls that wait for the answer.
+    /// Empty once the job is answered.
     pub calls: Vec<CallId>,
     pub request: JobRequest,
     pub submitted: Time,
--- a/components/dispatch/src/placement.rs
+++ b/components/dispatch/src/placement.rs
@@ -8,7 +8,7 @@
 
 use crate::agents::Agent;
 use crate::crashes::Crashes;
-use crate::dispatcher::{Dispatcher, QueueEntry, Timing, queue_entry};
+use crate::dispatcher::{Dispatcher, QueuedTask, Timing, queued_task};
 use crate::event::{Action, JobRequest, LogEvent, SessionId};
 use crate::job::{Job, Task, TaskState};
 use crate::policy::Policy;
@@ -18,7 +18,7 @@
 const MAX_MISSES: usize = 16;
 /// Maximum number of queued tasks that a pass examines.
 const MAX_QUEUE_SCAN: usize = 512;
-/// Score penalty for each multiple by which a target is slower than the median.
+/// Score penalty of a target with twice the median slowdown; proportional to the excess.
 const SLOWDOWN_PENALTY: f64 = 0.35;
 /// Score bonus for a target with the task's preferred label.
 const AFFINITY_BONUS: f64 = 10.0;
@@ -43,8 +43,8 @@
 }
 
 impl ChangedCapacity {
-    /// Iterates over the agents to search.
-    fn of<'a>(
+    /// Returns the agents to search.
+    fn select<'a>(
         self,
         agents: &'a BTreeMap<SessionId, Agent>,
     ) -> btree_map::Range<'a, SessionId, Agent> {
@@ -62,12 +62,12 @@
     changed: ChangedCapacity,
     /// Largest free CPU of any of these agents, in thousandths of a core.
     max_free_cpu: u64,
-    /// Median slowdown of all agents, in percent.
+    /// Median slowdown of the agents that accept work, in percent.
     median_slowdown: f64,
     capacities: ServiceCapacities,
     /// Number of tasks so far that found no agent.
     misses: usize,
-    placed: Vec<QueueEntry>,
+    placed: Vec<QueuedTask>,
     /// Jobs that had their first task placed in this pass.
     started_jobs: Vec<JobId>,
 }
@@ -107,39 +107,39 @@
         if self.queue.is_empty() {
             return;
         }
-        let max_free_cpu = max_free_cpu(changed.of(&self.agents), now, &self.timing);
-        let too_large = |entry: &QueueEntry| entry.cpu_milli > max_free_cpu;
+        let max_free_cpu = max_free_cpu(changed.select(&self.agents), now, &self.timing);
+        let too_large = |queued: &QueuedTask| queued.cpu_milli > max_free_cpu;
         if self.queue.iter().take(MAX_QUEUE_SCAN).all(too_large) {
             return;
         }
-        // Taken out while its tasks are placed. Nothing is queued during the pass.
+        // The queue is detached while its tasks are placed. Nothing is queued during the pass.
         let queue = std::mem::take(&mut self.queue);
         let mut pass = PlacementPass::new(now, changed, max_free_cpu, self.median_slowdown());
-        for entry in queue.iter().take(MAX_QUEUE_SCAN) {
-            if entry.cpu_milli > pass.max_free_cpu {
+        for queued in queue.iter().take(MAX_QUEUE_SCAN) {
+            if queued.cpu_milli > pass.max_free_cpu {
                 continue;
             }
-            match self.choose_agent(entry, &mut pass) {
-                Choice::Agent(id) => self.start_task_at(id, entry, &mut pass, out),
+            match self.choose_agent(queued, &mut pass) {
+                Choice::Agent(id) => self.start_task_at(id, queued, &mut pass, out),
                 Choice::NoAgent if pass.misses + 1 >= MAX_MISSES => break,
                 Choice::NoAgent => pass.misses += 1,
                 Choice::NoJob => {}
             }
         }
         self.queue = queue;
-        for entry in &pass.placed {
-            self.queue.remove(entry);
+        for queued in &pass.placed {
+            self.queue.remove(queued);
         }
         pass.started_jobs.iter().for_each(|job| self.requeue_as_started(job));
     }
 
     /// Chooses the best agent for a task.
-    fn choose_agent(&self, entry: &QueueEntry, pass: &mut PlacementPass) -> Choice {
-        let Some(job) = self.jobs.get(&entry.job) else { return Choice::NoJob };
-        if entry.unstarted && job.starts == 0 && !self.may_start_job(job, pass) {
+    fn choose_agent(&self, queued: &QueuedTask, pass: &mut PlacementPass) -> Choice {
+        let Some(job) = self.jobs.get(&queued.job) else { return Choice::NoJob };
+        if queued.unstarted && job.starts == 0 && !self.may_start_job(job, pass) {
             return Choice::NoAgent;
         }
-        let agents = pass.changed.of(&self.agents);
+        let agents = pass.changed.select(&self.agents);
         let search = AgentSearch {
             agents,
             now: pass.now,
@@ -149,7 +149,7 @@
             crashes: &self.crashes,
         };
         search
-            .best_agent(job, entry.index, self.agents.len())
+            .best_agent(job, queued.index, self.agents.len())
             .map_or(Choice::NoAgent, Choice::Agent)
     }
 
@@ -160,7 +160,7 @@
             return true;
         }
         let capacity =
-            pass.capacities.of(&job.request.service, &self.agents, pass.now, &self.timing);
+            pass.capacities.get(&job.request.service, &self.agents, pass.now, &self.timing);
         self.reserve.leaves_reserve(pass.now, &job.request, capacity)
     }
 
@@ -168,20 +168,20 @@
     fn start_task_at(
         &mut self,
         id: SessionId,
-        entry: &QueueEntry,
+        queued: &QueuedTask,
         pass: &mut PlacementPass,
         out: &mut Vec<Action>,
     ) {
-        let Some(job) = self.jobs.get_mut(&entry.job) else { return };
+        let Some(job) = self.jobs.get_mut(&queued.job) else { return };
         let Some(agent) = self.agents.get_mut(&id) else { return };
-        if entry.unstarted && job.starts == 0 {
-            pass.started_jobs.push(entry.job.clone());
+        if queued.unstarted && job.starts == 0 {
+            pass.started_jobs.push(queued.job.clone());
         }
         let free = agent.free(pass.now);
-        let start = record_start(job, entry.index, agent, id, pass.now, &self.timing);
+        let start = record_start(job, queued.index, agent, id, pass.now, &self.timing);
         if let Some(name) = agent.name() {
             out.push(Action::Log(LogEvent::Placed {
-                task: TaskId { job: entry.job.clone(), index: entry.index },
+                task: TaskId { job: queued.job.clone(), index: queued.index },
                 run: start.run,
                 agent: name.clone(),
                 free,
@@ -190,20 +190,21 @@
         }
         pass.capacities.consume(&job.request.service, job.request.shape.resources.cpu_milli);
         if free.cpu_milli >= pass.max_free_cpu {
-            pass.max_free_cpu = max_free_cpu(pass.changed.of(&self.agents), pass.now, &self.timing);
+            pass.max_free_cpu =
+                max_free_cpu(pass.changed.select(&self.agents), pass.now, &self.timing);
         }
         self.counters.starts += 1;
-        self.pending_starts.entry((id, entry.job.clone())).or_default().push(start);
-        pass.placed.push(entry.clone());
+        self.pending_starts.entry((id, queued.job.clone())).or_default().push(start);
+        pass.placed.push(queued.clone());
     }
 
     /// Moves the remaining tasks of a job that has started ahead of jobs that have not.
     fn requeue_as_started(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for index in 0..job.request.shape.count {
-            let entry = queue_entry(job, index, self.policy);
-            if self.queue.remove(&QueueEntry { unstarted: true, ..entry.clone() }) {
-                self.queue.insert(entry);
+            let queued = queued_task(job, index, self.policy);
+            if self.queue.remove(&QueuedTask { unstarted: true, ..queued.clone() }) {
+                self.queue.insert(queued);
             }
         }
     }
@@ -222,7 +223,7 @@
     }
 
     /// Median slowdown of the agents that accept work, in percent, with a lower bound so that fast
-    /// targets don't make ordinary ones look slow.
+    /// targets don't make ordinary ones look slow. Infinite if the policy ignores slowdown.
     fn median_slowdown(&self) -> f64 {
         if !self.policy.slowdown_score {
             return f64::INFINITY;
@@ -239,7 +240,7 @@
     pub(crate) fn remove_from_queue(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         for index in 0..job.request.shape.count {
-            self.queue.remove(&queue_entry(job, index, self.policy));
+            self.queue.remove(&queued_task(job, index, self.policy));
         }
     }
 }
@@ -256,7 +257,7 @@
     agents: btree_map::Range<'a, SessionId, Agent>,
     now: Time,
     timing: &'a Timing,
-    /// Median slowdown of all agents, in percent.
+    /// Median slowdown of the agents that accept work, in percent.
     median_slowdown: f64,
     policy: Policy,
     crashes: &'a Crashes,
@@ -319,9 +320,9 @@
     if policy.fill_targets && fills {
         score += FILLED_BONUS;
     }
-    let slower = f64::from(agent.load.slowdown_percent) / median_slowdown;
-    score -= (slower - 1.0).max(0.0) * SLOWDOWN_PENALTY;
-    if slower > MAX_RELATIVE_SLOWDOWN {
+    let relative_slowdown = f64::from(agent.load.slowdown_percent) / median_slowdown;
+    score -= (relative_slowdown - 1.0).max(0.0) * SLOWDOWN_PENALTY;
+    if relative_slowdown > MAX_RELATIVE_SLOWDOWN {
         score -= LAST_RESORT_PENALTY;
     }
     if request.shape.affinity.as_ref().is_some_and(|label| agent.has_label(label)) {
--- a/components/dispatch/src/planned_stop.rs
+++ b/components/dispatch/src/planned_stop.rs
@@ -30,9 +30,10 @@
     pub end_after: Duration,
 }
 
-/// The balancer checks an entry at regular intervals and removes it after a few failed checks. This
-/// covers two failed checks.
+/// The balancer checks an entry at regular intervals and is taken to have removed it after this many
+/// failed checks.
 const REQUIRED_NOTICES: u32 = 2;
+/// Must cover that many checks at the balancer's interval.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// Must cover the delivery of a connection that the balancer opened before it noticed, and the time
 /// until a throttled entry accepts it. Longer values make the stops of several entries overlap
@@ -40,7 +41,7 @@
 const QUIET_PERIOD: Duration = Duration::from_millis(100);
 /// Time before the end of the grace period at which the listener closes. Hardly any job admitted
 /// later would end in time.
-const INTAKE_MARGIN: Duration = Duration::from_millis(1_500);
+const CLOSE_LISTENER_MARGIN: Duration = Duration::from_millis(1_500);
 /// Must cover two polls of the stopping entry, so that connections which waited to be accepted are
 /// counted as busy.
 const LINGER: Duration = Duration::from_millis(40);
@@ -51,7 +52,7 @@
 const END_MARGIN: Duration = Duration::from_millis(250);
 /// With a short grace period, each margin is at most this fraction of it, so that the steps keep
 /// their order.
-const INTAKE_MARGIN_DIVISOR: u32 = 4;
+const CLOSE_LISTENER_MARGIN_DIVISOR: u32 = 4;
 const ANSWER_MARGIN_DIVISOR: u32 = 10;
 const END_MARGIN_DIVISOR: u32 = 24;
 
@@ -63,7 +64,7 @@
             required_notices: REQUIRED_NOTICES,
             notice_timeout: NOTICE_TIMEOUT.min(grace / 2),
             quiet_period: QUIET_PERIOD,
-            close_listener_after: before(INTAKE_MARGIN, INTAKE_MARGIN_DIVISOR),
+            close_listener_after: before(CLOSE_LISTENER_MARGIN, CLOSE_LISTENER_MARGIN_DIVISOR),
             linger: LINGER,
             answer_all_after: before(ANSWER_MARGIN, ANSWER_MARGIN_DIVISOR),
             end_after: before(END_MARGIN, END_MARGIN_DIVISOR),
@@ -163,7 +164,8 @@
         status.notices >= self.timing.required_notices || age >= self.timing.notice_timeout
     }
 
-    /// A process that was stalled past the end of its time still gets a moment to send its answers.
+    /// Whether the answers are sent or the time for them has passed. A process that was stalled past
+    /// that time still gets a moment to send them.
     fn answers_are_sent(&self, now: Time, age: Duration, status: &StopStatus) -> bool {
         let lingered = now.since(self.phase_since) >= self.timing.linger;
         status.busy_connections == 0 || (age >= self.timing.end_after && lingered)
@@ -175,8 +177,9 @@
             && now.since(self.phase_since) >= self.timing.linger
     }
 
-    /// Requests that the balancer sent before it noticed may still be in transit, so the quiet
-    /// period starts no earlier than the current phase.
+    /// Whether nothing has been in progress or has arrived for the quiet period. Requests that the
+    /// balancer sent before it noticed may still be in transit, so the period starts no earlier than
+    /// the current phase.
     fn is_quiet(&self, now: Time, status: &StopStatus) -> bool {
         let quiet = status.quiet_for.min(now.since(self.phase_since));
         status.jobs == 0 && status.busy_connections == 0 && quiet >= self.timing.quiet_period
--- a/components/dispatch/src/retry_schedule.rs
+++ b/components/dispatch/src/retry_schedule.rs
@@ -29,7 +29,7 @@
 /// Weight of the last second in the moving average of the throughput.
 const RATE_SMOOTHING: f64 = 0.3;
 
-/// Work that rejected clients were told to submit again, by second.
+/// The work that rejected clients are expected to submit again, by second.
 #[derive(Debug, Default)]
 pub(crate) struct RetrySchedule {
     /// The current second since the epoch of the clock.
--- a/components/dispatch/src/task_reports.rs
+++ b/components/dispatch/src/task_reports.rs
@@ -5,7 +5,7 @@
 use model::{TaskId, Time};
 use wire::{TaskEnd, TaskReport};
 
-use crate::dispatcher::{Dispatcher, queue_entry};
+use crate::dispatcher::{Dispatcher, queued_task};
 use crate::event::{Action, LogEvent, Outcome, Reason, SessionId};
 use crate::job::TaskState;
 
@@ -13,7 +13,7 @@
 const AVOID_AFTER_REFUSAL: Duration = Duration::from_millis(20);
 /// How long a task avoids an agent where it failed, was lost or was refused for another reason.
 const AVOID_AFTER_LOSS: Duration = Duration::from_secs(5);
-/// Number of runs without a result after which a job is given up.
+/// Number of runs of a task without a result after which its job is answered.
 const MAX_LOSSES: u32 = 5;
 
 impl Dispatcher {
@@ -59,7 +59,7 @@
                 job.open_tasks -= 1;
             }
         }
-        let entry = queue_entry(job, task_id.index, self.policy);
+        let queued = queued_task(job, task_id.index, self.policy);
         let (open, answered) = (job.open_tasks, job.outcome.is_some());
         if end == TaskEnd::NotRun(wire::Refusal::Cancelled) && !answered {
             // This entry missed the cancel. Without it, every agent that knows of the cancel would
@@ -93,7 +93,7 @@
             );
         }
         if avoid_for.is_some() {
-            self.queue.insert(entry);
+            self.queue.insert(queued);
         } else if open == 0 {
             self.finish_job(now, &task_id.job, Outcome::Completed, out);
         }
@@ -140,7 +140,7 @@
         }));
         out.push(Action::Close(id));
         let until = now + self.timing.lost_agent_lease;
-        let mut affected = Vec::new();
+        let mut not_rerun = Vec::new();
         for (job_id, job) in &mut self.jobs {
             let mut lost = 0;
             for task in &mut job.tasks {
@@ -157,11 +157,11 @@
             let estimate = Duration::from_millis(u64::from(job.request.shape.estimated_ms));
             let latest = job.submitted + job.request.objective * MAX_USEFUL_OBJECTIVES;
             if until + estimate > latest || !self.policy.rerun_lost {
-                affected.push(job_id.clone());
+                not_rerun.push(job_id.clone());
             }
         }
-        self.counters.task_losses += affected.len() as u64;
-        for job in affected {
+        self.counters.task_losses += not_rerun.len() as u64;
+        for job in not_rerun {
             self.finish_job(now, &job, Outcome::MayHaveRun(Reason::AgentLost), out);
         }
     }
--- a/components/dispatch/src/timeouts.rs
+++ b/components/dispatch/src/timeouts.rs
@@ -5,7 +5,7 @@
 use model::Time;
 
 use crate::admission::not_run_outcome;
-use crate::dispatcher::{Dispatcher, Timing, queue_entry};
+use crate::dispatcher::{Dispatcher, Timing, queued_task};
 use crate::event::{Action, JobRequest, Outcome, Reason};
 use crate::job::{Job, TaskState};
 
@@ -40,7 +40,7 @@
                 }
             }
             for index in lease_ended.drain(..) {
-                self.queue.insert(queue_entry(job, index, self.policy));
+                self.queue.insert(queued_task(job, index, self.policy));
             }
             let service = &job.request.service;
             let max_load_age = self.timing.max_load_age;
@@ -97,13 +97,14 @@
     None
 }
 
-/// How long a job waits for its first start while targets accept work: the slack within bounds.
+/// How long a job waits for its first start while targets accept work: its slack, but at most a
+/// fraction of its objective.
 fn max_placement_wait(request: &JobRequest, timing: &Timing) -> Duration {
     let upper_bound = request.objective.mul_f64(timing.max_wait_fraction);
     slack(request, timing).min(upper_bound)
 }
 
-/// How long a job can wait and still meet its objective, but at least a fraction of it.
+/// How long a job can wait and still meet its objective, but at least a fraction of the objective.
 fn slack(request: &JobRequest, timing: &Timing) -> Duration {
     let work = Duration::from_millis(u64::from(request.shape.estimated_ms));
     let slack = request.objective.saturating_sub(work + timing.start_overhead);
--- a/components/dispatch/src/urgent_reserve.rs
+++ b/components/dispatch/src/urgent_reserve.rs
@@ -34,7 +34,7 @@
     /// Mean CPU of a single task, in thousandths of a core.
     task_cpu_milli: f64,
     /// When the last such job was admitted.
-    last_seen: Time,
+    last_admitted: Time,
 }
 
 /// Typical jobs by service and priority, from which the reserve is computed.
@@ -47,11 +47,11 @@
         let cpu_milli = total_cpu_milli(request) as f64;
         let task_cpu_milli = request.shape.resources.cpu_milli as f64;
         let by_priority = self.0.entry(request.service.clone()).or_default();
-        let first = TypicalJob { cpu_milli, task_cpu_milli, last_seen: now };
+        let first = TypicalJob { cpu_milli, task_cpu_milli, last_admitted: now };
         let typical = by_priority.entry(request.priority).or_insert(first);
         typical.cpu_milli += (cpu_milli - typical.cpu_milli) * SIZE_SMOOTHING;
         typical.task_cpu_milli += (task_cpu_milli - typical.task_cpu_milli) * SIZE_SMOOTHING;
-        typical.last_seen = now;
+        typical.last_admitted = now;
     }
 
     /// Whether all tasks of a job fit into the free capacity with the reserve left over.
@@ -69,9 +69,11 @@
             || total_cpu_milli(request) + reserved as u64 <= capacity.free
     }
 
-    /// Returns the largest typical job of the service that is more urgent and was seen recently.
+    /// Returns the largest typical job of the service that is more urgent and was admitted
+    /// recently.
     fn largest_more_urgent(&self, now: Time, request: &JobRequest) -> Option<TypicalJob> {
-        let is_recent = |typical: &TypicalJob| now.since(typical.last_seen) < OBSERVATION_PERIOD;
+        let is_recent =
+            |typical: &TypicalJob| now.since(typical.last_admitted) < OBSERVATION_PERIOD;
         let more_urgent = self.0.get(&request.service)?.range(..request.priority);
         let typical = more_urgent.map(|(_, typical)| *typical).filter(is_recent);
         typical.max_by(|a, b| a.cpu_milli.total_cmp(&b.cpu_milli))
@@ -90,7 +92,8 @@
 pub(crate) struct ServiceCapacities(BTreeMap<Arc<str>, ServiceCapacity>);
 
 impl ServiceCapacities {
-    pub fn of(
+    /// Returns the capacity of a service.
+    pub fn get(
         &mut self,
         service: &Arc<str>,
         agents: &BTreeMap<SessionId, Agent>,
