--- a/components/dispatch/tests/planned_stop.rs
+++ b/components/dispatch/tests/planned_stop.rs
@@ -130,7 +130,7 @@
     let starts = entry.take_starts();
     entry.handle(Event::AdmitOnlyJobsEndingBy(entry.now + Duration::from_millis(950)));
     let second = entry.submit(job(1, 556));
-    assert_eq!(entry.answer(second), None, "the resubmission waiting for the running job");
+    assert_eq!(entry.answer(second), None, "the resubmission waits for the running job");
     entry.report_end(&starts[0], TaskEnd::Done);
     assert_eq!(entry.answer(first), Some(Outcome::Completed));
     assert_eq!(entry.answer(second), Some(Outcome::Completed));
--- a/components/dispatch/tests/retry_delays.rs
+++ b/components/dispatch/tests/retry_delays.rs
@@ -73,7 +73,7 @@
 
 /// Results of the clients of one priority.
 #[derive(Clone, Debug, Default)]
-struct Served {
+struct ClientResults {
     clients: u32,
     served: u32,
     first_try: u32,
@@ -81,14 +81,14 @@
     waited: Vec<Duration>,
 }
 
-impl fmt::Display for Served {
+impl fmt::Display for ClientResults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { clients, served, first_try, tries, .. } = self;
         write!(f, "{served} of {clients} served, {first_try} at the first try, {tries} tries")
     }
 }
 
-impl Served {
+impl ClientResults {
     fn wait_quantile(&mut self, quantile: f64) -> Duration {
         self.waited.sort_unstable();
         self.waited[(self.waited.len() as f64 * quantile) as usize]
@@ -101,26 +101,30 @@
     priority: u8,
 }
 
-/// A single target that serves a hundred clients a second. 70 arrive per second, and more during a
-/// burst of two seconds.
+/// Simulates clients that arrive at a target more slowly than it can serve them, except during a
+/// burst.
 struct Burst {
     entry: Entry,
+    /// Running tasks with the time of their end.
     running: VecDeque<(Time, (u64, JobId, StartTask))>,
     clients: Vec<Client>,
+    /// Client of each unanswered call.
     open: BTreeMap<CallId, usize>,
+    /// Next submissions, by time and client.
     due: BTreeMap<(Time, usize), ()>,
-    served: [Served; 2],
+    /// By priority.
+    results: [ClientResults; 2],
 }
 
 impl Burst {
-    fn run(rate: f64, delay: RetryDelay) -> [Served; 2] {
+    fn run(burst_rate: f64, delay: RetryDelay) -> [ClientResults; 2] {
         let mut burst = Self {
             entry: Entry::new(),
             running: VecDeque::new(),
             clients: Vec::new(),
             open: BTreeMap::new(),
             due: BTreeMap::new(),
-            served: Default::default(),
+            results: Default::default(),
         };
         burst.entry.add_agent(1, 16_000, &[]);
         let mut arrivals_due = 0.0;
@@ -130,41 +134,41 @@
             let arrival_rate = if at.as_secs() >= 15 {
                 0.0
             } else if in_burst {
-                rate
+                burst_rate
             } else {
                 70.0
             };
             arrivals_due += arrival_rate * STEP.as_secs_f64();
             while arrivals_due >= 1.0 {
                 arrivals_due -= 1.0;
-                burst.arrive();
+                burst.add_client();
             }
-            burst.step(delay);
+            burst.advance(delay);
         }
-        burst.served
+        burst.results
     }
 
-    fn arrive(&mut self) {
+    fn add_client(&mut self) {
         let number = self.clients.len();
         let priority = u8::from(!number.is_multiple_of(4));
         self.clients.push(Client { arrived: self.entry.now, tries: 0, priority });
-        self.served[usize::from(priority)].clients += 1;
+        self.results[usize::from(priority)].clients += 1;
         self.due.insert((self.entry.now, number), ());
     }
 
-    fn step(&mut self, delay: RetryDelay) {
+    fn advance(&mut self, delay: RetryDelay) {
         self.entry.now = self.entry.now + STEP;
         let now = self.entry.now;
         while self.running.front().is_some_and(|(end, _)| *end <= now) {
             let Some((_, start)) = self.running.pop_front() else { break };
-            self.end(&start);
+            self.report_end(&start);
         }
-        self.load();
+        self.report_load();
         while let Some(((_, number), ())) = self.due.first_key_value().map(|(k, ())| (*k, ()))
             && self.due.keys().next().is_some_and(|(at, _)| *at <= now)
         {
             self.due.pop_first();
-            self.send(number);
+            self.submit(number);
         }
         self.entry.handle(Event::Tick);
         self.take_starts();
@@ -175,12 +179,12 @@
         (SLOTS - self.running.len()) as u64 * 1_600
     }
 
-    fn load(&mut self) {
+    fn report_load(&mut self) {
         self.entry.report_load(1, self.free());
         self.take_starts();
     }
 
-    fn end(&mut self, (_, job, start): &(u64, JobId, StartTask)) {
+    fn report_end(&mut self, (_, job, start): &(u64, JobId, StartTask)) {
         let report = TaskReport {
             task: TaskId { job: job.clone(), index: start.index },
             sequence: start.sequence,
@@ -200,7 +204,7 @@
         }
     }
 
-    fn send(&mut self, number: usize) {
+    fn submit(&mut self, number: usize) {
         let client = &mut self.clients[number];
         client.tries += 1;
         let mut request = job(1, 100);
@@ -215,13 +219,13 @@
         for (call, outcome) in answers {
             let Some(number) = self.open.remove(&call) else { continue };
             let client = &self.clients[number];
-            let served = &mut self.served[usize::from(client.priority)];
+            let result = &mut self.results[usize::from(client.priority)];
             match outcome {
                 Outcome::Completed => {
-                    served.served += 1;
-                    served.first_try += u32::from(client.tries == 1);
-                    served.tries += client.tries;
-                    served.waited.push(self.entry.now.since(client.arrived));
+                    result.served += 1;
+                    result.first_try += u32::from(client.tries == 1);
+                    result.tries += client.tries;
+                    result.waited.push(self.entry.now.since(client.arrived));
                 }
                 Outcome::NotRun { retry_after, .. } if client.tries < MAX_TRIES => {
                     let pause = match delay {
@@ -232,20 +236,20 @@
                     let jitter = Duration::from_millis(number as u64 * 37 % 200);
                     self.due.insert((self.entry.now + pause + jitter, number), ());
                 }
-                _ => served.tries += client.tries,
+                _ => result.tries += client.tries,
             }
         }
     }
 }
 
 /// Runs a burst and prints the results of its clients.
-fn run_and_print(name: &str, burst: f64, delay: RetryDelay) -> [Served; 2] {
-    let mut served = Burst::run(burst, delay);
-    for (priority, served) in served.iter_mut().enumerate() {
-        let waited = [0.5, 0.9, 0.99].map(|quantile| served.wait_quantile(quantile));
-        println!("{name}, priority {priority}: {served}, waited {waited:?} at 50, 90, 99 of 100");
+fn run_and_print(name: &str, burst_rate: f64, delay: RetryDelay) -> [ClientResults; 2] {
+    let mut results = Burst::run(burst_rate, delay);
+    for (priority, result) in results.iter_mut().enumerate() {
+        let waited = [0.5, 0.9, 0.99].map(|quantile| result.wait_quantile(quantile));
+        println!("{name}, priority {priority}: {result}, waited {waited:?} at 50, 90, 99 of 100");
     }
-    served
+    results
 }
 
 /// If all rejected clients returned after the same delay, they would displace new clients and need
--- a/components/dispatch/tests/support/mod.rs
+++ b/components/dispatch/tests/support/mod.rs
@@ -14,7 +14,7 @@
 
 pub const START: Time = Time::from_millis(1_000_000);
 
-/// A dispatcher and the actions that it returned.
+/// An entry's dispatcher and the actions that it returned.
 pub struct Entry {
     pub dispatcher: Dispatcher,
     pub now: Time,
