--- a/components/runner/src/commands.rs
+++ b/components/runner/src/commands.rs
@@ -13,11 +13,11 @@
 
 /// Interval at which an unanswered stop is sent again.
 const STOP_RESEND_INTERVAL: Duration = Duration::from_millis(60);
-/// Time, beyond that of a stop, until a list with the end of the run arrives.
+/// Time, beyond `stop_duration`, until an answer to a hold lists the end of a stopped run.
 const END_LISTING_DELAY: Duration = Duration::from_millis(30);
-/// Unanswered starts with one number after which the run is stopped.
+/// Unanswered starts with the same run number after which the run is stopped.
 const MAX_UNANSWERED_STARTS: u32 = 3;
-/// Refusals after which a start is not sent again.
+/// Refusals of a run after which its start is not sent again.
 const MAX_START_REFUSALS: u32 = 6;
 /// A run is overdue when it exceeds its estimate by this factor and `OVERDUE_MARGIN`.
 const OVERDUE_FACTOR: u32 = 3;
@@ -25,7 +25,7 @@
 const FAR_OVERDUE_FACTOR: u32 = 8;
 /// Time beyond the multiple of the estimate before a run is overdue.
 const OVERDUE_MARGIN: Duration = Duration::from_millis(120);
-/// With an overdue run, a target that has ended no run for this long may be stuck.
+/// A target with an overdue run may be stuck if no run has ended on it for this long.
 const STALLED_AFTER: Duration = Duration::from_millis(400);
 /// Upper bound of the slowdown by which estimates are scaled.
 const MAX_SLOWDOWN: f64 = 4.0;
@@ -162,7 +162,8 @@
         let may_retry = run.refusals < MAX_START_REFUSALS;
         run.refusals += 1;
         match reason {
-            // The target has seen a number as high, from another entry: continues far above it.
+            // The target has seen an equal or higher run number of this task, requested by another
+            // entry: skips ahead in doubling steps.
             StartRefusal::StaleRun if may_retry => {
                 run.run += 1 << run.refusals;
                 self.send_start(now, task, out);
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Processes a start that was not answered: the run may have started, or may start later.
+    /// Processes an unanswered start: the run may have started, or may start later.
     /// Sending the start again is safe, as the target accepts each number once. If all attempts
     /// stay unanswered, an acknowledged stop proves that the run is not active.
     fn start_unanswered(
@@ -246,8 +247,8 @@
             match stopping.acknowledged {
                 Some(at) if now.since(at) > stop_wait => ended.push(task.clone()),
                 None if lease_expired => ended.push(task.clone()),
-                None if now.since(stopping.sent) > STOP_RESEND_INTERVAL => {
-                    stopping.sent = now;
+                None if now.since(stopping.last_sent) > STOP_RESEND_INTERVAL => {
+                    stopping.last_sent = now;
                     resend.push(task.clone());
                 }
                 _ => {}
@@ -268,7 +269,7 @@
         let last_answer = target.last_hold_answer;
         let slowdown = (target.slowdown_percent / 100.0).clamp(1.0, MAX_SLOWDOWN);
         let stalled = last_answer.since(target.last_end) > STALLED_AFTER;
-        let overdue = |run: &Run, factor: u32| {
+        let is_overdue = |run: &Run, factor: u32| {
             let estimate = Duration::from_millis(u64::from(run.estimated_ms)).mul_f64(slowdown);
             let ran = last_answer.since(run.started_at);
             run.state == RunState::Running
@@ -276,17 +277,17 @@
                 && run.estimated_ms > 0
                 && ran > estimate * factor + OVERDUE_MARGIN
         };
-        let late: Vec<TaskId> = self
+        let overdue: Vec<TaskId> = self
             .runs
             .iter()
-            .filter(|(_, run)| overdue(run, OVERDUE_FACTOR))
+            .filter(|(_, run)| is_overdue(run, OVERDUE_FACTOR))
             .map(|(task, _)| task.clone())
             .collect();
-        let stuck = late.len() >= 2 || stalled;
-        for task in late {
+        let stuck = overdue.len() >= 2 || stalled;
+        for task in overdue {
             let Some(run) = self.runs.get(&task) else { continue };
             let started_at = run.started_at;
-            if !stuck && !overdue(run, FAR_OVERDUE_FACTOR) {
+            if !stuck && !is_overdue(run, FAR_OVERDUE_FACTOR) {
                 continue;
             }
             out.push(Action::Log(LogEvent::Stuck {
@@ -297,7 +298,7 @@
             if let Some(target) = &mut self.target {
                 log_health_change(target.health.record_failure(now, started_at), out);
             }
-            self.mark_dirty();
+            self.mark_load_changed();
             self.stop_run(now, &task, out);
         }
     }
--- a/components/runner/src/event.rs
+++ b/components/runner/src/event.rs
@@ -11,8 +11,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// One process of a target. A restarted target may keep its id; its start time then tells its
-/// instances apart.
+/// One process of a target. A restarted target may keep its id; its start time then distinguishes
+/// its instances.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetInstance {
     /// The id that the target reports.
--- a/components/runner/src/halls.rs
+++ b/components/runner/src/halls.rs
@@ -34,7 +34,7 @@
         if emptied {
             self.refuse_waiting(now, Refusal::Closed, out);
         }
-        self.mark_dirty();
+        self.mark_load_changed();
     }
 
     /// Whether the target's hall is emptied.
--- a/components/runner/src/health.rs
+++ b/components/runner/src/health.rs
@@ -1,7 +1,7 @@
 //! Tracks from the ends of runs whether the target completes tasks.
 //!
 //! A success counts only if its run started after the first of the consecutive failures, or after
-//! the exclusion began: earlier runs say nothing about the target's present health.
+//! the exclusion started: earlier runs say nothing about the target's present health.
 
 use std::time::Duration;
 
--- a/components/runner/src/hold.rs
+++ b/components/runner/src/hold.rs
@@ -1,4 +1,4 @@
-//! The target's lease: at most one hold is outstanding, which renews the lease and returns ended
+//! Holds: at most one is outstanding at a time. It renews the target's lease and returns the ended
 //! runs.
 
 use std::collections::BTreeSet;
@@ -40,7 +40,7 @@
         if silent && !target.silent {
             target.silent = true;
             out.push(Action::Log(LogEvent::TargetSilent(target.instance().clone())));
-            self.mark_dirty();
+            self.mark_load_changed();
         }
         self.end_runs_of_expired_lease(now, out);
     }
@@ -136,7 +136,7 @@
                     out.push(Action::Log(LogEvent::TargetHeard(instance.clone())));
                 }
                 if was_silent || had_unconfirmed_leave {
-                    self.mark_dirty();
+                    self.mark_load_changed();
                 }
                 self.apply_ends(now, ended, out);
                 self.reconcile_runs(now, sent, &running, out);
@@ -217,7 +217,7 @@
             out.push(Action::Stop(StopCommand { key, fencing_token: target.fencing_token }));
         }
         if had_orphans != target.has_orphans {
-            self.mark_dirty();
+            self.mark_load_changed();
         }
     }
 }
--- a/components/runner/src/hold_timing.rs
+++ b/components/runner/src/hold_timing.rs
@@ -1,8 +1,8 @@
 //! The wait and the timeout of a hold.
 //!
 //! While a hold is unanswered, the agent does not learn which runs have ended: capacity stays
-//! unused and jobs finish late. So after a target has left a command unanswered, holds wait for
-//! about as long as the next end of a run is away and time out sooner.
+//! unused and jobs finish late. So after a target has left a command unanswered, holds wait
+//! only until about the next expected end of a run, and time out sooner.
 
 use std::time::Duration;
 
--- a/components/runner/src/instances.rs
+++ b/components/runner/src/instances.rs
@@ -40,14 +40,14 @@
     pub fn may_run(&self, now: Time, task: &TaskId, run: &Run) -> bool {
         let Self::SameId(running) = self else { return false };
         let is_listed = running.iter().any(|listed| listed.task == *task && listed.run == run.run);
-        let is_on_its_way = match run.state {
+        let may_be_unlisted = match run.state {
             RunState::Starting => true,
             RunState::Stopping(stop) => stop.unconfirmed,
             // The list may be older than the start of the run.
             RunState::Running => now.since(run.started_at) < LISTING_DELAY,
             RunState::Waiting => false,
         };
-        is_on_its_way || (is_listed && run.holds_capacity())
+        may_be_unlisted || (is_listed && run.holds_capacity())
     }
 }
 
@@ -110,7 +110,7 @@
             out.push(Action::Log(LogEvent::TargetDrains(instance)));
             self.refuse_waiting(now, Refusal::Closed, out);
         }
-        self.mark_dirty();
+        self.mark_load_changed();
     }
 
     /// Processes a leave: later messages of this instance are late.
@@ -131,7 +131,7 @@
             // ended, it answers no more holds, and its lease expires.
             target.unconfirmed_leave = Some(now);
             self.refuse_waiting(now, Refusal::Closed, out);
-            return self.mark_dirty();
+            return self.mark_load_changed();
         }
         self.candidates.retain(|candidate| candidate.instance() != instance);
         self.remember_ended_instance(instance.clone());
@@ -175,21 +175,21 @@
             }
             Some(_) => {}
         }
-        let present =
+        let answering =
             TargetInstance { id: target.instance().id.clone(), started_ms: Some(*started) };
-        let known = self.candidates.iter().position(|candidate| *candidate.instance() == present);
+        let known = self.candidates.iter().position(|candidate| *candidate.instance() == answering);
         let next = match known {
             Some(index) => self.candidates.remove(index),
-            None => target.successor(now, present, *clock_ms),
+            None => target.successor(now, answering, *clock_ms),
         };
         self.replace_instance(now, next, running, out);
         true
     }
 
-    /// Processes an answer to a candidate's hold. Returns true if the answer is used up, because
-    /// the candidate remains one or has ended. Returns false if the candidate has become the
-    /// current instance, so that the answer is processed as the target's, or if there is no such
-    /// candidate.
+    /// Processes an answer to a candidate's hold. Returns true if nothing more follows from the
+    /// answer: the candidate remains one or has ended. Returns false if the candidate has become
+    /// the current instance, so that the answer is processed as the target's, or if there is no
+    /// such candidate.
     pub(crate) fn candidate_answered(
         &mut self,
         now: Time,
@@ -315,7 +315,7 @@
         self.candidates.iter_mut().for_each(Target::mark_overtaken);
         self.target = Some(target);
         self.send_hello(out);
-        self.mark_dirty();
+        self.mark_load_changed();
     }
 
     /// Remembers that an instance has ended.
--- a/components/runner/src/load_reports.rs
+++ b/components/runner/src/load_reports.rs
@@ -11,9 +11,10 @@
 use crate::sessions::Session;
 
 impl Session {
-    /// The load as reported to this entry. `has_turn` is `None` unless scarce capacity is offered
-    /// to one entry at a time.
-    fn load_for_entry(&self, now: Time, load: &Load, per_ms: f64, has_turn: Option<bool>) -> Load {
+    /// The load as reported to this entry. `rate` is the CPU that all entries together take, in
+    /// thousandths of a core per millisecond. `has_turn` is `None` unless scarce capacity is
+    /// offered to one entry at a time.
+    fn load_for_entry(&self, now: Time, load: &Load, rate: f64, has_turn: Option<bool>) -> Load {
         let open = load.open && self.retired.is_none();
         let mut reported = Load { last_start_sequence: self.last_sequence, open, ..*load };
         match has_turn {
@@ -22,17 +23,17 @@
             Some(false) if RoundRobin::is_active(now, self.last_start) => {
                 reported.free.cpu_milli = 0
             }
-            _ => reported.taken_per_ms = (per_ms - self.start_rate.per_ms(now)).max(0.0) as u32,
+            _ => reported.taken_per_ms = (rate - self.start_rate.per_ms(now)).max(0.0) as u32,
         }
         reported
     }
 
-    /// Whether this load differs from the last reported one in a way that matters to the entry. A
-    /// target that is still full does not.
+    /// Whether this load differs from the last reported one in a way that matters to the entry. If
+    /// the target was full and still is, only a change of the other fields does.
     fn adds_information(&self, load: &Load) -> bool {
         let last = &self.last_load;
         let still_full = last.free.cpu_milli == 0 && load.free.cpu_milli == 0;
-        self.dirty
+        self.load_changed
             && !(still_full
                 && last.open == load.open
                 && last.last_start_sequence == load.last_start_sequence)
@@ -46,20 +47,19 @@
         let turn = self.turn_holder(now, &load);
         let interval = self.timing.max_load_interval;
         let may_report =
-            |session: &Session| session.is_dirty() || now.since(session.last_report) >= interval;
+            |session: &Session| session.has_updates() || now.since(session.last_report) >= interval;
         if !self.sessions.values().any(may_report) {
             return;
         }
-        let per_ms: f64 =
-            self.sessions.values().map(|session| session.start_rate.per_ms(now)).sum();
-        let min_interval = self.adaptive_load_interval(&load, per_ms);
+        let rate: f64 = self.sessions.values().map(|session| session.start_rate.per_ms(now)).sum();
+        let min_interval = self.adaptive_load_interval(&load, rate);
         for (id, session) in &mut self.sessions {
             if !may_report(session) {
                 continue;
             }
             let has_turn = turn.map(|turn| turn == *id);
-            let load = session.load_for_entry(now, &load, per_ms, has_turn);
-            let age = now.since(session.last_report);
+            let load = session.load_for_entry(now, &load, rate, has_turn);
+            let since_report = now.since(session.last_report);
             let min_interval = match has_turn {
                 // A turn is too short to delay the report.
                 Some(true) => Duration::ZERO,
@@ -71,12 +71,14 @@
             if !session.reports.is_empty() {
                 let reports = std::mem::take(&mut session.reports);
                 out.push(Action::Send(*id, ToEntry::Ended { reports, load }));
-            } else if age >= interval || (session.adds_information(&load) && age >= min_interval) {
+            } else if since_report >= interval
+                || (session.adds_information(&load) && since_report >= min_interval)
+            {
                 out.push(Action::Send(*id, ToEntry::Load(load)));
             } else {
                 continue;
             }
-            session.dirty = false;
+            session.load_changed = false;
             session.last_report = now;
             session.last_load = load;
         }
@@ -92,7 +94,7 @@
         if let Some(session) = self.sessions.get_mut(&holder)
             && session.last_load.free.cpu_milli != load.free.cpu_milli
         {
-            session.dirty = true;
+            session.load_changed = true;
         }
         Some(holder)
     }
@@ -110,13 +112,13 @@
     }
 
     /// Minimum time to the next load report: the faster free capacity is taken, the shorter.
-    fn adaptive_load_interval(&self, load: &Load, per_ms: f64) -> Duration {
+    fn adaptive_load_interval(&self, load: &Load, rate: f64) -> Duration {
         let timing = &self.timing;
         if !load.open || load.on_trial {
             return timing.min_load_interval;
         }
         let until_taken =
-            load.free.cpu_milli as f64 * timing.load_change_fraction / per_ms.max(1.0) / 1e3;
+            load.free.cpu_milli as f64 * timing.load_change_fraction / rate.max(1.0) / 1e3;
         Duration::from_secs_f64(until_taken)
             .clamp(timing.min_load_interval, timing.max_adaptive_load_interval)
     }
--- a/components/runner/src/round_robin.rs
+++ b/components/runner/src/round_robin.rs
@@ -14,7 +14,7 @@
 
 /// Length of a turn: covers a round trip between data halls.
 const TURN: Duration = Duration::from_millis(8);
-/// Capacity for fewer average tasks than this is scarce.
+/// Free CPU for fewer tasks of average size than this is scarce.
 const SCARCE_TASK_COUNT: f64 = 1.5;
 /// An entry that has sent no start for this long takes no turns.
 const ACTIVE_WINDOW: Duration = Duration::from_secs(1);
@@ -24,7 +24,7 @@
 /// The state of the rotation.
 #[derive(Debug, Default)]
 pub(crate) struct RoundRobin {
-    /// The session that has the turn, and when the turn began.
+    /// The session that has the turn, and when the turn started.
     turn: Option<(SessionId, Time)>,
     /// Moving average of CPU per task, in thousandths of a core.
     task_cpu_milli: f64,
@@ -47,9 +47,9 @@
 
     /// The active session that has the turn; passes the turn on when it is over.
     pub fn holder(&mut self, now: Time, active: &[SessionId]) -> Option<SessionId> {
-        let present =
+        let current =
             self.turn.filter(|(holder, since)| active.contains(holder) && now.since(*since) < TURN);
-        if present.is_none() {
+        if current.is_none() {
             let last = self.turn.map(|(holder, _)| holder);
             let after = active.iter().find(|id| last.is_some_and(|last| **id > last));
             self.turn = after.or(active.first()).map(|id| (*id, now));
@@ -57,7 +57,7 @@
         self.turn.map(|(holder, _)| holder)
     }
 
-    /// Latest end of a turn that begins now.
+    /// Latest end of a turn that starts now.
     pub fn turn_end(now: Time) -> Time {
         now + TURN
     }
--- a/components/runner/src/run.rs
+++ b/components/runner/src/run.rs
@@ -27,14 +27,14 @@
     /// When the stop was first sent.
     pub first_sent: Time,
     /// When the stop was last sent; it is sent again until the target answers.
-    pub sent: Time,
+    pub last_sent: Time,
     /// When the target acknowledged the stop.
     pub acknowledged: Option<Time>,
 }
 
 impl Stopping {
     pub fn new(now: Time, unconfirmed: bool) -> Self {
-        Self { unconfirmed, first_sent: now, sent: now, acknowledged: None }
+        Self { unconfirmed, first_sent: now, last_sent: now, acknowledged: None }
     }
 }
 
@@ -53,12 +53,12 @@
     pub requested_at: Time,
     /// When a waiting run is given up.
     pub expires: Time,
-    /// When the run, or its start command, began.
+    /// When the run started; until the target accepts it, when its start was first sent.
     pub started_at: Time,
     pub state: RunState,
     /// Number of starts of the run that the target refused.
     pub refusals: u32,
-    /// Starts with this number that were not answered; each may still be carried out.
+    /// Starts with the current run number that were not answered; each may still be carried out.
     pub unanswered_starts: u32,
     /// Consecutive holds that did not list the run.
     pub unlisted_holds: u32,
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -225,9 +225,9 @@
 
     /// When the next [`Event::Tick`] is due.
     pub fn next_timer(&self, now: Time) -> Time {
-        let waits = |run: &Run| run.state != RunState::Running;
-        let busy = self.runs.values().any(waits)
-            || self.sessions.values().any(Session::is_dirty)
+        let is_unsettled = |run: &Run| run.state != RunState::Running;
+        let busy = self.runs.values().any(is_unsettled)
+            || self.sessions.values().any(Session::has_updates)
             || !self.candidates.is_empty();
         if self.uses_round_robin(now) {
             return RoundRobin::turn_end(now);
@@ -308,7 +308,7 @@
     fn drain(&mut self, now: Time, out: &mut Vec<Action>) {
         self.draining = true;
         self.refuse_waiting(now, Refusal::Closed, out);
-        self.mark_dirty();
+        self.mark_load_changed();
     }
 
     pub(crate) fn update_document(&mut self, document: Document) {
@@ -335,7 +335,7 @@
             lost: ends.len(),
         }));
         self.end_runs_with_target(now, ends, out);
-        self.mark_dirty();
+        self.mark_load_changed();
     }
 
     /// Ends runs together with their target. Every entry is notified of the tasks that ran when the
@@ -381,7 +381,7 @@
             ran_ms: ran.as_millis() as u64,
             free: self.free_capacity(),
         }));
-        self.mark_dirty();
+        self.mark_load_changed();
         let Some(session) = run.session else { return };
         let report = TaskReport {
             task: task.clone(),
@@ -392,7 +392,7 @@
         self.queue_end_report(session, report);
     }
 
-    /// Updates speed and health of the target from the end of a run.
+    /// Updates the slowdown and the health of the target from the end of a run.
     fn update_target_stats(
         &mut self,
         now: Time,
--- a/components/runner/src/sessions.rs
+++ b/components/runner/src/sessions.rs
@@ -16,8 +16,8 @@
     last_received: Time,
     /// Sequence number of the last start that was accepted or refused.
     pub last_sequence: u64,
-    /// Whether the load has changed since the last report.
-    pub dirty: bool,
+    /// Whether the load may have changed since the last report.
+    pub load_changed: bool,
     pub last_report: Time,
     /// The load in the last report.
     pub last_load: Load,
@@ -32,9 +32,9 @@
 }
 
 impl Session {
-    /// Whether a report is pending.
-    pub fn is_dirty(&self) -> bool {
-        self.dirty || !self.reports.is_empty()
+    /// Whether the entry has not received the current load or an ended run yet.
+    pub fn has_updates(&self) -> bool {
+        self.load_changed || !self.reports.is_empty()
     }
 }
 
@@ -43,7 +43,7 @@
         let session = Session {
             last_received: now,
             last_sequence: 0,
-            dirty: true,
+            load_changed: true,
             last_report: Time::default(),
             last_load: Load::default(),
             last_start: None,
@@ -140,7 +140,7 @@
         };
         if let Some(session) = self.sessions.get_mut(&id) {
             session.last_sequence = start.sequence;
-            session.dirty = true;
+            session.load_changed = true;
         }
         if let Some(refusal) = refusal {
             self.counters.not_run += 1;
@@ -235,7 +235,7 @@
     pub(crate) fn retire_session(&mut self, now: Time, id: SessionId) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.retired.get_or_insert(now);
-            session.dirty = true;
+            session.load_changed = true;
         }
     }
 
@@ -261,7 +261,7 @@
         }
     }
 
-    pub(crate) fn mark_dirty(&mut self) {
-        self.sessions.values_mut().for_each(|session| session.dirty = true);
+    pub(crate) fn mark_load_changed(&mut self) {
+        self.sessions.values_mut().for_each(|session| session.load_changed = true);
     }
 }
--- a/components/runner/src/target.rs
+++ b/components/runner/src/target.rs
@@ -16,7 +16,7 @@
 pub(crate) struct Target {
     pub report: TargetReport,
     pub fencing_token: u64,
-    /// Number of the last run end that the agent has processed.
+    /// Number of the last run end that the agent has processed; sent with each hold.
     pub last_seen: u64,
     pub health: Health,
     /// The target's monotonic clock in ms as last reported, and when that was received.
@@ -29,6 +29,7 @@
     pub last_hold_answer: Time,
     /// The next hold is not sent earlier.
     pub next_hold_at: Time,
+    /// Whether no hold has been answered within the target timeout.
     pub silent: bool,
     /// When the target last left a hold or a start unanswered.
     last_unanswered: Option<Time>,
@@ -77,7 +78,7 @@
 
 /// Maximum length of a span on the target's clock, as a multiple of its length on the agent's.
 const CLOCK_DRIFT_FACTOR: f64 = 1.02;
-/// Time in flight of an answered command.
+/// Allowance for the time in flight of an answered command.
 const COMMAND_SLACK: Duration = Duration::from_millis(40);
 /// Wait of a hold that only probes a candidate: the minimum that a command can express.
 const PROBE_WAIT: Duration = Duration::from_millis(1);
@@ -143,11 +144,11 @@
         next
     }
 
-    /// For a candidate: if it has the id of the current instance, raises its token to at least that
-    /// one's, so that it refuses delayed commands meant for earlier instances.
-    pub fn inherit_fencing_token(&mut self, before: &Target) {
-        if self.instance().id == before.instance().id {
-            self.fencing_token = self.fencing_token.max(before.fencing_token);
+    /// If the previous instance has the same id, raises the token to at least the previous one, so
+    /// that this instance refuses delayed commands meant for earlier ones.
+    pub fn inherit_fencing_token(&mut self, previous: &Target) {
+        if self.instance().id == previous.instance().id {
+            self.fencing_token = self.fencing_token.max(previous.fencing_token);
         }
     }
 
@@ -157,8 +158,8 @@
 
     /// Whether a report under this name is one of this instance, or lacks the start time.
     pub fn accepts_report_of(&self, instance: &TargetInstance) -> bool {
-        let leaves_out = instance.started_ms.is_none() && instance.id == self.instance().id;
-        *self.instance() == *instance || leaves_out
+        let omits_start_time = instance.started_ms.is_none() && instance.id == self.instance().id;
+        *self.instance() == *instance || omits_start_time
     }
 
     /// Sets the start time from an answer, because the reports lack it. Any report that has it then
