--- a/components/runner/tests/crashes.rs
+++ b/components/runner/tests/crashes.rs
@@ -1,14 +1,12 @@
-//! Tasks that ran when their target crashed are reported apart from other lost tasks.
-//!
-//! Guards against one job that crashes target after target. A target that only leaves commands
-//! unanswered has not crashed.
+//! Tasks that ran when their target crashed are reported apart from other lost tasks, so that one job
+//! does not crash target after target. A target that only leaves commands unanswered has not crashed.
 
 mod support;
 
 use runner::{Event, HoldReply, StartReply};
 use wire::{Refusal, TaskEnd};
 
-use support::{Agent, answer, draining_report, no_runs, numbered_report, started_at, target};
+use support::{Agent, answer, draining_report, no_runs, numbered_report, start_task, target};
 
 /// An agent with a running task and one whose start is not answered yet.
 fn agent_with_running_and_starting_task() -> Agent {
@@ -70,14 +68,14 @@
     assert!(answer(&mut agent, "t2", no_runs()));
     agent.run_for(20);
     agent.starts.clear();
-    assert!(started_at(&mut agent, "a").is_empty());
+    assert!(start_task(&mut agent, "a").is_empty());
     agent.run_for(20);
     assert_eq!(agent.ends().last(), Some(&TaskEnd::NotRun(Refusal::CrashedTarget)));
-    assert_eq!(started_at(&mut agent, "b"), [target("t2")], "the task had not started");
+    assert_eq!(start_task(&mut agent, "b"), [target("t2")], "the task had not started");
     assert!(answer(&mut agent, "t2", HoldReply::NoAnswer));
     for _ in 0..210 {
         agent.run_for(100);
         answer(&mut agent, "t2", no_runs());
     }
-    assert_eq!(started_at(&mut agent, "a"), [target("t2")]);
+    assert_eq!(start_task(&mut agent, "a"), [target("t2")]);
 }
--- a/components/runner/tests/hold_timing.rs
+++ b/components/runner/tests/hold_timing.rs
@@ -33,7 +33,7 @@
     }
 
     /// Starts this many tasks of a job.
-    fn start(&mut self, job: &str, count: u32) -> Vec<RunKey> {
+    fn start_tasks(&mut self, job: &str, count: u32) -> Vec<RunKey> {
         self.request(job, count, 0);
         self.take_starts().into_iter().map(|start| start.key).collect()
     }
@@ -46,7 +46,7 @@
 #[test]
 fn holds_wait_long_at_reliable_target() {
     let mut agent = Agent::new();
-    let runs = agent.start("j1", 5);
+    let runs = agent.start_tasks("j1", 5);
     assert_eq!(agent.answer_hold(&runs).wait, DEFAULT_WAIT);
 }
 
@@ -56,12 +56,12 @@
 fn hold_wait_follows_mean_end_interval_after_unanswered_command() {
     let mut agent = Agent::new();
     assert_eq!(agent.leave_hold_unanswered().wait, MAX_WAIT, "no active runs");
-    let mut runs = agent.start("j1", 1);
+    let mut runs = agent.start_tasks("j1", 1);
     assert_eq!(agent.answer_hold(&runs).wait, MAX_WAIT, "the end is expected in 100 ms");
-    runs.extend(agent.start("j2", 2));
+    runs.extend(agent.start_tasks("j2", 2));
     let wait = agent.answer_hold(&runs).wait;
     assert!(wait > MIN_WAIT && wait < MAX_WAIT, "one of three runs ends every 33 ms: {wait:?}");
-    runs.extend(agent.start("j3", 2));
+    runs.extend(agent.start_tasks("j3", 2));
     let hold = agent.answer_hold(&runs);
     assert_eq!((hold.wait, hold.answer_within), (MIN_WAIT, MIN_WAIT + ANSWER_SLACK));
 }
--- a/components/runner/tests/late_reports.rs
+++ b/components/runner/tests/late_reports.rs
@@ -1,8 +1,5 @@
-//! Late reports and answers, of the current target instance and of earlier ones.
-//!
-//! Guards against tasks that run twice, work that starts on a target about to leave, and a healthy
-//! target that gets no more work because a late report of an earlier instance was taken for its
-//! successor's.
+//! Late reports and answers of the current target instance and of earlier ones must not make tasks
+//! run twice, give work to a leaving target or take it from a healthy one.
 
 mod support;
 
@@ -10,7 +7,7 @@
 use wire::TaskEnd;
 
 use support::{
-    Agent, SESSION, answer, draining_report, no_runs, numbered_report, started_at, target,
+    Agent, SESSION, answer, draining_report, no_runs, numbered_report, start_task, target,
 };
 
 #[test]
@@ -28,7 +25,7 @@
     agent.answer_outstanding_hold(&[], &ended);
     assert_eq!(agent.ends(), [TaskEnd::Done, TaskEnd::Done]);
     agent.handle(Event::TargetReported(numbered_report("t1", 5)));
-    assert_eq!(started_at(&mut agent, "b"), [target("t1")], "t1 is still the current instance");
+    assert_eq!(start_task(&mut agent, "b"), [target("t1")], "t1 is still the current instance");
 }
 
 #[test]
@@ -41,7 +38,7 @@
             !answer(&mut agent, "t0", HoldReply::OtherInstance) || sequence == 1,
             "t0 is probed only once"
         );
-        assert_eq!(started_at(&mut agent, &format!("b{sequence}")), [target("t1")]);
+        assert_eq!(start_task(&mut agent, &format!("b{sequence}")), [target("t1")]);
     }
     assert!(agent.reports.is_empty());
     assert_eq!(agent.runner.counters().late_reports, 5, "every late report is counted");
@@ -53,7 +50,7 @@
     agent.handle(Event::TargetReported(draining_report("t0", 900)));
     agent.run_for(10);
     assert!(agent.open);
-    assert_eq!(started_at(&mut agent, "a"), [target("t1")]);
+    assert_eq!(start_task(&mut agent, "a"), [target("t1")]);
 }
 
 #[test]
@@ -67,7 +64,7 @@
         agent.handle(Event::TargetReported(numbered_report("t1", 1)));
         assert!(answer(&mut agent, "t1", no_runs()));
         agent.handle(Event::TargetReported(numbered_report("t0", 900)));
-        assert_eq!(started_at(&mut agent, "a"), [target("t1")]);
+        assert_eq!(start_task(&mut agent, "a"), [target("t1")]);
     }
 }
 
@@ -83,7 +80,7 @@
     assert_eq!(agent.ends(), [TaskEnd::Crashed, TaskEnd::Crashed]);
     answer(&mut agent, "t1", HoldReply::OtherInstance);
     agent.handle(Event::TargetReported(numbered_report("t1", 900)));
-    assert_eq!(started_at(&mut agent, "b"), [target("t2")]);
+    assert_eq!(start_task(&mut agent, "b"), [target("t2")]);
     assert_eq!(agent.holds.len(), 1, "one hold is outstanding");
 }
 
@@ -97,7 +94,7 @@
     agent.run_for(10);
     assert_eq!(agent.ends(), [TaskEnd::Lost]);
     assert!(answer(&mut agent, "t2", no_runs()));
-    assert_eq!(started_at(&mut agent, "b"), [target("t2")]);
+    assert_eq!(start_task(&mut agent, "b"), [target("t2")]);
     let at_t2 = agent.holds.iter().filter(|hold| hold.target == target("t2"));
     assert_eq!(at_t2.count(), 1, "one hold is outstanding");
 }
@@ -111,7 +108,7 @@
         agent.run_for(40);
     }
     assert!(answer(&mut agent, "t2", no_runs()));
-    assert_eq!(started_at(&mut agent, "a"), [target("t2")]);
+    assert_eq!(start_task(&mut agent, "a"), [target("t2")]);
 }
 
 #[test]
@@ -122,11 +119,11 @@
     assert!(answer(&mut agent, "t3", no_runs()));
     // The second instance answered before it crashed; its answer was delayed.
     assert!(answer(&mut agent, "t2", no_runs()));
-    assert_eq!(started_at(&mut agent, "a"), [target("t3")]);
+    assert_eq!(start_task(&mut agent, "a"), [target("t3")]);
     agent.run_for(30);
     assert!(answer(&mut agent, "t2", HoldReply::OtherInstance), "t2 is probed again");
     agent.handle(Event::TargetReported(numbered_report("t3", 2)));
-    assert_eq!(started_at(&mut agent, "b"), [target("t3")]);
+    assert_eq!(start_task(&mut agent, "b"), [target("t3")]);
 }
 
 #[test]
@@ -138,14 +135,14 @@
     let holds = agent.holds.len();
     agent.run_for(50);
     assert_eq!((agent.holds.len(), agent.reports.len()), (holds, 0));
-    assert_eq!(started_at(&mut agent, "a"), [target("t1")]);
+    assert_eq!(start_task(&mut agent, "a"), [target("t1")]);
     let probes = agent.holds.iter().filter(|hold| hold.target != target("t1"));
     let mut probes: Vec<_> = probes.map(|hold| hold.target.clone()).collect();
     probes.sort();
     assert!(probes.contains(&target("x99")), "the newest candidate is probed");
     agent.handle(Event::TargetReported(numbered_report("t2", 1)));
     assert!(answer(&mut agent, "t2", no_runs()));
-    assert_eq!(started_at(&mut agent, "b"), [target("t2")]);
+    assert_eq!(start_task(&mut agent, "b"), [target("t2")]);
 }
 
 #[test]
@@ -159,7 +156,7 @@
     assert!(answer(&mut agent, "t2", HoldReply::NoAnswer));
     agent.run_for(50);
     assert!(!answer(&mut agent, "t2", no_runs()), "t2 is no longer probed");
-    assert_eq!(started_at(&mut agent, "a"), [target("t1")]);
+    assert_eq!(start_task(&mut agent, "a"), [target("t1")]);
     let mut other_agent = Agent::at_target("t1", 5_000);
     other_agent.handle(Event::TargetLeft(target("t1")));
     other_agent.holds.clear();
@@ -176,7 +173,7 @@
     agent.handle(Event::TargetLeft(target("t0")));
     agent.run_for(20);
     assert!(agent.reports.is_empty());
-    assert_eq!(started_at(&mut agent, "b"), [target("t1")]);
+    assert_eq!(start_task(&mut agent, "b"), [target("t1")]);
 }
 
 #[test]
@@ -211,5 +208,5 @@
     agent.handle(Event::TargetReported(numbered_report("t2", 2)));
     assert!(answer(&mut agent, "t2", no_runs()));
     agent.run_for(10);
-    assert!(started_at(&mut agent, "a").is_empty() && !agent.open);
+    assert!(start_task(&mut agent, "a").is_empty() && !agent.open);
 }
--- a/components/runner/tests/late_starts.rs
+++ b/components/runner/tests/late_starts.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// The same, if the entry that requested the task is gone and nobody receives a cancellation.
+/// Guards against tasks that run after the entry that requested them is gone.
 #[test]
 fn late_start_of_lost_session_is_stopped() {
     for late in [2_000, 5_000, MAX_DELAY_MS] {
@@ -72,8 +72,7 @@
     }
 }
 
-/// The cancellation arrives from an entry that never had the job, after the start was proven not to
-/// run.
+/// The cancellation arrives from an entry that never had the job, long before the start.
 #[test]
 fn job_cancelled_at_another_entry_stays_refused() {
     let mut agent = Agent::new();
--- a/components/runner/tests/random_order.rs
+++ b/components/runner/tests/random_order.rs
@@ -1,13 +1,11 @@
-//! Randomly ordered reports, answers and restarts.
-//!
-//! Guards against a healthy target that gets no more work until it restarts, because the agent took
-//! a late report of an earlier instance for its successor's.
+//! Randomly ordered reports, answers and restarts. Guards against a healthy target that gets no more
+//! work because the agent took a late report of an earlier instance for its successor's.
 
 mod support;
 
 use runner::{Event, HoldReply, TargetInstance, TargetReport};
 
-use support::{Agent, CLOCK, SESSION, no_runs, numbered_report, started_at, target};
+use support::{Agent, CLOCK, SESSION, no_runs, numbered_report, start_task, target};
 
 /// The instances of a target at one address; their reports may be delayed.
 struct TargetAddress {
@@ -36,7 +34,7 @@
     }
 
     /// Answers the oldest hold as the current instance.
-    fn answer(&mut self, agent: &mut Agent) {
+    fn answer_oldest_hold(&mut self, agent: &mut Agent) {
         if agent.holds.is_empty() {
             return;
         }
@@ -46,7 +44,7 @@
     }
 
     /// Delivers a random answer.
-    fn deliver(&mut self, agent: &mut Agent) {
+    fn deliver_answer(&mut self, agent: &mut Agent) {
         let count = self.answers.len() as u64;
         if count > 0 {
             let which = self.random_below(count) as usize;
@@ -55,7 +53,8 @@
         }
     }
 
-    fn restart(&mut self, agent: &mut Agent) {
+    /// Replaces the agent by a new process, which may first receive a delayed report.
+    fn restart_agent(&mut self, agent: &mut Agent) {
         let report = self.report();
         let first = if self.delayed.is_empty() { report } else { self.delayed.swap_remove(0) };
         *agent = Agent::at_target(&first.instance.id, CLOCK);
@@ -64,7 +63,7 @@
 
     /// Performs a random step: sends or delays a report, delivers a delayed one, answers a hold,
     /// delivers an answer, or restarts the target or the agent.
-    fn step(&mut self, agent: &mut Agent) {
+    fn random_step(&mut self, agent: &mut Agent) {
         match self.random_below(14) {
             0..=3 => {
                 let report = self.report();
@@ -81,13 +80,13 @@
                     agent.handle(Event::TargetReported(self.delayed.swap_remove(which)));
                 }
             }
-            8 | 9 => self.answer(agent),
-            12 | 13 => self.deliver(agent),
+            8 | 9 => self.answer_oldest_hold(agent),
+            12 | 13 => self.deliver_answer(agent),
             10 if self.random_below(3) == 0 => {
                 self.instance += 1;
                 self.sequence = 0;
             }
-            11 if self.random_below(4) == 0 => self.restart(agent),
+            11 if self.random_below(4) == 0 => self.restart_agent(agent),
             _ => agent.run_for(10),
         }
     }
@@ -100,20 +99,20 @@
         let mut address =
             TargetAddress { instance: 1, sequence: 0, delayed, answers, random_state };
         let mut agent = Agent::at_target("instance1", CLOCK);
-        (0..200).for_each(|_| address.step(&mut agent));
+        (0..200).for_each(|_| address.random_step(&mut agent));
         // The delayed reports arrive, the current instance reports, and commands are answered.
         for late in std::mem::take(&mut address.delayed) {
             agent.handle(Event::TargetReported(late));
         }
         for _ in 0..30 {
             agent.handle(Event::TargetReported(address.report()));
-            (0..agent.holds.len()).for_each(|_| address.answer(&mut agent));
-            (0..address.answers.len()).for_each(|_| address.deliver(&mut agent));
+            (0..agent.holds.len()).for_each(|_| address.answer_oldest_hold(&mut agent));
+            (0..address.answers.len()).for_each(|_| address.deliver_answer(&mut agent));
             agent.run_for(20);
         }
         agent.handle(Event::SessionOpened(SESSION));
         assert_eq!(
-            started_at(&mut agent, "last"),
+            start_task(&mut agent, "last"),
             [target(&address.id())],
             "random state {random_state}"
         );
--- a/components/runner/tests/reordered_reports.rs
+++ b/components/runner/tests/reordered_reports.rs
@@ -1,7 +1,5 @@
-//! Reports of one target instance that arrive out of order.
-//!
-//! Guards against work that starts on a target which has announced that it leaves, or beyond its
-//! capacity, because an older report overrides a newer one.
+//! Reports of one target instance that arrive out of order. Guards against work on a leaving target,
+//! or beyond its capacity, because an older report overrides a newer one.
 
 mod support;
 
@@ -9,7 +7,7 @@
 use runner::{Event, HoldReply, TargetReport};
 
 use support::{
-    Agent, SESSION, answer, draining_report, numbered_report, report, started_at, target,
+    Agent, SESSION, answer, draining_report, numbered_report, report, start_task, target,
 };
 
 #[test]
@@ -19,7 +17,7 @@
     agent.handle(Event::TargetReported(numbered_report("t1", 4)));
     agent.run_for(10);
     assert!(!agent.open);
-    assert!(started_at(&mut agent, "a").is_empty());
+    assert!(start_task(&mut agent, "a").is_empty());
     assert_eq!(agent.runner.counters().late_reports, 1);
 }
 
@@ -28,7 +26,7 @@
     let mut agent = Agent::new();
     agent.handle(Event::TargetReported(draining_report("t1", 5)));
     agent.handle(Event::TargetReported(numbered_report("t1", 6)));
-    assert!(started_at(&mut agent, "a").is_empty(), "the agent has acknowledged the leave");
+    assert!(start_task(&mut agent, "a").is_empty(), "the agent has acknowledged the leave");
 }
 
 #[test]
@@ -36,7 +34,7 @@
     let mut agent = Agent::new();
     agent.handle(Event::TargetReported(numbered_report("t1", 6)));
     agent.handle(Event::TargetReported(draining_report("t1", 5)));
-    assert!(started_at(&mut agent, "a").is_empty(), "the agent has acknowledged the leave");
+    assert!(start_task(&mut agent, "a").is_empty(), "the agent has acknowledged the leave");
 }
 
 #[test]
@@ -56,9 +54,8 @@
     Resources { cpu_milli, memory_mb: 32_768, gpu: 0 }
 }
 
-/// Guards against work that starts on a leaving target: an earlier agent process acknowledged the
-/// leave, and the first report that the new process receives is an older one in which the target is
-/// ready.
+/// An earlier agent process acknowledged the target's leave, and the new process first receives an
+/// older report in which the target is ready.
 #[test]
 fn new_agent_waits_after_outdated_first_report() {
     let mut agent = Agent::at_target("t1", 4_510);
@@ -68,17 +65,17 @@
         answer(&mut agent, "t1", hold_reply(7_310)),
         "the target's clock shows that the report is old"
     );
-    assert!(started_at(&mut agent, "a").is_empty() && !agent.open);
+    assert!(start_task(&mut agent, "a").is_empty() && !agent.open);
     agent.run_for(100);
     assert!(answer(&mut agent, "t1", hold_reply(7_410)));
     agent.handle(Event::TargetReported(TargetReport { sequence: 2, ..report("t1", 7_420) }));
-    assert_eq!(started_at(&mut agent, "b"), [target("t1")]);
+    assert_eq!(start_task(&mut agent, "b"), [target("t1")]);
     // Later announcements are acknowledged by this agent process itself.
     for second in 1..40 {
         agent.run_for(1_000);
         assert!(answer(&mut agent, "t1", hold_reply(7_420 + 1_000 * second)));
     }
-    assert_eq!(started_at(&mut agent, "c"), [target("t1")]);
+    assert_eq!(start_task(&mut agent, "c"), [target("t1")]);
 }
 
 #[test]
@@ -87,7 +84,7 @@
     agent.handle(Event::SessionOpened(SESSION));
     agent.run_for(20);
     assert!(answer(&mut agent, "t1", hold_reply(5_320)));
-    assert_eq!(started_at(&mut agent, "a"), [target("t1")]);
+    assert_eq!(start_task(&mut agent, "a"), [target("t1")]);
 }
 
 fn hold_reply(clock_ms: u64) -> HoldReply {
--- a/components/runner/tests/reused_ids.rs
+++ b/components/runner/tests/reused_ids.rs
@@ -1,7 +1,5 @@
-//! Targets that restart under the same id.
-//!
-//! Guards against tasks that run twice, ends that are never reported, and a healthy target that
-//! gets no more work. Commands carry only the id, so only the start time tells the instances apart.
+//! Targets that restart under the same id, so that only the start time identifies an instance. Guards
+//! against tasks that run twice, ends that are never reported, and a healthy target without work.
 
 mod support;
 
@@ -14,7 +12,7 @@
 };
 use wire::TaskEnd;
 
-use support::{Agent, CLOCK, SESSION, numbered_report, started_at};
+use support::{Agent, CLOCK, SESSION, numbered_report, start_task};
 
 /// Start time of the first instance, in ms of the Unix epoch.
 const FIRST_START: u64 = 1_790_000_000_000;
@@ -77,7 +75,7 @@
     agent.handle(Event::TargetLeft(instance(FIRST_START)));
     agent.handle(Event::TargetReported(report_of(SECOND_START, 1)));
     answer(&mut agent, SECOND_START, hold_reply(SECOND_START, &[], &[]));
-    assert_eq!(started_at(&mut agent, "a"), [instance(SECOND_START)]);
+    assert_eq!(start_task(&mut agent, "a"), [instance(SECOND_START)]);
 }
 
 #[test]
@@ -141,7 +139,7 @@
         );
         agent.run_for(20);
         assert!(agent.reports.is_empty());
-        assert_eq!(started_at(&mut agent, "b"), [instance(SECOND_START)]);
+        assert_eq!(start_task(&mut agent, "b"), [instance(SECOND_START)]);
     }
 }
 
@@ -156,7 +154,7 @@
     agent.run_for(20);
     assert_eq!(agent.ends(), [TaskEnd::Crashed]);
     answer(&mut agent, SECOND_START, hold_reply(SECOND_START, &[], &[]));
-    assert_eq!(started_at(&mut agent, "b"), [instance(SECOND_START)]);
+    assert_eq!(start_task(&mut agent, "b"), [instance(SECOND_START)]);
 }
 
 #[test]
@@ -169,7 +167,7 @@
     agent.run_for(20);
     assert_eq!(agent.ends(), [TaskEnd::Crashed]);
     answer(&mut agent, SECOND_START, hold_reply(SECOND_START, &[], &[]));
-    assert!(started_at(&mut agent, "b").is_empty());
+    assert!(start_task(&mut agent, "b").is_empty());
     let small = Resources { cpu_milli: 2_000, memory_mb: 1_024, gpu: 0 };
     agent.handle(Event::TargetReported(TargetReport {
         capacity: small,
@@ -236,13 +234,13 @@
     agent.handle(Event::TargetReported(of_another.clone()));
     agent.handle(Event::TargetReported(report_of(FIRST_START, 901)));
     assert_eq!(
-        started_at(&mut agent, "a"),
+        start_task(&mut agent, "a"),
         [instance(FIRST_START)],
         "the target's capacity is unchanged"
     );
     // The announcement of a leave takes effect all the same.
     agent.handle(Event::TargetReported(TargetReport { draining: true, ..of_another }));
-    assert!(started_at(&mut agent, "b").is_empty());
+    assert!(start_task(&mut agent, "b").is_empty());
 }
 
 #[test]
@@ -270,12 +268,13 @@
     let back = FIRST_START - 3_600_000;
     agent.handle(Event::TargetReported(report_of(back, 1)));
     answer(&mut agent, back, hold_reply(back, &[], &[]));
-    let start = started_at(&mut agent, "a");
+    let start = start_task(&mut agent, "a");
     assert_eq!(start, [instance(back)]);
     assert!(agent.holds.last().is_some_and(|hold| hold.fencing_token >= token));
 }
 
-/// The current instance refuses the token: it has the id of the instance whose late report arrived.
+/// The current instance answers the probe of an earlier one, as both have the same id, and refuses
+/// its token.
 #[test]
 fn refused_token_does_not_identify_the_instance() {
     let mut agent = agent_with_first_instance();
@@ -289,7 +288,7 @@
     answer(&mut agent, earlier, hold_reply(FIRST_START, &[&start.key], &[]));
     agent.run_for(20);
     assert!(agent.reports.is_empty());
-    assert_eq!(started_at(&mut agent, "b"), [instance(FIRST_START)]);
+    assert_eq!(start_task(&mut agent, "b"), [instance(FIRST_START)]);
 }
 
 /// A delayed command of an earlier agent process, meant for an earlier instance, has left the
@@ -298,11 +297,11 @@
 fn token_far_ahead_is_reached_within_few_refusals() {
     let mut agent = agent_with_first_instance();
     agent.run_for(20);
-    let seen = FIRST_START + 48 * 3_600_000;
+    let token_at_target = FIRST_START + 48 * 3_600_000;
     let mut refusals = 0;
     loop {
         let hold = agent.holds.last().expect("a hold is outstanding");
-        if hold.fencing_token >= seen {
+        if hold.fencing_token >= token_at_target {
             break;
         }
         refusals += 1;
@@ -337,5 +336,5 @@
     agent.now = agent.now + Duration::from_millis(10);
     agent.handle(Event::TargetReported(report_of(SECOND_START, 1)));
     answer(&mut agent, SECOND_START, hold_reply(SECOND_START, &[], &[]));
-    assert_eq!(started_at(&mut agent, "a"), [instance(SECOND_START)]);
+    assert_eq!(start_task(&mut agent, "a"), [instance(SECOND_START)]);
 }
--- a/components/runner/tests/support/mod.rs
+++ b/components/runner/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An agent whose target and entry are played by the test.
+//! An agent whose target and entry are simulated by the test.
 
 // Each test file uses only some of the helpers.
 #![allow(dead_code)]
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Answers every pending start as accepted.
+    /// Answers every pending start as accepted; returns the starts.
     pub fn take_starts(&mut self) -> Vec<StartCommand> {
         let starts = std::mem::take(&mut self.starts);
         for start in &starts {
@@ -213,8 +213,8 @@
     true
 }
 
-/// Starts a task; returns the instances on which it was started.
-pub fn started_at(agent: &mut Agent, job: &str) -> Vec<TargetInstance> {
+/// Requests a task and accepts its start; returns the instances to which the start was sent.
+pub fn start_task(agent: &mut Agent, job: &str) -> Vec<TargetInstance> {
     agent.request(job, 1, 0);
     agent.take_starts().into_iter().map(|start| start.key.target).collect()
 }
