--- a/components/dispatch/src/admission.rs
+++ b/components/dispatch/src/admission.rs
@@ -24,33 +24,33 @@
         now: Time,
         call: CallId,
         request: JobRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.counters.submitted += 1;
         if self.jobs.contains_key(&request.id) {
-            return self.resubmit(now, call, request, out);
+            return self.resubmit(now, call, request, actions);
         }
         if now < self.stale_until {
             // The client may have submitted the job elsewhere in the meantime.
-            return self.refuse(call, &request, Reason::Paused, out);
+            return self.refuse(call, &request, Reason::Paused, actions);
         }
         if self.cancelled_jobs.contains(&request.id) {
-            out.push(Action::Answer(call, Outcome::Cancelled));
+            actions.push(Action::Answer(call, Outcome::Cancelled));
             self.counters.cancelled += 1;
             return;
         }
         let outlasts_stop = |end: Time| !request.ends_within(end.since(now));
         if self.stop_deadline.is_some_and(outlasts_stop) {
-            return self.refuse(call, &request, Reason::Draining, out);
+            return self.refuse(call, &request, Reason::Draining, actions);
         }
         if self.only_emptied_halls_fit(now, &request) {
-            return self.refuse(call, &request, Reason::HallsEmptied, out);
+            return self.refuse(call, &request, Reason::HallsEmptied, actions);
         }
         if self.is_unservable(now, &request) {
-            return self.refuse(call, &request, Reason::NoTarget, out);
+            return self.refuse(call, &request, Reason::NoTarget, actions);
         }
         let id = request.id.clone();
-        out.push(Action::Log(LogEvent::Admitted {
+        actions.push(Action::Log(LogEvent::Admitted {
             job: id.clone(),
             queue: request.queue.clone(),
             tasks: request.shape.count,
@@ -65,7 +65,7 @@
         self.calls.insert(call, id.clone());
         self.jobs.insert(id.clone(), job);
         // An earlier run of the job may have crashed too many targets already.
-        self.fail_if_crashing(now, &id, out);
+        self.fail_if_crashing(now, &id, actions);
     }
 
     /// Handles a submission of a job that is already known here, usually because its client lost
@@ -75,7 +75,7 @@
         now: Time,
         call: CallId,
         request: JobRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let id = request.id.clone();
         let resubmission_refusal = self.resubmission_refusal(now);
@@ -87,7 +87,7 @@
         }
         if let Some(reason) = resubmission_refusal {
             // The first run may have executed tasks, so "not run" could be false.
-            out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
+            actions.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
             return;
         }
         // The tasks of the first run are being stopped. The job starts again after that.
@@ -96,7 +96,7 @@
         if let Some((previous, _)) = previous {
             // Only the latest resubmission of the client is kept.
             self.calls.remove(&previous);
-            out.push(Action::Answer(previous, Outcome::MayHaveRun(Reason::ClientGone)));
+            actions.push(Action::Answer(previous, Outcome::MayHaveRun(Reason::ClientGone)));
         }
     }
 
@@ -115,15 +115,15 @@
         call: CallId,
         request: &JobRequest,
         reason: Reason,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let outcome = not_run_outcome(reason, request);
         self.counters.not_run += 1;
-        out.push(Action::Log(LogEvent::Refused { job: request.id.clone(), reason }));
-        out.push(Action::Answer(call, outcome));
+        actions.push(Action::Log(LogEvent::Refused { job: request.id.clone(), reason }));
+        actions.push(Action::Answer(call, outcome));
     }
 
-    pub(crate) fn abandon(&mut self, now: Time, call: CallId, out: &mut Vec<Action>) {
+    pub(crate) fn abandon(&mut self, now: Time, call: CallId, actions: &mut Vec<Action>) {
         let Some(id) = self.calls.remove(&call) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.calls.retain(|other| *other != call);
@@ -131,7 +131,7 @@
             job.resubmission = None;
         }
         if job.calls.is_empty() && job.outcome.is_none() {
-            self.finish_job(now, &id, Outcome::Failed(Reason::ClientGone), out);
+            self.finish_job(now, &id, Outcome::Failed(Reason::ClientGone), actions);
         }
     }
 }
--- a/components/dispatch/src/agents.rs
+++ b/components/dispatch/src/agents.rs
@@ -126,7 +126,7 @@
         &mut self,
         id: SessionId,
         profile: AgentProfile,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         // The agent may have reconnected before its old session was closed.
         let duplicate = |(other, agent): (&SessionId, &Agent)| {
@@ -136,13 +136,13 @@
         if duplicates.iter().any(|other| *other > id) {
             // An agent reconnects only after it has closed its previous connection, so this profile
             // was delayed on the older one.
-            return self.remove_agent(id, "connected again", out);
+            return self.remove_agent(id, "connected again", actions);
         }
         for duplicate in duplicates {
-            self.remove_agent(duplicate, "connected again", out);
+            self.remove_agent(duplicate, "connected again", actions);
         }
         let Some(agent) = self.agents.get_mut(&id) else { return };
-        out.push(Action::Log(LogEvent::AgentKnown {
+        actions.push(Action::Log(LogEvent::AgentKnown {
             agent: profile.node.clone(),
             service: profile.service.clone(),
             capacity: profile.capacity,
@@ -156,7 +156,7 @@
         now: Time,
         id: SessionId,
         load: Load,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(agent) = self.agents.get_mut(&id) else { return };
         let was_open = agent.load.open;
@@ -164,12 +164,12 @@
         if was_open != load.open
             && let Some(name) = agent.name()
         {
-            out.push(Action::Log(LogEvent::AgentOpen { agent: name.clone(), open: load.open }));
+            actions.push(Action::Log(LogEvent::AgentOpen { agent: name.clone(), open: load.open }));
         }
     }
 
     /// Sends the heartbeats that are due and removes agents that have timed out.
-    pub(crate) fn check_agents(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn check_agents(&mut self, now: Time, actions: &mut Vec<Action>) {
         if now.since(self.agents_checked) < CHECK_INTERVAL {
             return;
         }
@@ -180,10 +180,10 @@
                 silent.push(*id);
             } else if now.since(agent.last_heartbeat) >= agent.heartbeat_interval(&self.timing) {
                 agent.last_heartbeat = now;
-                out.push(Action::Send(*id, ToAgent::Heartbeat { agent_clock: agent.load.at }));
+                actions.push(Action::Send(*id, ToAgent::Heartbeat { agent_clock: agent.load.at }));
             }
         }
-        silent.into_iter().for_each(|id| self.remove_agent(id, "silent", out));
+        silent.into_iter().for_each(|id| self.remove_agent(id, "silent", actions));
     }
 
     /// Records that a message was just sent which the agent counts as a heartbeat.
--- a/components/dispatch/src/answers.rs
+++ b/components/dispatch/src/answers.rs
@@ -22,7 +22,7 @@
         now: Time,
         id: &JobId,
         outcome: Outcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let targets = self.summarize_targets(now);
         self.remove_from_queue(id);
@@ -34,11 +34,11 @@
         };
         if let Some(breach) = breach {
             self.counters.breaches += 1;
-            out.push(Action::Log(LogEvent::Breach(breach)));
+            actions.push(Action::Log(LogEvent::Breach(breach)));
         }
         job.outcome = Some(outcome);
         let calls = std::mem::take(&mut job.calls);
-        out.push(Action::Log(LogEvent::Answered {
+        actions.push(Action::Log(LogEvent::Answered {
             job: id.clone(),
             queue: job.request.queue.clone(),
             outcome,
@@ -57,11 +57,11 @@
             }
         }
         for (session, tasks) in to_stop {
-            out.push(Action::Send(session, ToAgent::Stop(tasks)));
+            actions.push(Action::Send(session, ToAgent::Stop(tasks)));
         }
         for call in calls {
             self.calls.remove(&call);
-            out.push(Action::Answer(call, outcome));
+            actions.push(Action::Answer(call, outcome));
         }
         self.count_outcome(outcome);
     }
--- a/components/dispatch/src/cancels.rs
+++ b/components/dispatch/src/cancels.rs
@@ -13,26 +13,26 @@
     /// may submit the job elsewhere. A cancel of an unknown job goes to every other entry, and to
     /// every agent in case an entry can be reached only through an agent. Passing on every cancel
     /// would cost messages in proportion to entries times agents.
-    pub(crate) fn cancel(&mut self, now: Time, id: &JobId, out: &mut Vec<Action>) {
+    pub(crate) fn cancel(&mut self, now: Time, id: &JobId, actions: &mut Vec<Action>) {
         if !self.jobs.contains_key(id) {
-            out.push(Action::NotifyEntries(id.clone()));
+            actions.push(Action::NotifyEntries(id.clone()));
             let cancel = |agent| Action::Send(agent, ToAgent::Cancel(id.clone()));
-            out.extend(self.agents.keys().copied().map(cancel));
+            actions.extend(self.agents.keys().copied().map(cancel));
         }
-        self.cancel_local(now, id, out);
+        self.cancel_local(now, id, actions);
     }
 
     /// Cancels the job if it is active at this entry, and remembers the cancel for a later
     /// submission.
-    pub(crate) fn cancel_local(&mut self, now: Time, id: &JobId, out: &mut Vec<Action>) {
+    pub(crate) fn cancel_local(&mut self, now: Time, id: &JobId, actions: &mut Vec<Action>) {
         self.cancelled_jobs.insert(now, id);
         let resubmission = self.jobs.get_mut(id).and_then(|job| job.resubmission.take());
         if let Some((call, _)) = resubmission {
             self.calls.remove(&call);
-            out.push(Action::Answer(call, Outcome::Cancelled));
+            actions.push(Action::Answer(call, Outcome::Cancelled));
         }
         if self.has_job(id) {
-            self.finish_job(now, id, Outcome::Cancelled, out);
+            self.finish_job(now, id, Outcome::Cancelled, actions);
         }
     }
 }
--- a/components/dispatch/src/crashes.rs
+++ b/components/dispatch/src/crashes.rs
@@ -55,12 +55,12 @@
         now: Time,
         id: SessionId,
         tasks: &[TaskId],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         for task in tasks {
             self.record_crash(now, id, task);
             if self.has_job(&task.job) {
-                self.fail_if_crashing(now, &task.job, out);
+                self.fail_if_crashing(now, &task.job, actions);
             }
         }
     }
@@ -92,14 +92,14 @@
         &mut self,
         now: Time,
         id: &JobId,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let task = |index| TaskId { job: id.clone(), index };
         let at_limit =
             (0..job.request.shape.count).any(|index| self.crashes.is_at_crash_limit(&task(index)));
         if at_limit {
-            self.finish_job(now, id, Outcome::Failed(Reason::CrashesTargets), out);
+            self.finish_job(now, id, Outcome::Failed(Reason::CrashesTargets), actions);
         }
         at_limit
     }
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -175,35 +175,35 @@
         Self { policy, ..self }
     }
 
-    /// Processes an event and appends the resulting actions to `out`.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Processes an event and appends the resulting actions.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let gap = now.since(self.last_event);
         self.last_event = now;
         if gap > self.timing.pause_threshold {
-            self.handle_pause(gap, out);
+            self.handle_pause(gap, actions);
         }
         let changed = changed_capacity(&event);
         match event {
             Event::AgentOpened(id) => self.add_agent(now, id),
-            Event::AgentClosed(id) => self.remove_agent(id, "closed", out),
-            Event::FromAgent(id, message) => self.handle_agent_message(now, id, message, out),
-            Event::Submit(call, request) => self.submit(now, call, request, out),
-            Event::Abandon(call) => self.abandon(now, call, out),
-            Event::Cancel(job) => self.cancel(now, &job, out),
-            Event::CancelledElsewhere(job) => self.cancel_local(now, &job, out),
+            Event::AgentClosed(id) => self.remove_agent(id, "closed", actions),
+            Event::FromAgent(id, message) => self.handle_agent_message(now, id, message, actions),
+            Event::Submit(call, request) => self.submit(now, call, request, actions),
+            Event::Abandon(call) => self.abandon(now, call, actions),
+            Event::Cancel(job) => self.cancel(now, &job, actions),
+            Event::CancelledElsewhere(job) => self.cancel_local(now, &job, actions),
             Event::EmptiedHalls(halls) => {
-                self.update_emptied_halls(now, &halls, HallsSource::Keeper, out)
+                self.update_emptied_halls(now, &halls, HallsSource::Keeper, actions)
             }
             Event::AdmitOnlyJobsEndingBy(end) => self.stop_deadline = Some(end),
-            Event::AnswerAll => self.answer_all(now, out),
+            Event::AnswerAll => self.answer_all(now, actions),
             Event::Tick => {}
         }
-        self.check_agents(now, out);
+        self.check_agents(now, actions);
         // Capacity is assigned before jobs are refused for lack of it, and starts are sent before
         // jobs time out, so that no stop precedes its start.
-        self.place_tasks(now, changed, out);
-        self.send_starts(now, out);
-        self.check_timeouts(now, out);
+        self.place_tasks(now, changed, actions);
+        self.send_starts(now, actions);
+        self.check_timeouts(now, actions);
     }
 
     /// Returns when the next [`Event::Tick`] is due.
@@ -259,27 +259,27 @@
         now: Time,
         id: SessionId,
         message: ToEntry,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match message {
             ToEntry::Hello { profile, document, halls } => {
-                self.register_agent(id, profile, out);
-                self.sync_emptied_halls(now, id, &halls, out);
-                out.push(Action::DocumentOffered(id, document));
+                self.register_agent(id, profile, actions);
+                self.sync_emptied_halls(now, id, &halls, actions);
+                actions.push(Action::DocumentOffered(id, document));
             }
-            ToEntry::Load(load) => self.update_agent_load(now, id, load, out),
+            ToEntry::Load(load) => self.update_agent_load(now, id, load, actions),
             ToEntry::Ended { reports, load } => {
-                self.update_agent_load(now, id, load, out);
+                self.update_agent_load(now, id, load, actions);
                 for report in reports {
-                    self.handle_task_report(now, id, report, out);
+                    self.handle_task_report(now, id, report, actions);
                 }
             }
-            ToEntry::Cancelled(job) => self.cancel_local(now, &job, out),
-            ToEntry::DocumentPart(part) => out.push(Action::DocumentPart(id, part)),
+            ToEntry::Cancelled(job) => self.cancel_local(now, &job, actions),
+            ToEntry::DocumentPart(part) => actions.push(Action::DocumentPart(id, part)),
             ToEntry::Halls(halls) => {
-                self.update_emptied_halls(now, &halls, HallsSource::Agent(id), out)
+                self.update_emptied_halls(now, &halls, HallsSource::Agent(id), actions)
             }
-            ToEntry::TargetCrashed(tasks) => self.handle_target_crash(now, id, &tasks, out),
+            ToEntry::TargetCrashed(tasks) => self.handle_target_crash(now, id, &tasks, actions),
         }
     }
 }
--- a/components/dispatch/src/halls.rs
+++ b/components/dispatch/src/halls.rs
@@ -20,16 +20,16 @@
         now: Time,
         halls: &EmptiedHalls,
         source: HallsSource,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !self.emptied_halls.update(halls) {
             return;
         }
-        out.push(Action::Log(LogEvent::Halls { halls: halls.clone(), source }));
+        actions.push(Action::Log(LogEvent::Halls { halls: halls.clone(), source }));
         for (id, agent) in &mut self.agents {
             agent.hall_is_emptied = agent.is_in(halls);
             if agent.profile.is_some() && source != HallsSource::Agent(*id) {
-                out.push(Action::Send(*id, ToAgent::Halls(halls.clone())));
+                actions.push(Action::Send(*id, ToAgent::Halls(halls.clone())));
             }
         }
         let blocked = self.jobs.values().filter(|job| {
@@ -40,7 +40,7 @@
         let blocked = blocked.map(|job| (job.request.id.clone(), refusal(job)));
         let blocked: Vec<(JobId, Outcome)> = blocked.collect();
         for (id, outcome) in blocked {
-            self.finish_job(now, &id, outcome, out);
+            self.finish_job(now, &id, outcome, actions);
         }
     }
 
@@ -51,15 +51,15 @@
         now: Time,
         id: SessionId,
         halls: &EmptiedHalls,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if let Some(agent) = self.agents.get_mut(&id) {
             agent.hall_is_emptied = agent.is_in(&self.emptied_halls);
         }
         if halls.revision < self.emptied_halls.revision {
-            out.push(Action::Send(id, ToAgent::Halls(self.emptied_halls.clone())));
+            actions.push(Action::Send(id, ToAgent::Halls(self.emptied_halls.clone())));
         }
-        self.update_emptied_halls(now, halls, HallsSource::Agent(id), out);
+        self.update_emptied_halls(now, halls, HallsSource::Agent(id), actions);
     }
 
     /// Whether at least one target could run the job and every such target is in an emptied hall.
--- a/components/dispatch/src/placement.rs
+++ b/components/dispatch/src/placement.rs
@@ -102,7 +102,7 @@
         &mut self,
         now: Time,
         changed: ChangedCapacity,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if self.queue.is_empty() {
             return;
@@ -120,7 +120,7 @@
                 continue;
             }
             match self.choose_agent(queued, &mut pass) {
-                Choice::Agent(id) => self.start_task_at(id, queued, &mut pass, out),
+                Choice::Agent(id) => self.start_task_at(id, queued, &mut pass, actions),
                 Choice::NoAgent if pass.misses + 1 >= MAX_MISSES => break,
                 Choice::NoAgent => pass.misses += 1,
                 Choice::NoJob => {}
@@ -170,7 +170,7 @@
         id: SessionId,
         queued: &QueuedTask,
         pass: &mut PlacementPass,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(job) = self.jobs.get_mut(&queued.job) else { return };
         let Some(agent) = self.agents.get_mut(&id) else { return };
@@ -180,7 +180,7 @@
         let free = agent.free(pass.now);
         let start = record_start(job, queued.index, agent, id, pass.now, &self.timing);
         if let Some(name) = agent.name() {
-            out.push(Action::Log(LogEvent::Placed {
+            actions.push(Action::Log(LogEvent::Placed {
                 task: TaskId { job: queued.job.clone(), index: queued.index },
                 run: start.run,
                 agent: name.clone(),
@@ -210,14 +210,14 @@
     }
 
     /// Sends the starts collected during this event, one message for each agent and job.
-    pub(crate) fn send_starts(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn send_starts(&mut self, now: Time, actions: &mut Vec<Action>) {
         for ((id, job), tasks) in std::mem::take(&mut self.pending_starts) {
             let (Some(agent), Some(known)) = (self.agents.get(&id), self.jobs.get(&job)) else {
                 continue;
             };
             let agent_clock = agent.load.at;
             let spec = known.request.spec.clone();
-            out.push(Action::Send(id, ToAgent::Start { agent_clock, job, spec, tasks }));
+            actions.push(Action::Send(id, ToAgent::Start { agent_clock, job, spec, tasks }));
             self.record_heartbeat_sent(now, id);
         }
     }
--- a/components/dispatch/src/task_reports.rs
+++ b/components/dispatch/src/task_reports.rs
@@ -24,7 +24,7 @@
         now: Time,
         id: SessionId,
         report: TaskReport,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let TaskReport { task: task_id, sequence, end, .. } = report;
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
@@ -64,12 +64,12 @@
         if end == TaskEnd::NotRun(wire::Refusal::Cancelled) && !answered {
             // This entry missed the cancel. Without it, every agent that knows of the cancel would
             // refuse the task in a loop.
-            self.record_task_end(id, &task_id, end, failures, out);
-            return self.cancel_local(now, &task_id.job, out);
+            self.record_task_end(id, &task_id, end, failures, actions);
+            return self.cancel_local(now, &task_id.job, actions);
         }
         let attempts = job.request.max_attempts;
         self.record_crash_from_end(now, id, &task_id, end);
-        self.record_task_end(id, &task_id, end, failures, out);
+        self.record_task_end(id, &task_id, end, failures, actions);
         if answered {
             return;
         }
@@ -78,10 +78,10 @@
                 now,
                 &task_id.job,
                 Outcome::Failed(Reason::AttemptsExhausted),
-                out,
+                actions,
             );
         }
-        if self.fail_if_crashing(now, &task_id.job, out) {
+        if self.fail_if_crashing(now, &task_id.job, actions) {
             return;
         }
         if losses >= MAX_LOSSES {
@@ -89,13 +89,13 @@
                 now,
                 &task_id.job,
                 Outcome::MayHaveRun(Reason::TooManyLosses),
-                out,
+                actions,
             );
         }
         if avoid_for.is_some() {
             self.queue.insert(queued);
         } else if open == 0 {
-            self.finish_job(now, &task_id.job, Outcome::Completed, out);
+            self.finish_job(now, &task_id.job, Outcome::Completed, actions);
         }
     }
 
@@ -105,7 +105,7 @@
         task: &TaskId,
         end: TaskEnd,
         failures: u32,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match end {
             TaskEnd::Done => return,
@@ -115,7 +115,7 @@
         }
         let Some(agent) = self.agents.get(&id).and_then(|agent| agent.name()) else { return };
         let agent = agent.clone();
-        out.push(Action::Log(LogEvent::TaskEnded { task: task.clone(), agent, end, failures }));
+        actions.push(Action::Log(LogEvent::TaskEnded { task: task.clone(), agent, end, failures }));
     }
 
     /// Closes the session of an agent. The agent stops this entry's tasks, or its target's lease
@@ -125,7 +125,7 @@
         &mut self,
         id: SessionId,
         reason: &'static str,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(agent) = self.agents.remove(&id) else { return };
         let now = self.now();
@@ -133,12 +133,12 @@
             self.counters.agents_lost += 1;
             self.agents_changed = now;
         }
-        out.push(Action::Log(LogEvent::AgentLost {
+        actions.push(Action::Log(LogEvent::AgentLost {
             agent: agent.name().cloned(),
             reason,
             tasks: agent.placed_tasks,
         }));
-        out.push(Action::Close(id));
+        actions.push(Action::Close(id));
         let until = now + self.timing.lost_agent_lease;
         let mut not_rerun = Vec::new();
         for (job_id, job) in &mut self.jobs {
@@ -162,7 +162,7 @@
         }
         self.counters.task_losses += not_rerun.len() as u64;
         for job in not_rerun {
-            self.finish_job(now, &job, Outcome::MayHaveRun(Reason::AgentLost), out);
+            self.finish_job(now, &job, Outcome::MayHaveRun(Reason::AgentLost), actions);
         }
     }
 }
--- a/components/dispatch/src/timeouts.rs
+++ b/components/dispatch/src/timeouts.rs
@@ -15,7 +15,7 @@
 impl Dispatcher {
     /// Queues lost tasks whose lease has ended, answers jobs that have waited too long, and removes
     /// answered jobs once their tasks have stopped.
-    pub(crate) fn check_timeouts(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn check_timeouts(&mut self, now: Time, actions: &mut Vec<Action>) {
         if now.since(self.timeouts_checked) < CHECK_INTERVAL {
             return;
         }
@@ -53,7 +53,7 @@
             }
         }
         for (id, outcome) in timed_out {
-            self.finish_job(now, &id, outcome, out);
+            self.finish_job(now, &id, outcome, actions);
         }
         for id in quiescent {
             let Some((call, request)) = self.jobs.remove(&id).and_then(|job| job.resubmission)
@@ -63,9 +63,9 @@
             match self.resubmission_refusal(now) {
                 Some(reason) => {
                     self.calls.remove(&call);
-                    out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
+                    actions.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
                 }
-                None => self.submit(now, call, request, out),
+                None => self.submit(now, call, request, actions),
             }
         }
     }
--- a/components/runner/src/commands.rs
+++ b/components/runner/src/commands.rs
@@ -34,7 +34,7 @@
 
 impl Runner {
     /// Starts the waiting runs that fit into the free capacity, most urgent first.
-    pub(crate) fn admit_waiting(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn admit_waiting(&mut self, now: Time, actions: &mut Vec<Action>) {
         if !self.is_open(now) {
             return;
         }
@@ -61,14 +61,14 @@
             free -= run.resources;
             run.state = RunState::Starting;
             run.started_at = now;
-            self.send_start(now, &task, out);
+            self.send_start(now, &task, actions);
         }
     }
 
-    fn send_start(&mut self, now: Time, task: &TaskId, out: &mut Vec<Action>) {
+    fn send_start(&mut self, now: Time, task: &TaskId, actions: &mut Vec<Action>) {
         let (Some(target), Some(run)) = (&mut self.target, self.runs.get(task)) else { return };
         target.extend_lease(now, self.timing.start_validity);
-        out.push(Action::Start(StartCommand {
+        actions.push(Action::Start(StartCommand {
             key: RunKey { target: target.instance().clone(), task: task.clone(), run: run.run },
             spec: run.spec.clone(),
             deadline_ms: target.deadline_ms(now, self.timing.start_validity),
@@ -76,9 +76,9 @@
         }));
     }
 
-    pub(crate) fn send_stop(&self, task: &TaskId, out: &mut Vec<Action>) {
+    pub(crate) fn send_stop(&self, task: &TaskId, actions: &mut Vec<Action>) {
         let (Some(target), Some(run)) = (&self.target, self.runs.get(task)) else { return };
-        out.push(Action::Stop(StopCommand {
+        actions.push(Action::Stop(StopCommand {
             key: RunKey { target: target.instance().clone(), task: task.clone(), run: run.run },
             fencing_token: target.fencing_token,
         }));
@@ -97,7 +97,7 @@
         now: Time,
         key: &RunKey,
         reply: StartReply,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(run) = self.find_run(key) else { return };
         let stopping = matches!(run.state, RunState::Stopping(_));
@@ -116,22 +116,22 @@
             }
             StartReply::Refused { clock_ms, reason } => {
                 self.sync_target_clock(now, clock_ms);
-                self.start_refused(now, &key.task, reason, stopping, out);
+                self.start_refused(now, &key.task, reason, stopping, actions);
             }
             StartReply::Invalid | StartReply::Unhealthy if unconfirmed => {
                 if !stopping {
-                    self.stop_unconfirmed(now, &key.task, out);
+                    self.stop_unconfirmed(now, &key.task, actions);
                 }
             }
-            StartReply::Invalid => self.end_run(now, &key.task, TaskEnd::Failed, out),
+            StartReply::Invalid => self.end_run(now, &key.task, TaskEnd::Failed, actions),
             StartReply::Unhealthy => {
                 if let Some(target) = &mut self.target {
-                    log_health_change(target.health.record_failure(now, now), out);
+                    log_health_change(target.health.record_failure(now, now), actions);
                 }
-                self.end_run(now, &key.task, TaskEnd::NotRun(Refusal::Target), out);
+                self.end_run(now, &key.task, TaskEnd::NotRun(Refusal::Target), actions);
             }
-            StartReply::OtherInstance => self.target_gone(now, out),
-            StartReply::NoAnswer => self.start_unanswered(now, &key.task, stopping, out),
+            StartReply::OtherInstance => self.target_gone(now, actions),
+            StartReply::NoAnswer => self.start_unanswered(now, &key.task, stopping, actions),
         }
     }
 
@@ -141,7 +141,7 @@
         task: &TaskId,
         reason: StartRefusal,
         stopping: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(run) = self.runs.get_mut(task) else { return };
         let unconfirmed = run.unanswered_starts > 0;
@@ -149,7 +149,7 @@
             return;
         }
         if stopping {
-            return self.end_run(now, task, TaskEnd::NotRun(Refusal::Target), out);
+            return self.end_run(now, task, TaskEnd::NotRun(Refusal::Target), actions);
         }
         if reason == StartRefusal::NoCapacity {
             self.counters.no_capacity += 1;
@@ -157,7 +157,7 @@
         if unconfirmed && !matches!(reason, StartRefusal::StaleToken | StartRefusal::DeadlinePassed)
         {
             // An earlier start with this number may have run already or may run later.
-            return self.stop_unconfirmed(now, task, out);
+            return self.stop_unconfirmed(now, task, actions);
         }
         let may_retry = run.refusals < MAX_START_REFUSALS;
         run.refusals += 1;
@@ -166,20 +166,20 @@
             // entry: skips ahead in doubling steps.
             StartRefusal::StaleRun if may_retry => {
                 run.run += 1 << run.refusals;
-                self.send_start(now, task, out);
+                self.send_start(now, task, actions);
             }
-            StartRefusal::DeadlinePassed if may_retry => self.send_start(now, task, out),
+            StartRefusal::DeadlinePassed if may_retry => self.send_start(now, task, actions),
             StartRefusal::StaleToken if may_retry => {
                 if let Some(target) = &mut self.target {
                     target.raise_fencing_token(now);
                 }
-                self.send_start(now, task, out);
+                self.send_start(now, task, actions);
             }
             StartRefusal::NoCapacity => {
-                self.end_run(now, task, TaskEnd::NotRun(Refusal::Room), out)
+                self.end_run(now, task, TaskEnd::NotRun(Refusal::Room), actions)
             }
-            _ if unconfirmed => self.stop_unconfirmed(now, task, out),
-            _ => self.end_run(now, task, TaskEnd::NotRun(Refusal::Target), out),
+            _ if unconfirmed => self.stop_unconfirmed(now, task, actions),
+            _ => self.end_run(now, task, TaskEnd::NotRun(Refusal::Target), actions),
         }
     }
 
@@ -191,7 +191,7 @@
         now: Time,
         task: &TaskId,
         stopping: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.counters.unanswered_starts += 1;
         if let Some(target) = &mut self.target {
@@ -200,21 +200,21 @@
         if stopping {
             return;
         }
-        out.push(Action::Log(LogEvent::StartSilent(task.clone())));
+        actions.push(Action::Log(LogEvent::StartSilent(task.clone())));
         let Some(run) = self.runs.get_mut(task) else { return };
         run.unanswered_starts += 1;
         if run.unanswered_starts < MAX_UNANSWERED_STARTS {
-            self.send_start(now, task, out);
+            self.send_start(now, task, actions);
         } else {
-            self.stop_unconfirmed(now, task, out);
+            self.stop_unconfirmed(now, task, actions);
         }
     }
 
     /// Stops a run that may or may not have started.
-    pub(crate) fn stop_unconfirmed(&mut self, now: Time, task: &TaskId, out: &mut Vec<Action>) {
+    pub(crate) fn stop_unconfirmed(&mut self, now: Time, task: &TaskId, actions: &mut Vec<Action>) {
         let Some(run) = self.runs.get_mut(task) else { return };
         run.state = RunState::Stopping(Stopping::new(now, true));
-        self.send_stop(task, out);
+        self.send_stop(task, actions);
     }
 
     /// Processes the answer to a stop.
@@ -223,20 +223,20 @@
         now: Time,
         key: &RunKey,
         reply: StopReply,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(run) = self.find_run(key) else { return };
         match (reply, &mut run.state) {
             (StopReply::Acknowledged, RunState::Stopping(stopping)) => {
                 stopping.acknowledged.get_or_insert(now);
             }
-            (StopReply::OtherInstance, _) => self.target_gone(now, out),
+            (StopReply::OtherInstance, _) => self.target_gone(now, actions),
             _ => {}
         }
     }
 
     /// Sends unanswered stops again, and ends runs that cannot be active any more.
-    pub(crate) fn resend_stops(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn resend_stops(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(target) = &self.target else { return };
         let lease_expired = target.is_lease_expired(now);
         let stop_wait = self.timing.stop_duration + END_LISTING_DELAY;
@@ -254,8 +254,8 @@
                 _ => {}
             }
         }
-        resend.iter().for_each(|task| self.send_stop(task, out));
-        ended.iter().for_each(|task| self.end_run(now, task, TaskEnd::Lost, out));
+        resend.iter().for_each(|task| self.send_stop(task, actions));
+        ended.iter().for_each(|task| self.end_run(now, task, TaskEnd::Lost, actions));
     }
 
     /// Stops runs that take much longer than estimated, as the target may be stuck. The estimate of
@@ -264,7 +264,7 @@
     ///
     /// Durations are taken at the last answer to a hold, since runs may have ended while a hold is
     /// unanswered.
-    pub(crate) fn stop_overdue(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn stop_overdue(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(target) = &self.target else { return };
         let last_answer = target.last_hold_answer;
         let slowdown = (target.slowdown_percent / 100.0).clamp(1.0, MAX_SLOWDOWN);
@@ -290,21 +290,21 @@
             if !stuck && !is_overdue(run, FAR_OVERDUE_FACTOR) {
                 continue;
             }
-            out.push(Action::Log(LogEvent::Stuck {
+            actions.push(Action::Log(LogEvent::Stuck {
                 task: task.clone(),
                 ran_ms: now.since(run.started_at).as_millis() as u64,
                 estimated_ms: run.estimated_ms,
             }));
             if let Some(target) = &mut self.target {
-                log_health_change(target.health.record_failure(now, started_at), out);
+                log_health_change(target.health.record_failure(now, started_at), actions);
             }
             self.mark_load_changed();
-            self.stop_run(now, &task, out);
+            self.stop_run(now, &task, actions);
         }
     }
 
     /// Refuses waiting runs whose wait for capacity has expired.
-    pub(crate) fn expire_waiting(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn expire_waiting(&mut self, now: Time, actions: &mut Vec<Action>) {
         let expired = |run: &Run| run.state == RunState::Waiting && run.expires <= now;
         let tasks: Vec<TaskId> = self
             .runs
@@ -312,14 +312,16 @@
             .filter(|(_, run)| expired(run))
             .map(|(task, _)| task.clone())
             .collect();
-        tasks.iter().for_each(|task| self.end_run(now, task, TaskEnd::NotRun(Refusal::Room), out));
+        tasks
+            .iter()
+            .for_each(|task| self.end_run(now, task, TaskEnd::NotRun(Refusal::Room), actions));
     }
 
     /// Refuses all waiting runs.
-    pub(crate) fn refuse_waiting(&mut self, now: Time, reason: Refusal, out: &mut Vec<Action>) {
+    pub(crate) fn refuse_waiting(&mut self, now: Time, reason: Refusal, actions: &mut Vec<Action>) {
         let waits = |run: &Run| run.state == RunState::Waiting;
         let tasks: Vec<TaskId> =
             self.runs.iter().filter(|(_, run)| waits(run)).map(|(task, _)| task.clone()).collect();
-        tasks.iter().for_each(|task| self.end_run(now, task, TaskEnd::NotRun(reason), out));
+        tasks.iter().for_each(|task| self.end_run(now, task, TaskEnd::NotRun(reason), actions));
     }
 }
--- a/components/runner/src/halls.rs
+++ b/components/runner/src/halls.rs
@@ -19,20 +19,20 @@
         now: Time,
         halls: &EmptiedHalls,
         source: HallsSource,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !self.halls.update(halls) {
             return;
         }
         let emptied = self.is_hall_emptied();
-        out.push(Action::Log(LogEvent::Halls { halls: halls.clone(), emptied, source }));
+        actions.push(Action::Log(LogEvent::Halls { halls: halls.clone(), emptied, source }));
         let others = self.sessions.keys().filter(|id| source != HallsSource::Entry(**id));
         let recipients: Vec<SessionId> = others.copied().collect();
-        out.extend(
+        actions.extend(
             recipients.into_iter().map(|id| Action::Send(id, ToEntry::Halls(halls.clone()))),
         );
         if emptied {
-            self.refuse_waiting(now, Refusal::Closed, out);
+            self.refuse_waiting(now, Refusal::Closed, actions);
         }
         self.mark_load_changed();
     }
--- a/components/runner/src/hold.rs
+++ b/components/runner/src/hold.rs
@@ -29,23 +29,23 @@
 
 impl Runner {
     /// Sends the next hold if none is outstanding, and detects a target that does not answer.
-    pub(crate) fn check_target(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn check_target(&mut self, now: Time, actions: &mut Vec<Action>) {
         let timing = self.timing;
         let is_due = |target: &Target| target.hold_sent.is_none() && target.next_hold_at <= now;
         if self.target.as_ref().is_some_and(is_due) {
-            self.send_hold(now, out);
+            self.send_hold(now, actions);
         }
         let Some(target) = &mut self.target else { return };
         let silent = now.since(target.last_hold_answer) > timing.hold_wait + timing.target_timeout;
         if silent && !target.silent {
             target.silent = true;
-            out.push(Action::Log(LogEvent::TargetSilent(target.instance().clone())));
+            actions.push(Action::Log(LogEvent::TargetSilent(target.instance().clone())));
             self.mark_load_changed();
         }
-        self.end_runs_of_expired_lease(now, out);
+        self.end_runs_of_expired_lease(now, actions);
     }
 
-    fn send_hold(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn send_hold(&mut self, now: Time, actions: &mut Vec<Action>) {
         let timing = self.timing;
         let unanswered_stop = self.has_unanswered_stop(now);
         let hold_timing = self.hold_timing(now);
@@ -58,7 +58,7 @@
         if renews {
             target.extend_lease(now, timing.lease);
         }
-        out.push(Action::Hold(HoldCommand {
+        actions.push(Action::Hold(HoldCommand {
             target: target.instance().clone(),
             deadline_ms: renews.then(|| target.deadline_ms(now, timing.lease)),
             fencing_token: target.fencing_token,
@@ -81,7 +81,7 @@
     }
 
     /// Ends all runs on a target whose lease has expired.
-    fn end_runs_of_expired_lease(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn end_runs_of_expired_lease(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(target) = &self.target else { return };
         if !target.is_lease_expired(now) {
             return;
@@ -94,7 +94,7 @@
         };
         let lost = self.runs.iter().filter(|(_, run)| run.holds_capacity());
         let ends = lost.map(|(task, run)| (task.clone(), end_of(run))).collect();
-        self.end_runs_with_target(now, ends, out);
+        self.end_runs_with_target(now, ends, actions);
     }
 
     /// Updates the known clock of the target from an answer.
@@ -110,15 +110,15 @@
         now: Time,
         instance: &TargetInstance,
         reply: HoldReply,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        if self.candidate_answered(now, instance, &reply, out) {
+        if self.candidate_answered(now, instance, &reply, actions) {
             return;
         }
         if !self.target.as_ref().is_some_and(|target| target.instance().may_match(instance)) {
             return;
         }
-        if self.other_instance_answered(now, &reply, out) {
+        if self.other_instance_answered(now, &reply, actions) {
             return;
         }
         let Some(target) = &mut self.target else { return };
@@ -133,20 +133,20 @@
                     target.unconfirmed_leave.take_if(|left| *left < sent).is_some();
                 let was_silent = std::mem::take(&mut target.silent);
                 if was_silent {
-                    out.push(Action::Log(LogEvent::TargetHeard(instance.clone())));
+                    actions.push(Action::Log(LogEvent::TargetHeard(instance.clone())));
                 }
                 if was_silent || had_unconfirmed_leave {
                     self.mark_load_changed();
                 }
-                self.apply_ends(now, ended, out);
-                self.reconcile_runs(now, sent, &running, out);
+                self.apply_ends(now, ended, actions);
+                self.reconcile_runs(now, sent, &running, actions);
             }
             HoldReply::StaleToken { clock_ms } => {
                 target.sync_clock(now, clock_ms);
                 target.next_hold_at = now + HOLD_RETRY_DELAY;
                 target.raise_fencing_token(now);
             }
-            HoldReply::OtherInstance => self.target_gone(now, out),
+            HoldReply::OtherInstance => self.target_gone(now, actions),
             HoldReply::NoAnswer => {
                 target.record_unanswered(now, &self.timing);
                 target.next_hold_at = sent + HOLD_RETRY_DELAY;
@@ -154,7 +154,7 @@
         }
     }
 
-    fn apply_ends(&mut self, now: Time, ended: Vec<TargetEnd>, out: &mut Vec<Action>) {
+    fn apply_ends(&mut self, now: Time, ended: Vec<TargetEnd>, actions: &mut Vec<Action>) {
         for end in ended {
             let Some(target) = &mut self.target else { return };
             if end.number <= target.last_seen {
@@ -177,7 +177,7 @@
                 }
                 EndReason::Stopped | EndReason::LeaseExpired | EndReason::Other => TaskEnd::Lost,
             };
-            self.end_run(now, &task, outcome, out);
+            self.end_run(now, &task, outcome, actions);
         }
     }
 
@@ -188,7 +188,7 @@
         now: Time,
         sent: Time,
         running: &[TargetRun],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let listed: BTreeSet<(&TaskId, u64)> =
             running.iter().map(|run| (&run.task, run.run)).collect();
@@ -203,7 +203,7 @@
                 }
             }
         }
-        lost.iter().for_each(|task| self.end_run(now, task, TaskEnd::Lost, out));
+        lost.iter().for_each(|task| self.end_run(now, task, TaskEnd::Lost, actions));
         let Some(target) = &mut self.target else { return };
         let had_orphans = std::mem::take(&mut target.has_orphans);
         for run in running {
@@ -211,10 +211,10 @@
                 continue;
             }
             target.has_orphans = true;
-            out.push(Action::Log(LogEvent::Orphan(run.task.clone())));
+            actions.push(Action::Log(LogEvent::Orphan(run.task.clone())));
             let key =
                 RunKey { target: target.instance().clone(), task: run.task.clone(), run: run.run };
-            out.push(Action::Stop(StopCommand { key, fencing_token: target.fencing_token }));
+            actions.push(Action::Stop(StopCommand { key, fencing_token: target.fencing_token }));
         }
         if had_orphans != target.has_orphans {
             self.mark_load_changed();
--- a/components/runner/src/instances.rs
+++ b/components/runner/src/instances.rs
@@ -57,36 +57,41 @@
         &mut self,
         now: Time,
         report: TargetReport,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if self.ended_instances.contains(&report.instance) {
-            return self.record_late_report(&report.instance, report.sequence, out);
+            return self.record_late_report(&report.instance, report.sequence, actions);
         }
         match &self.target {
-            None => self.adopt_instance(Target::new(report, now), out),
+            None => self.adopt_instance(Target::new(report, now), actions),
             Some(target) if target.accepts_report_of(&report.instance) => {
-                self.receive_target_report(now, report, out)
+                self.receive_target_report(now, report, actions)
             }
-            Some(_) => self.receive_candidate_report(now, report, out),
+            Some(_) => self.receive_candidate_report(now, report, actions),
         }
     }
 
     /// Processes a report of an instance other than the current one: its successor, or an earlier
     /// one whose report is late.
-    fn receive_candidate_report(&mut self, now: Time, report: TargetReport, out: &mut Vec<Action>) {
+    fn receive_candidate_report(
+        &mut self,
+        now: Time,
+        report: TargetReport,
+        actions: &mut Vec<Action>,
+    ) {
         let known =
             self.candidates.iter_mut().find(|candidate| *candidate.instance() == report.instance);
         if let Some(candidate) = known {
             let (instance, sequence) = (report.instance.clone(), report.sequence);
             if candidate.apply_report(report).is_late {
-                self.record_late_report(&instance, sequence, out);
+                self.record_late_report(&instance, sequence, actions);
             }
             return;
         }
         if self.candidates.len() == MAX_CANDIDATES {
             self.candidates.remove(0);
         }
-        out.push(Action::Log(LogEvent::TargetAsked(report.instance.clone())));
+        actions.push(Action::Log(LogEvent::TargetAsked(report.instance.clone())));
         let mut candidate = Target::new(report, now);
         if let Some(target) = &self.target {
             candidate.inherit_fencing_token(target);
@@ -95,20 +100,25 @@
     }
 
     /// Processes a report of the current instance.
-    fn receive_target_report(&mut self, now: Time, report: TargetReport, out: &mut Vec<Action>) {
+    fn receive_target_report(
+        &mut self,
+        now: Time,
+        report: TargetReport,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(target) = &mut self.target else { return };
         let (instance, sequence) = (report.instance.clone(), report.sequence);
         let ReportChange { is_late, starts_draining, profile_changed } =
             target.apply_report(report);
         if is_late {
-            self.record_late_report(&instance, sequence, out);
+            self.record_late_report(&instance, sequence, actions);
         }
         if profile_changed {
-            self.send_hello(out);
+            self.send_hello(actions);
         }
         if starts_draining {
-            out.push(Action::Log(LogEvent::TargetDrains(instance)));
-            self.refuse_waiting(now, Refusal::Closed, out);
+            actions.push(Action::Log(LogEvent::TargetDrains(instance)));
+            self.refuse_waiting(now, Refusal::Closed, actions);
         }
         self.mark_load_changed();
     }
@@ -118,11 +128,11 @@
         &mut self,
         now: Time,
         instance: &TargetInstance,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if let Some(target) = self.target.as_mut().filter(|target| target.instance() == instance) {
             target.report.draining = true;
-            return self.target_gone(now, out);
+            return self.target_gone(now, actions);
         }
         if let Some(target) = &mut self.target
             && target.instance().may_match(instance)
@@ -130,7 +140,7 @@
             // The leave may be a late one of an earlier instance. If the current instance has
             // ended, it answers no more holds, and its lease expires.
             target.unconfirmed_leave = Some(now);
-            self.refuse_waiting(now, Refusal::Closed, out);
+            self.refuse_waiting(now, Refusal::Closed, actions);
             return self.mark_load_changed();
         }
         self.candidates.retain(|candidate| candidate.instance() != instance);
@@ -148,11 +158,11 @@
     }
 
     /// Sends a hold to each candidate that has none outstanding.
-    pub(crate) fn probe_candidates(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn probe_candidates(&mut self, now: Time, actions: &mut Vec<Action>) {
         let timing = self.timing;
         let probes =
             self.candidates.iter_mut().filter_map(|candidate| candidate.probe(now, &timing));
-        out.extend(probes.map(Action::Hold));
+        actions.extend(probes.map(Action::Hold));
     }
 
     /// Checks whether a hold sent to the current instance was answered by an instance with another
@@ -161,7 +171,7 @@
         &mut self,
         now: Time,
         reply: &HoldReply,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         let HoldReply::Runs { started_ms: Some(started), clock_ms, running, .. } = reply else {
             return false;
@@ -182,7 +192,7 @@
             Some(index) => self.candidates.remove(index),
             None => target.successor(now, answering, *clock_ms),
         };
-        self.replace_instance(now, next, running, out);
+        self.replace_instance(now, next, running, actions);
         true
     }
 
@@ -195,7 +205,7 @@
         now: Time,
         instance: &TargetInstance,
         reply: &HoldReply,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         let Some(index) =
             self.candidates.iter().position(|candidate| candidate.instance() == instance)
@@ -208,12 +218,12 @@
         };
         match reply {
             HoldReply::OtherInstance => {
-                self.drop_candidate(index, out);
+                self.drop_candidate(index, actions);
                 true
             }
             // The current instance, which has the same id, has answered.
             HoldReply::Runs { .. } if self.differs_in_start(index, answered_by) => {
-                self.drop_candidate(index, out);
+                self.drop_candidate(index, actions);
                 true
             }
             // The answer does not identify its instance, and the current instance has the same id.
@@ -233,12 +243,12 @@
             }
             HoldReply::Runs { running, .. } => {
                 let candidate = self.candidates.remove(index);
-                self.replace_instance(now, candidate, running, out);
+                self.replace_instance(now, candidate, running, actions);
                 false
             }
             HoldReply::StaleToken { .. } => {
                 let candidate = self.candidates.remove(index);
-                self.replace_instance(now, candidate, &[], out);
+                self.replace_instance(now, candidate, &[], actions);
                 false
             }
         }
@@ -265,10 +275,10 @@
         self.target.as_ref().is_some_and(|target| target.instance().id == *id)
     }
 
-    fn drop_candidate(&mut self, index: usize, out: &mut Vec<Action>) {
+    fn drop_candidate(&mut self, index: usize, actions: &mut Vec<Action>) {
         let candidate = self.candidates.remove(index);
         self.remember_ended_instance(candidate.instance().clone());
-        self.record_late_report(candidate.instance(), candidate.report.sequence, out);
+        self.record_late_report(candidate.instance(), candidate.report.sequence, actions);
     }
 
     /// Replaces the current instance by its successor, which lists these runs. With the same id,
@@ -279,7 +289,7 @@
         now: Time,
         mut next: Target,
         running: &[TargetRun],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let shares_id =
             self.target.as_ref().is_some_and(|target| target.instance().id == next.instance().id);
@@ -290,31 +300,31 @@
         }
         let next_instance =
             if shares_id { NextInstance::SameId(running) } else { NextInstance::Unrelated };
-        self.end_instance(now, next_instance, out);
-        self.adopt_instance(next, out);
+        self.end_instance(now, next_instance, actions);
+        self.adopt_instance(next, actions);
         let remaining: Vec<TaskId> = self.runs.keys().cloned().collect();
         for task in remaining {
-            self.stop_unconfirmed(now, &task, out);
+            self.stop_unconfirmed(now, &task, actions);
         }
     }
 
     /// Ends the current instance, and adopts the newest candidate if there is one.
-    pub(crate) fn target_gone(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.end_instance(now, NextInstance::Unrelated, out);
+    pub(crate) fn target_gone(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.end_instance(now, NextInstance::Unrelated, actions);
         if let Some(candidate) = self.candidates.pop() {
-            self.adopt_instance(candidate, out);
+            self.adopt_instance(candidate, actions);
         }
     }
 
     /// Makes an instance the current one. Nothing starts on it before it has answered a hold.
-    fn adopt_instance(&mut self, target: Target, out: &mut Vec<Action>) {
-        out.push(Action::Log(LogEvent::TargetFound {
+    fn adopt_instance(&mut self, target: Target, actions: &mut Vec<Action>) {
+        actions.push(Action::Log(LogEvent::TargetFound {
             instance: target.instance().clone(),
             fencing_token: target.fencing_token,
         }));
         self.candidates.iter_mut().for_each(Target::mark_overtaken);
         self.target = Some(target);
-        self.send_hello(out);
+        self.send_hello(actions);
         self.mark_load_changed();
     }
 
@@ -333,11 +343,11 @@
         &mut self,
         instance: &TargetInstance,
         sequence: u64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.counters.late_reports += 1;
         let present = self.target.as_ref().map(|target| &target.report);
-        out.push(Action::Log(LogEvent::TargetReportLate {
+        actions.push(Action::Log(LogEvent::TargetReportLate {
             instance: instance.clone(),
             sequence,
             present: present.map(|report| report.instance.clone()),
--- a/components/runner/src/load_reports.rs
+++ b/components/runner/src/load_reports.rs
@@ -42,7 +42,7 @@
 
 impl Runner {
     /// Sends ended runs to each entry at once, and the load when it is due.
-    pub(crate) fn report_loads(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn report_loads(&mut self, now: Time, actions: &mut Vec<Action>) {
         let load = self.current_load(now);
         let turn = self.turn_holder(now, &load);
         let interval = self.timing.max_load_interval;
@@ -70,11 +70,11 @@
             };
             if !session.reports.is_empty() {
                 let reports = std::mem::take(&mut session.reports);
-                out.push(Action::Send(*id, ToEntry::Ended { reports, load }));
+                actions.push(Action::Send(*id, ToEntry::Ended { reports, load }));
             } else if since_report >= interval
                 || (session.adds_information(&load) && since_report >= min_interval)
             {
-                out.push(Action::Send(*id, ToEntry::Load(load)));
+                actions.push(Action::Send(*id, ToEntry::Load(load)));
             } else {
                 continue;
             }
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -190,32 +190,34 @@
         }
     }
 
-    /// Processes an event and appends the resulting actions to `out`.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Processes an event and appends the resulting actions.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if now.since(self.last_event) > self.timing.max_event_gap {
             // Queued events may be outdated, and entries have given up on this agent.
-            self.lose_all_sessions("stood still", out);
+            self.lose_all_sessions("stood still", actions);
         }
         self.last_event = now;
         match event {
-            Event::SessionOpened(session) => self.open_session(now, session, out),
-            Event::SessionClosed(session) => self.lose_session(session, "closed", out),
+            Event::SessionOpened(session) => self.open_session(now, session, actions),
+            Event::SessionClosed(session) => self.lose_session(session, "closed", actions),
             Event::SessionRetired(session) => self.retire_session(now, session),
             Event::FromEntry(session, message) => {
-                self.receive_from_entry(now, session, message, out)
+                self.receive_from_entry(now, session, message, actions)
             }
-            Event::TargetReported(report) => self.target_reported(now, report, out),
-            Event::TargetLeft(instance) => self.target_left(now, &instance, out),
+            Event::TargetReported(report) => self.target_reported(now, report, actions),
+            Event::TargetLeft(instance) => self.target_left(now, &instance, actions),
             Event::NoListener(instance) => self.target_unreachable(now, &instance),
-            Event::StartAnswered(key, reply) => self.start_answered(now, &key, reply, out),
-            Event::StopAnswered(key, reply) => self.stop_answered(now, &key, reply, out),
-            Event::HoldAnswered(instance, reply) => self.hold_answered(now, &instance, reply, out),
+            Event::StartAnswered(key, reply) => self.start_answered(now, &key, reply, actions),
+            Event::StopAnswered(key, reply) => self.stop_answered(now, &key, reply, actions),
+            Event::HoldAnswered(instance, reply) => {
+                self.hold_answered(now, &instance, reply, actions)
+            }
             Event::Document(document) => self.update_document(document),
-            Event::Halls(halls) => self.update_halls(now, &halls, HallsSource::Keeper, out),
-            Event::Drain => self.drain(now, out),
+            Event::Halls(halls) => self.update_halls(now, &halls, HallsSource::Keeper, actions),
+            Event::Drain => self.drain(now, actions),
             Event::Tick => {}
         }
-        self.tick(now, out);
+        self.tick(now, actions);
     }
 
     /// The timeouts and intervals in use.
@@ -287,27 +289,27 @@
             && self.target.as_ref().is_some_and(|target| !closed(target))
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.end_timed_out_sessions(now, out);
-        self.end_retired_sessions(now, out);
+    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.end_timed_out_sessions(now, actions);
+        self.end_retired_sessions(now, actions);
         self.cancelled.remove_expired(now);
         self.lost_runs.retain(|_, (_, until)| *until > now);
         self.crashed_tasks.retain(|_, until| *until > now);
         if let Some(target) = &mut self.target {
             target.decay_slowdown(now);
         }
-        self.check_target(now, out);
-        self.probe_candidates(now, out);
-        self.stop_overdue(now, out);
-        self.expire_waiting(now, out);
-        self.resend_stops(now, out);
-        self.admit_waiting(now, out);
-        self.report_loads(now, out);
+        self.check_target(now, actions);
+        self.probe_candidates(now, actions);
+        self.stop_overdue(now, actions);
+        self.expire_waiting(now, actions);
+        self.resend_stops(now, actions);
+        self.admit_waiting(now, actions);
+        self.report_loads(now, actions);
     }
 
-    fn drain(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn drain(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.draining = true;
-        self.refuse_waiting(now, Refusal::Closed, out);
+        self.refuse_waiting(now, Refusal::Closed, actions);
         self.mark_load_changed();
     }
 
@@ -318,7 +320,12 @@
     }
 
     /// Ends the current instance with its runs, except those that its successor may run.
-    pub(crate) fn end_instance(&mut self, now: Time, next: NextInstance, out: &mut Vec<Action>) {
+    pub(crate) fn end_instance(
+        &mut self,
+        now: Time,
+        next: NextInstance,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(target) = self.target.take() else { return };
         self.remember_ended_instance(target.instance().clone());
         let is_carried_over = |task: &TaskId, run: &Run| next.may_run(now, task, run);
@@ -330,11 +337,11 @@
         let ended = self.runs.iter().filter(|(task, run)| !is_carried_over(task, run));
         let ends: Vec<(TaskId, TaskEnd)> =
             ended.map(|(task, run)| (task.clone(), end_of(run))).collect();
-        out.push(Action::Log(LogEvent::TargetGone {
+        actions.push(Action::Log(LogEvent::TargetGone {
             instance: target.instance().clone(),
             lost: ends.len(),
         }));
-        self.end_runs_with_target(now, ends, out);
+        self.end_runs_with_target(now, ends, actions);
         self.mark_load_changed();
     }
 
@@ -344,15 +351,15 @@
         &mut self,
         now: Time,
         ends: Vec<(TaskId, TaskEnd)>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let crashed = ends.iter().filter(|(_, end)| *end == TaskEnd::Crashed);
         let crashed: Vec<TaskId> = crashed.map(|(task, _)| task.clone()).collect();
         if !crashed.is_empty() {
             let message = || ToEntry::TargetCrashed(crashed.clone());
-            out.extend(self.sessions.keys().map(|id| Action::Send(*id, message())));
+            actions.extend(self.sessions.keys().map(|id| Action::Send(*id, message())));
         }
-        ends.into_iter().for_each(|(task, end)| self.end_run(now, &task, end, out));
+        ends.into_iter().for_each(|(task, end)| self.end_run(now, &task, end, actions));
     }
 
     /// Ends a run: reports it to its entry and frees its capacity.
@@ -361,7 +368,7 @@
         now: Time,
         task: &TaskId,
         end: TaskEnd,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(run) = self.runs.remove(task) else { return };
         let ran = if run.holds_capacity() { now.since(run.started_at) } else { Duration::ZERO };
@@ -372,8 +379,8 @@
             self.crashed_tasks.insert(task.clone(), now + CRASHED_TASK_RETENTION);
         }
         self.count_end(end);
-        self.update_target_stats(now, &run, end, ran, out);
-        out.push(Action::Log(LogEvent::Run {
+        self.update_target_stats(now, &run, end, ran, actions);
+        actions.push(Action::Log(LogEvent::Run {
             task: task.clone(),
             run: run.run,
             end,
@@ -399,7 +406,7 @@
         run: &Run,
         end: TaskEnd,
         ran: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(target) = &mut self.target else { return };
         if !matches!(end, TaskEnd::NotRun(_)) {
@@ -413,7 +420,7 @@
             TaskEnd::Failed => target.health.record_failure(now, run.started_at),
             _ => HealthChange::None,
         };
-        log_health_change(change, out);
+        log_health_change(change, actions);
     }
 
     fn count_end(&mut self, end: TaskEnd) {
@@ -429,16 +436,16 @@
     }
 
     /// Stops a run in any state.
-    pub(crate) fn stop_run(&mut self, now: Time, task: &TaskId, out: &mut Vec<Action>) {
+    pub(crate) fn stop_run(&mut self, now: Time, task: &TaskId, actions: &mut Vec<Action>) {
         let Some(run) = self.runs.get_mut(task) else { return };
         match run.state {
             RunState::Waiting => {
-                self.end_run(now, task, TaskEnd::NotRun(Refusal::Cancelled), out);
+                self.end_run(now, task, TaskEnd::NotRun(Refusal::Cancelled), actions);
             }
             RunState::Starting | RunState::Running => {
                 let unconfirmed = run.state == RunState::Starting;
                 run.state = RunState::Stopping(Stopping::new(now, unconfirmed));
-                self.send_stop(task, out);
+                self.send_stop(task, actions);
             }
             RunState::Stopping(_) => {}
         }
@@ -455,13 +462,13 @@
     }
 }
 
-pub(crate) fn log_health_change(change: HealthChange, out: &mut Vec<Action>) {
+pub(crate) fn log_health_change(change: HealthChange, actions: &mut Vec<Action>) {
     match change {
         HealthChange::None => {}
         HealthChange::Excluded { failures, exclusion } => {
             let for_ms = exclusion.as_millis() as u64;
-            out.push(Action::Log(LogEvent::TargetLeftOut { failures, for_ms }));
+            actions.push(Action::Log(LogEvent::TargetLeftOut { failures, for_ms }));
         }
-        HealthChange::Restored => out.push(Action::Log(LogEvent::TargetTakenBack)),
+        HealthChange::Restored => actions.push(Action::Log(LogEvent::TargetTakenBack)),
     }
 }
--- a/components/runner/src/sessions.rs
+++ b/components/runner/src/sessions.rs
@@ -39,7 +39,7 @@
 }
 
 impl Runner {
-    pub(crate) fn open_session(&mut self, now: Time, id: SessionId, out: &mut Vec<Action>) {
+    pub(crate) fn open_session(&mut self, now: Time, id: SessionId, actions: &mut Vec<Action>) {
         let session = Session {
             last_received: now,
             last_sequence: 0,
@@ -52,16 +52,16 @@
             retired: None,
         };
         self.sessions.insert(id, session);
-        out.push(Action::Log(LogEvent::SessionOpened(id)));
+        actions.push(Action::Log(LogEvent::SessionOpened(id)));
         if self.target.is_some() {
-            out.push(Action::Send(id, self.hello()));
+            actions.push(Action::Send(id, self.hello()));
         }
     }
 
     /// Sends this agent's profile to every entry.
-    pub(crate) fn send_hello(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn send_hello(&mut self, actions: &mut Vec<Action>) {
         for id in self.sessions.keys() {
-            out.push(Action::Send(*id, self.hello()));
+            actions.push(Action::Send(*id, self.hello()));
         }
     }
 
@@ -82,7 +82,7 @@
         now: Time,
         id: SessionId,
         message: ToAgent,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.last_received = now;
@@ -97,17 +97,17 @@
             ToAgent::Stop(tasks) => {
                 for task in tasks {
                     if self.runs.get(&task).is_some_and(|run| run.session == Some(id)) {
-                        self.stop_run(now, &task, out);
+                        self.stop_run(now, &task, actions);
                     }
                 }
             }
-            ToAgent::Cancel(job) => self.cancel_job(now, id, &job, out),
+            ToAgent::Cancel(job) => self.cancel_job(now, id, &job, actions),
             ToAgent::Halls(halls) => {
-                self.update_halls(now, &halls, HallsSource::Entry(id), out);
+                self.update_halls(now, &halls, HallsSource::Entry(id), actions);
             }
             ToAgent::SendPart(request) => {
                 let part = self.document.as_ref().and_then(|document| document.part(request));
-                out.push(Action::Send(id, ToEntry::DocumentPart(part)));
+                actions.push(Action::Send(id, ToEntry::DocumentPart(part)));
             }
         }
     }
@@ -174,13 +174,13 @@
 
     /// Ends the runs of a job that was cancelled at an entry, and forwards the cancellation to the
     /// other entries, one of which may own the job.
-    fn cancel_job(&mut self, now: Time, from: SessionId, job: &JobId, out: &mut Vec<Action>) {
+    fn cancel_job(&mut self, now: Time, from: SessionId, job: &JobId, actions: &mut Vec<Action>) {
         self.cancelled.insert(now, job);
         for task in self.tasks_of(job) {
-            self.stop_run(now, &task, out);
+            self.stop_run(now, &task, actions);
         }
         for id in self.sessions.keys().filter(|id| **id != from) {
-            out.push(Action::Send(*id, ToEntry::Cancelled(job.clone())));
+            actions.push(Action::Send(*id, ToEntry::Cancelled(job.clone())));
         }
     }
 
@@ -188,7 +188,7 @@
         &mut self,
         id: SessionId,
         reason: &'static str,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if self.sessions.remove(&id).is_none() {
             return;
@@ -197,22 +197,22 @@
         let of_session = |(_, run): &(&TaskId, &Run)| run.session == Some(id);
         let tasks: Vec<TaskId> =
             self.runs.iter().filter(of_session).map(|(task, _)| task.clone()).collect();
-        out.push(Action::Log(LogEvent::SessionLost { session: id, reason, runs: tasks.len() }));
-        out.push(Action::Close(id));
+        actions.push(Action::Log(LogEvent::SessionLost { session: id, reason, runs: tasks.len() }));
+        actions.push(Action::Close(id));
         for task in tasks {
             if let Some(run) = self.runs.get_mut(&task) {
                 run.session = None;
             }
-            self.stop_run(self.last_event, &task, out);
+            self.stop_run(self.last_event, &task, actions);
         }
     }
 
-    pub(crate) fn lose_all_sessions(&mut self, reason: &'static str, out: &mut Vec<Action>) {
+    pub(crate) fn lose_all_sessions(&mut self, reason: &'static str, actions: &mut Vec<Action>) {
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.lose_session(id, reason, out));
+        ids.into_iter().for_each(|id| self.lose_session(id, reason, actions));
     }
 
-    pub(crate) fn end_timed_out_sessions(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn end_timed_out_sessions(&mut self, now: Time, actions: &mut Vec<Action>) {
         let timeout = |id: &SessionId| match self.has_runs(*id) {
             true => self.timing.session_timeout,
             false => self.timing.idle_session_timeout,
@@ -223,7 +223,7 @@
         };
         let ids: Vec<SessionId> =
             self.sessions.iter().filter(timed_out).map(|(id, _)| *id).collect();
-        ids.into_iter().for_each(|id| self.lose_session(id, "silent", out));
+        ids.into_iter().for_each(|id| self.lose_session(id, "silent", actions));
     }
 
     /// Whether a session has runs that are waiting or active.
@@ -240,7 +240,7 @@
     }
 
     /// Ends retired sessions that have no runs left.
-    pub(crate) fn end_retired_sessions(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn end_retired_sessions(&mut self, now: Time, actions: &mut Vec<Action>) {
         let notice = self.timing.retire_notice;
         let is_over = |(id, session): &(&SessionId, &Session)| {
             session.retired.is_some_and(|since| now.since(since) >= notice)
@@ -250,8 +250,8 @@
         let ids: Vec<SessionId> = self.sessions.iter().filter(is_over).map(|(id, _)| *id).collect();
         for id in ids {
             self.sessions.remove(&id);
-            out.push(Action::Log(LogEvent::SessionRetired(id)));
-            out.push(Action::Close(id));
+            actions.push(Action::Log(LogEvent::SessionRetired(id)));
+            actions.push(Action::Close(id));
         }
     }
 
