--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -21,7 +21,7 @@
     /// Interval between heartbeats to an agent that has tasks of this entry.
     pub heartbeat_interval: Duration,
     /// Interval between heartbeats to an agent that has no tasks of this entry and so nothing to
-    /// stop if the entry dies. Several must fit into the agent's session timeout.
+    /// stop if the entry dies. Several must fit into the agent's timeout for such sessions.
     pub idle_heartbeat_interval: Duration,
     /// Age of an agent's last load after which the agent gets no new work. Must leave time for late
     /// reports of a throttled host.
--- a/components/dispatch/tests/capacity_waits.rs
+++ b/components/dispatch/tests/capacity_waits.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_job_ends_within_a_time_only_if_a_far_too_low_estimate_allows_it() {
+fn a_job_certainly_ends_in_time_only_if_a_multiple_of_its_objective_fits() {
     // A job that takes several times its estimate would not end in the time left.
     assert!(!job(4, 556).ends_within(Duration::from_millis(950)));
     assert!(job(4, 180).ends_within(Duration::from_millis(950)));
--- a/components/dispatch/tests/halls.rs
+++ b/components/dispatch/tests/halls.rs
@@ -10,7 +10,7 @@
 
 use support::{Entry, job};
 
-/// Longer than a new entry waits for agents to connect.
+/// Longer than the time after which the known agents are taken to be complete.
 const SETTLED_MS: u64 = 2_100;
 
 fn emptied(revision: u64, halls: &[&str]) -> EmptiedHalls {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_start_sent_before_the_hall_was_emptied_is_placed_elsewhere() {
+fn a_task_refused_in_an_emptied_hall_is_placed_elsewhere() {
     let mut entry = entry_of_two_halls();
     let call = entry.submit(numbered_job(1));
     let refused = entry.take_starts();
--- a/components/dispatch/tests/support/mod.rs
+++ b/components/dispatch/tests/support/mod.rs
@@ -118,7 +118,7 @@
         call
     }
 
-    /// Takes the starts sent so far, with the agent and job of each.
+    /// Takes the starts sent so far, with the agent and job of each, and drops other messages.
     pub fn take_starts(&mut self) -> Vec<(u64, JobId, StartTask)> {
         let mut starts = Vec::new();
         for (id, message) in std::mem::take(&mut self.sent) {
@@ -129,7 +129,7 @@
         starts
     }
 
-    /// Takes the stops sent so far, with the agent of each.
+    /// Takes the stops sent so far, with the agent of each, and drops other messages.
     pub fn take_stops(&mut self) -> Vec<(u64, TaskId)> {
         let mut stops = Vec::new();
         for (id, message) in std::mem::take(&mut self.sent) {
--- a/components/runner/tests/commands.rs
+++ b/components/runner/tests/commands.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn start_without_answer_is_reported_by_its_end() {
+fn never_answered_start_that_ran_is_reported_done() {
     let mut agent = Agent::new();
     agent.request("a", 1, 0);
     let start = agent.starts.pop().expect("a start was sent");
