--- a/components/dispatch/src/crashes.rs
+++ b/components/dispatch/src/crashes.rs
@@ -2,8 +2,8 @@
 //!
 //! A task may crash every target that starts it, and its client submits the job again when it gets
 //! no answer. So crashes are remembered after the job has ended, and agents report each crash to
-//! all of their entries. A task that merely ran beside the cause is unlikely to see a second crash
-//! in that time.
+//! all of their entries. A task that merely ran beside the cause of a crash is unlikely to be in
+//! a second one before the first is forgotten.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -55,12 +55,12 @@
         now: Time,
         id: SessionId,
         tasks: &[TaskId],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         for task in tasks {
             self.record_crash(now, id, task);
             if self.has_job(&task.job) {
-                self.fail_if_crashing(now, &task.job, out);
+                self.fail_if_crashing(now, &task.job, actions);
             }
         }
     }
@@ -92,14 +92,14 @@
         &mut self,
         now: Time,
         id: &JobId,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let task = |index| TaskId { job: id.clone(), index };
         let at_limit =
             (0..job.request.shape.count).any(|index| self.crashes.is_at_crash_limit(&task(index)));
         if at_limit {
-            self.finish_job(now, id, Outcome::Failed(Reason::CrashesTargets), out);
+            self.finish_job(now, id, Outcome::Failed(Reason::CrashesTargets), actions);
         }
         at_limit
     }
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -21,7 +21,7 @@
     /// Interval between heartbeats to an agent that has tasks of this entry.
     pub heartbeat_interval: Duration,
     /// Interval between heartbeats to an agent that has no tasks of this entry and so nothing to
-    /// stop if the entry dies. Several must fit into the agent's session timeout.
+    /// stop if the entry dies. Several must fit into the agent's timeout for such sessions.
     pub idle_heartbeat_interval: Duration,
     /// Age of an agent's last load after which the agent gets no new work. Must leave time for late
     /// reports of a throttled host.
@@ -99,7 +99,7 @@
 /// Key of a waiting task in the queue. Tasks of jobs that have started sort first, then by
 /// priority, then by the end of the job's objective.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct QueueEntry {
+pub(crate) struct QueuedTask {
     /// Whether no task of the job has been started yet.
     pub unstarted: bool,
     pub priority: u8,
@@ -118,7 +118,7 @@
     pub(crate) agents: BTreeMap<SessionId, Agent>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     pub(crate) calls: BTreeMap<CallId, JobId>,
-    pub(crate) queue: BTreeSet<QueueEntry>,
+    pub(crate) queue: BTreeSet<QueuedTask>,
     /// Starts to be sent at the end of the current event, by agent and job.
     pub(crate) pending_starts: BTreeMap<(SessionId, JobId), Vec<wire::StartTask>>,
     pub(crate) last_event: Time,
@@ -133,7 +133,7 @@
     /// Halls that operators have emptied. Their targets get no new work.
     pub(crate) emptied_halls: EmptiedHalls,
     pub(crate) reserve: UrgentReserve,
-    /// Work that rejected clients were told to submit again, by time.
+    /// Retry delays assigned to rejected clients.
     pub(crate) retries: RetrySchedule,
     /// Set once the entry is stopping: jobs that may not end by then are refused.
     pub(crate) stop_deadline: Option<Time>,
@@ -175,35 +175,35 @@
         Self { policy, ..self }
     }
 
-    /// Processes an event and appends the resulting actions to `out`.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Processes an event and appends the resulting actions.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let gap = now.since(self.last_event);
         self.last_event = now;
         if gap > self.timing.pause_threshold {
-            self.handle_pause(gap, out);
+            self.handle_pause(gap, actions);
         }
         let changed = changed_capacity(&event);
         match event {
             Event::AgentOpened(id) => self.add_agent(now, id),
-            Event::AgentClosed(id) => self.remove_agent(id, "closed", out),
-            Event::FromAgent(id, message) => self.handle_agent_message(now, id, message, out),
-            Event::Submit(call, request) => self.submit(now, call, request, out),
-            Event::Abandon(call) => self.abandon(now, call, out),
-            Event::Cancel(job) => self.cancel(now, &job, out),
-            Event::CancelledElsewhere(job) => self.cancel_local(now, &job, out),
+            Event::AgentClosed(id) => self.remove_agent(id, "closed", actions),
+            Event::FromAgent(id, message) => self.handle_agent_message(now, id, message, actions),
+            Event::Submit(call, request) => self.submit(now, call, request, actions),
+            Event::Abandon(call) => self.abandon(now, call, actions),
+            Event::Cancel(job) => self.cancel(now, &job, actions),
+            Event::CancelledElsewhere(job) => self.cancel_local(now, &job, actions),
             Event::EmptiedHalls(halls) => {
-                self.update_emptied_halls(now, &halls, HallsSource::Keeper, out)
+                self.update_emptied_halls(now, &halls, HallsSource::Keeper, actions)
             }
             Event::AdmitOnlyJobsEndingBy(end) => self.stop_deadline = Some(end),
-            Event::AnswerAll => self.answer_all(now, out),
+            Event::AnswerAll => self.answer_all(now, actions),
             Event::Tick => {}
         }
-        self.check_agents(now, out);
+        self.check_agents(now, actions);
         // Capacity is assigned before jobs are refused for lack of it, and starts are sent before
-        // the stops of jobs that end.
-        self.place_tasks(now, changed, out);
-        self.send_starts(now, out);
-        self.check_timeouts(now, out);
+        // jobs time out, so that no stop precedes its start.
+        self.place_tasks(now, changed, actions);
+        self.send_starts(now, actions);
+        self.check_timeouts(now, actions);
     }
 
     /// Returns when the next [`Event::Tick`] is due.
@@ -259,33 +259,34 @@
         now: Time,
         id: SessionId,
         message: ToEntry,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match message {
             ToEntry::Hello { profile, document, halls } => {
-                self.register_agent(id, profile, out);
-                self.sync_emptied_halls(now, id, &halls, out);
-                out.push(Action::DocumentOffered(id, document));
+                self.register_agent(id, profile, actions);
+                self.sync_emptied_halls(now, id, &halls, actions);
+                actions.push(Action::DocumentOffered(id, document));
             }
-            ToEntry::Load(load) => self.update_agent_load(now, id, load, out),
+            ToEntry::Load(load) => self.update_agent_load(now, id, load, actions),
             ToEntry::Ended { reports, load } => {
-                self.update_agent_load(now, id, load, out);
+                self.update_agent_load(now, id, load, actions);
                 for report in reports {
-                    self.handle_task_report(now, id, report, out);
+                    self.handle_task_report(now, id, report, actions);
                 }
             }
-            ToEntry::Cancelled(job) => self.cancel_local(now, &job, out),
-            ToEntry::DocumentPart(part) => out.push(Action::DocumentPart(id, part)),
+            ToEntry::Cancelled(job) => self.cancel_local(now, &job, actions),
+            ToEntry::DocumentPart(part) => actions.push(Action::DocumentPart(id, part)),
             ToEntry::Halls(halls) => {
-                self.update_emptied_halls(now, &halls, HallsSource::Agent(id), out)
+                self.update_emptied_halls(now, &halls, HallsSource::Agent(id), actions)
             }
-            ToEntry::TargetCrashed(tasks) => self.handle_target_crash(now, id, &tasks, out),
+            ToEntry::TargetCrashed(tasks) => self.handle_target_crash(now, id, &tasks, actions),
         }
     }
 }
 
-/// Returns the agents at which queued tasks may find capacity after an event. A load changes the
-/// capacity of a single agent; any other event may have queued tasks that were not tried anywhere.
+/// Returns the agents at which queued tasks may find capacity after an event. A load or a report of
+/// completed tasks changes the capacity of a single agent; any other event may have queued tasks
+/// that were not tried anywhere.
 fn changed_capacity(event: &Event) -> ChangedCapacity {
     match event {
         Event::FromAgent(id, ToEntry::Load(_)) => ChangedCapacity::Agent(*id),
@@ -299,8 +300,8 @@
 }
 
 /// Returns the queue key of a task of a job.
-pub(crate) fn queue_entry(job: &Job, index: u32, policy: Policy) -> QueueEntry {
-    QueueEntry {
+pub(crate) fn queued_task(job: &Job, index: u32, policy: Policy) -> QueuedTask {
+    QueuedTask {
         unstarted: policy.started_first && job.starts == 0,
         priority: job.request.priority,
         due: job.submitted + job.request.objective,
--- a/components/dispatch/src/task_reports.rs
+++ b/components/dispatch/src/task_reports.rs
@@ -5,7 +5,7 @@
 use model::{TaskId, Time};
 use wire::{TaskEnd, TaskReport};
 
-use crate::dispatcher::{Dispatcher, queue_entry};
+use crate::dispatcher::{Dispatcher, queued_task};
 use crate::event::{Action, LogEvent, Outcome, Reason, SessionId};
 use crate::job::TaskState;
 
@@ -13,7 +13,7 @@
 const AVOID_AFTER_REFUSAL: Duration = Duration::from_millis(20);
 /// How long a task avoids an agent where it failed, was lost or was refused for another reason.
 const AVOID_AFTER_LOSS: Duration = Duration::from_secs(5);
-/// Number of runs without a result after which a job is given up.
+/// Number of runs of a task without a result after which its job is answered.
 const MAX_LOSSES: u32 = 5;
 
 impl Dispatcher {
@@ -24,7 +24,7 @@
         now: Time,
         id: SessionId,
         report: TaskReport,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let TaskReport { task: task_id, sequence, end, .. } = report;
         let Some(job) = self.jobs.get_mut(&task_id.job) else { return };
@@ -59,17 +59,17 @@
                 job.open_tasks -= 1;
             }
         }
-        let entry = queue_entry(job, task_id.index, self.policy);
+        let queued = queued_task(job, task_id.index, self.policy);
         let (open, answered) = (job.open_tasks, job.outcome.is_some());
         if end == TaskEnd::NotRun(wire::Refusal::Cancelled) && !answered {
             // This entry missed the cancel. Without it, every agent that knows of the cancel would
             // refuse the task in a loop.
-            self.record_task_end(id, &task_id, end, failures, out);
-            return self.cancel_local(now, &task_id.job, out);
+            self.record_task_end(id, &task_id, end, failures, actions);
+            return self.cancel_local(now, &task_id.job, actions);
         }
         let attempts = job.request.max_attempts;
         self.record_crash_from_end(now, id, &task_id, end);
-        self.record_task_end(id, &task_id, end, failures, out);
+        self.record_task_end(id, &task_id, end, failures, actions);
         if answered {
             return;
         }
@@ -78,10 +78,10 @@
                 now,
                 &task_id.job,
                 Outcome::Failed(Reason::AttemptsExhausted),
-                out,
+                actions,
             );
         }
-        if self.fail_if_crashing(now, &task_id.job, out) {
+        if self.fail_if_crashing(now, &task_id.job, actions) {
             return;
         }
         if losses >= MAX_LOSSES {
@@ -89,13 +89,13 @@
                 now,
                 &task_id.job,
                 Outcome::MayHaveRun(Reason::TooManyLosses),
-                out,
+                actions,
             );
         }
         if avoid_for.is_some() {
-            self.queue.insert(entry);
+            self.queue.insert(queued);
         } else if open == 0 {
-            self.finish_job(now, &task_id.job, Outcome::Completed, out);
+            self.finish_job(now, &task_id.job, Outcome::Completed, actions);
         }
     }
 
@@ -105,7 +105,7 @@
         task: &TaskId,
         end: TaskEnd,
         failures: u32,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match end {
             TaskEnd::Done => return,
@@ -115,7 +115,7 @@
         }
         let Some(agent) = self.agents.get(&id).and_then(|agent| agent.name()) else { return };
         let agent = agent.clone();
-        out.push(Action::Log(LogEvent::TaskEnded { task: task.clone(), agent, end, failures }));
+        actions.push(Action::Log(LogEvent::TaskEnded { task: task.clone(), agent, end, failures }));
     }
 
     /// Closes the session of an agent. The agent stops this entry's tasks, or its target's lease
@@ -125,7 +125,7 @@
         &mut self,
         id: SessionId,
         reason: &'static str,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(agent) = self.agents.remove(&id) else { return };
         let now = self.now();
@@ -133,14 +133,14 @@
             self.counters.agents_lost += 1;
             self.agents_changed = now;
         }
-        out.push(Action::Log(LogEvent::AgentLost {
+        actions.push(Action::Log(LogEvent::AgentLost {
             agent: agent.name().cloned(),
             reason,
             tasks: agent.placed_tasks,
         }));
-        out.push(Action::Close(id));
+        actions.push(Action::Close(id));
         let until = now + self.timing.lost_agent_lease;
-        let mut affected = Vec::new();
+        let mut not_rerun = Vec::new();
         for (job_id, job) in &mut self.jobs {
             let mut lost = 0;
             for task in &mut job.tasks {
@@ -157,12 +157,12 @@
             let estimate = Duration::from_millis(u64::from(job.request.shape.estimated_ms));
             let latest = job.submitted + job.request.objective * MAX_USEFUL_OBJECTIVES;
             if until + estimate > latest || !self.policy.rerun_lost {
-                affected.push(job_id.clone());
+                not_rerun.push(job_id.clone());
             }
         }
-        self.counters.task_losses += affected.len() as u64;
-        for job in affected {
-            self.finish_job(now, &job, Outcome::MayHaveRun(Reason::AgentLost), out);
+        self.counters.task_losses += not_rerun.len() as u64;
+        for job in not_rerun {
+            self.finish_job(now, &job, Outcome::MayHaveRun(Reason::AgentLost), actions);
         }
     }
 }
--- a/components/dispatch/src/timeouts.rs
+++ b/components/dispatch/src/timeouts.rs
@@ -5,7 +5,7 @@
 use model::Time;
 
 use crate::admission::not_run_outcome;
-use crate::dispatcher::{Dispatcher, Timing, queue_entry};
+use crate::dispatcher::{Dispatcher, Timing, queued_task};
 use crate::event::{Action, JobRequest, Outcome, Reason};
 use crate::job::{Job, TaskState};
 
@@ -15,7 +15,7 @@
 impl Dispatcher {
     /// Queues lost tasks whose lease has ended, answers jobs that have waited too long, and removes
     /// answered jobs once their tasks have stopped.
-    pub(crate) fn check_timeouts(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn check_timeouts(&mut self, now: Time, actions: &mut Vec<Action>) {
         if now.since(self.timeouts_checked) < CHECK_INTERVAL {
             return;
         }
@@ -40,7 +40,7 @@
                 }
             }
             for index in lease_ended.drain(..) {
-                self.queue.insert(queue_entry(job, index, self.policy));
+                self.queue.insert(queued_task(job, index, self.policy));
             }
             let service = &job.request.service;
             let max_load_age = self.timing.max_load_age;
@@ -53,7 +53,7 @@
             }
         }
         for (id, outcome) in timed_out {
-            self.finish_job(now, &id, outcome, out);
+            self.finish_job(now, &id, outcome, actions);
         }
         for id in quiescent {
             let Some((call, request)) = self.jobs.remove(&id).and_then(|job| job.resubmission)
@@ -63,9 +63,9 @@
             match self.resubmission_refusal(now) {
                 Some(reason) => {
                     self.calls.remove(&call);
-                    out.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
+                    actions.push(Action::Answer(call, Outcome::MayHaveRun(reason)));
                 }
-                None => self.submit(now, call, request, out),
+                None => self.submit(now, call, request, actions),
             }
         }
     }
@@ -97,13 +97,14 @@
     None
 }
 
-/// How long a job waits for its first start while targets accept work: the slack within bounds.
+/// How long a job waits for its first start while targets accept work: its slack, but at most a
+/// fraction of its objective.
 fn max_placement_wait(request: &JobRequest, timing: &Timing) -> Duration {
     let upper_bound = request.objective.mul_f64(timing.max_wait_fraction);
     slack(request, timing).min(upper_bound)
 }
 
-/// How long a job can wait and still meet its objective, but at least a fraction of it.
+/// How long a job can wait and still meet its objective, but at least a fraction of the objective.
 fn slack(request: &JobRequest, timing: &Timing) -> Duration {
     let work = Duration::from_millis(u64::from(request.shape.estimated_ms));
     let slack = request.objective.saturating_sub(work + timing.start_overhead);
