--- a/components/admission/src/estimate.rs
+++ b/components/admission/src/estimate.rs
@@ -21,12 +21,12 @@
 
 /// Estimates the time from admission to the last result of a job with `tasks` tasks.
 ///
-/// Tasks that find no idle slot wait for slots to be freed, at a rate of one per mean service time
-/// and slot. The last of them then runs as long as the slowest task of the job.
+/// Tasks that find no idle slot wait until slots become free; each slot serves one task per mean
+/// service time. The last task of the job then runs as long as the slowest one.
 pub fn estimate_completion(times: &ServiceTimes, load: QueueLoad, tasks: usize) -> Duration {
     let waiting = (load.tasks_ahead + tasks).saturating_sub(load.idle_slots as usize);
-    let slot_turns = waiting as f64 / f64::from(load.slots.max(1));
-    times.mean().mul_f64(slot_turns * WAIT_MARGIN) + times.slowest_of(tasks)
+    let waiting_per_slot = waiting as f64 / f64::from(load.slots.max(1));
+    times.mean().mul_f64(waiting_per_slot * WAIT_MARGIN) + times.slowest_of(tasks)
 }
 
 #[cfg(test)]
--- a/components/admission/src/service_times.rs
+++ b/components/admission/src/service_times.rs
@@ -59,7 +59,7 @@
         if older { &self.older } else { &self.recent }
     }
 
-    /// Returns the mean service time.
+    /// Returns the mean service time, or the expected time while there are too few samples.
     pub fn mean(&self) -> Duration {
         let window = self.larger_window();
         if window.histogram.len() < MIN_SAMPLES {
@@ -68,7 +68,8 @@
         window.mean()
     }
 
-    /// Returns the median of the longest service time among `tasks` tasks.
+    /// Returns the median of the longest service time among `tasks` tasks, or the expected time
+    /// while there are too few samples.
     pub fn slowest_of(&self, tasks: usize) -> Duration {
         let window = self.larger_window();
         if window.histogram.len() < MIN_SAMPLES {
