--- a/components/subset/src/debounce.rs
+++ b/components/subset/src/debounce.rs
@@ -17,9 +17,9 @@
         Self { value, deviation: None }
     }
 
-    /// Records the input and returns the count. If the input has stayed on one side of the count
-    /// for `after`, the count moves to the closest input of that time.
-    pub fn update(&mut self, now: Time, input: usize, after: Duration) -> usize {
+    /// Records the input and returns the count. If the input has stayed above or below the count
+    /// for `delay`, the count moves to the input of that time which is closest to it.
+    pub fn update(&mut self, now: Time, input: usize, delay: Duration) -> usize {
         let same_side = |closest: usize| (closest > self.value) == (input > self.value);
         self.deviation = match self.deviation {
             _ if input == self.value => None,
@@ -31,7 +31,7 @@
             _ => Some((now, input)),
         };
         if let Some((since, closest)) = self.deviation
-            && now.since(since) >= after
+            && now.since(since) >= delay
         {
             self.value = closest;
             self.deviation = None;
--- a/components/subset/src/subset.rs
+++ b/components/subset/src/subset.rs
@@ -98,14 +98,15 @@
         self.entries.contains_key(&address)
     }
 
-    /// Returns how many entries to serve. With few agents this exceeds the minimum, so that each
-    /// entry is served by enough of them.
+    /// Updates and returns the number of entries to serve. With few agents it exceeds the minimum,
+    /// so that each entry is served by enough of them.
     fn update_count(&mut self, now: Time) -> usize {
         let required = (self.sizes.agents_of_entry * self.entries.len()).div_ceil(self.agents);
-        let target_count = required.max(self.sizes.entries_of_agent);
-        self.count.update(now, target_count, SIZE_CHANGE_DELAY)
+        let desired = required.max(self.sizes.entries_of_agent);
+        self.count.update(now, desired, SIZE_CHANGE_DELAY)
     }
 
+    /// The rendezvous hash of an entry at this agent; the highest ones are selected.
     fn hash_weight(&self, entry: &NodeName) -> u64 {
         let seed = xxh3_64_with_seed(self.agent.as_str().as_bytes(), 0);
         xxh3_64_with_seed(entry.as_str().as_bytes(), seed)
--- a/components/subset/tests/subset.rs
+++ b/components/subset/tests/subset.rs
@@ -61,7 +61,7 @@
         let selected = settled_selections(&all_entries, agent_count);
         assert!(selected.iter().all(|entries| entries.len() == 6), "{entry_count}");
         let agent_counts = agents_per_entry(&selected);
-        assert_eq!(agent_counts.len(), usize::from(entry_count), "no entry is left out");
+        assert_eq!(agent_counts.len(), usize::from(entry_count), "an entry has no agent");
         let least = agent_counts.values().min().copied().unwrap_or(0);
         assert!(least >= 10, "{entry_count} entries: one has {least} agents");
     }
@@ -81,7 +81,7 @@
     let selected = settled_selections(&entries(60), 12);
     assert!(
         selected.iter().all(|entries| entries.len() == 60),
-        "fewer agents than each entry requires"
+        "an agent does not serve every entry"
     );
     let selected = settled_selections(&entries(60), 120);
     assert!(selected.iter().all(|entries| entries.len() == 14));
@@ -133,7 +133,7 @@
     assert_eq!(
         subset.select(START + Duration::from_secs(2)),
         before,
-        "the entry is within the grace period"
+        "an entry was dropped within the grace period"
     );
     let without = subset.select(START + Duration::from_secs(3));
     assert_eq!(without.len(), 6);
