--- a/components/placement/src/fair_queue.rs
+++ b/components/placement/src/fair_queue.rs
@@ -30,8 +30,11 @@
     teams: Map<Arc<str>, Team<J>>,
     /// Teams with waiting jobs, sorted by virtual time.
     active_teams: BTreeSet<(u64, Arc<str>)>,
+    /// Virtual time of the team that was served last.
     virtual_time: u64,
+    /// Waiting tasks of all teams.
     tasks: usize,
+    /// Sum of the weights of the teams with waiting jobs.
     total_weight: u64,
 }
 
@@ -59,15 +62,15 @@
         job: J,
     ) {
         let new_team = || Team { weight, virtual_time: 0, jobs: BTreeMap::new(), tasks: 0 };
-        let entry = self.teams.entry(team.clone()).or_insert_with(new_team);
-        if entry.jobs.is_empty() {
-            entry.weight = weight.max(1);
-            entry.virtual_time = entry.virtual_time.max(self.virtual_time);
-            self.active_teams.insert((entry.virtual_time, team.clone()));
-            self.total_weight += u64::from(entry.weight);
+        let state = self.teams.entry(team.clone()).or_insert_with(new_team);
+        if state.jobs.is_empty() {
+            state.weight = weight.max(1);
+            state.virtual_time = state.virtual_time.max(self.virtual_time);
+            self.active_teams.insert((state.virtual_time, team.clone()));
+            self.total_weight += u64::from(state.weight);
         }
-        entry.jobs.insert((deadline, arrival), job);
-        entry.tasks += tasks;
+        state.jobs.insert((deadline, arrival), job);
+        state.tasks += tasks;
         self.tasks += tasks;
     }
 
@@ -121,9 +124,8 @@
         self.tasks
     }
 
-    /// Returns the number of tasks to be served before a new job of the team: all waiting tasks, or
-    /// fewer if the fair share of the team serves the job earlier, namely its own waiting tasks
-    /// divided by that share.
+    /// Estimates the number of tasks that are served before a new job of the team: the team's own
+    /// waiting tasks divided by its fair share, but at most all waiting tasks.
     pub fn tasks_ahead(&self, name: &str, weight: u32) -> usize {
         let (own_tasks, own_weight, other_weight) = match self.teams.get(name) {
             Some(team) if !team.jobs.is_empty() => {
--- a/components/placement/src/target_pool.rs
+++ b/components/placement/src/target_pool.rs
@@ -28,11 +28,14 @@
 #[derive(Clone, Copy, Debug)]
 struct TargetState {
     profile: TargetProfile,
+    /// Idle tokens of the target.
     idle: u32,
+    /// Value of the pool's `spend_count` when a token of the target was last spent.
     last_used: u64,
 }
 
 impl TargetState {
+    /// The idle tokens if the target has no penalty, else 0.
     fn unpenalized(&self) -> u32 {
         if self.profile.penalty == 0 { self.idle } else { 0 }
     }
@@ -46,10 +49,13 @@
 #[derive(Debug, Default)]
 pub struct TargetPool {
     targets: BTreeMap<TargetId, TargetState>,
+    /// Targets with idle tokens, best first.
     ranked: BTreeSet<Rank>,
+    /// Idle tokens of all targets.
     idle: u32,
     /// Idle tokens of targets without a penalty.
     unpenalized: u32,
+    /// Tokens spent so far, which orders targets by their last use.
     spend_count: u64,
 }
 
@@ -155,6 +161,7 @@
         self.targets.is_empty()
     }
 
+    /// Inserts or replaces the state of a target and updates the ranking and the totals.
     fn replace(&mut self, id: TargetId, target: TargetState) {
         if let Some(old) = self.targets.insert(id, target) {
             self.ranked.remove(&old.rank(id));
