--- a/components/claims/src/register.rs
+++ b/components/claims/src/register.rs
@@ -26,10 +26,10 @@
 /// The reason why a holder abstains on a submission id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AbstainReason {
-    /// The id was made before the holder started, or so shortly after that an earlier process of
+    /// The id was created before the holder started, or so shortly after that an earlier process of
     /// the holder may have voted.
     BeforeStart,
-    /// The id's time is past the retention or in the future.
+    /// The id is past the retention or too far in the future.
     OutsideWindow,
 }
 
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct Register {
     started: Time,
-    /// Claims on ids that were made before this time may have been removed.
+    /// Claims on ids that were created before this time may have been removed.
     forgotten_before: Time,
     owners: Interner<NodeRef>,
     claims: Map<SubmissionId, HeldClaim>,
@@ -110,7 +110,7 @@
         Claim { owner: self.owners.value(held.owner).clone(), digest: held.digest }
     }
 
-    /// Why this holder must not vote on an id; `None` if it may vote.
+    /// The reason why this holder must not vote on an id; `None` if it may vote.
     fn abstain_reason(
         &self,
         id: SubmissionId,
--- a/components/claims/src/round.rs
+++ b/components/claims/src/round.rs
@@ -9,7 +9,7 @@
 /// The state of a round.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundState {
-    /// Outstanding replies may still decide the round.
+    /// Outstanding replies may still win the round or show another claim.
     Open,
     /// A majority of every view's holders granted the claim: the entry is the owner.
     Won,
@@ -82,9 +82,9 @@
         if !self.groups.iter().flatten().any(|name| name == holder) {
             return;
         }
-        let known = self.votes.entry(holder.clone()).or_insert(Vote::Absent);
-        if *known == Vote::Absent {
-            *known = vote;
+        let recorded = self.votes.entry(holder.clone()).or_insert(Vote::Absent);
+        if *recorded == Vote::Absent {
+            *recorded = vote;
         }
     }
 
--- a/components/claims/src/view.rs
+++ b/components/claims/src/view.rs
@@ -70,35 +70,35 @@
             let hash = xxh3_64(name.as_str().as_bytes());
             racks.entry(&member.rack).or_default().push(HashedMember { name, hash });
         }
-        let rack_of = |(rack, members): (&str, Vec<HashedMember>)| Rack {
+        let to_rack = |(rack, members): (&str, Vec<HashedMember>)| Rack {
             hash: xxh3_64(rack.as_bytes()),
             members,
         };
-        Self { racks: racks.into_iter().map(rack_of).collect() }
+        Self { racks: racks.into_iter().map(to_rack).collect() }
     }
 
     /// The agents that hold the claim on a submission: [`HOLDERS`], or all of a smaller view.
     pub fn holders(&self, submission: SubmissionId) -> Vec<NodeName> {
         let key = xxh3_64(&submission.as_u128().to_le_bytes());
         let mut racks: Vec<&Rack> = self.racks.iter().collect();
-        keep_highest(&mut racks, HOLDERS, |rack| rank(key, rack.hash));
+        keep_highest(&mut racks, HOLDERS, |rack| hash_weight(key, rack.hash));
         let mut ranked_racks: Vec<Vec<&HashedMember>> = Vec::with_capacity(racks.len());
         for rack in racks {
             let mut members: Vec<&HashedMember> = rack.members.iter().collect();
-            keep_highest(&mut members, HOLDERS, |member| rank(key, member.hash));
+            keep_highest(&mut members, HOLDERS, |member| hash_weight(key, member.hash));
             ranked_racks.push(members);
         }
         take_by_rank(&ranked_racks)
     }
 }
 
-/// Keeps the `count` items of the highest rank, in descending order.
-fn keep_highest<T>(items: &mut Vec<T>, count: usize, rank: impl Fn(&T) -> u64) {
+/// Keeps the `count` items of the highest weight, in descending order.
+fn keep_highest<T>(items: &mut Vec<T>, count: usize, weight: impl Fn(&T) -> u64) {
     if items.len() > count {
-        items.select_nth_unstable_by_key(count - 1, |item| std::cmp::Reverse(rank(item)));
+        items.select_nth_unstable_by_key(count - 1, |item| std::cmp::Reverse(weight(item)));
         items.truncate(count);
     }
-    items.sort_by_key(|item| std::cmp::Reverse(rank(item)));
+    items.sort_by_key(|item| std::cmp::Reverse(weight(item)));
 }
 
 /// Takes the best member of every rack, then the second best of every rack, up to [`HOLDERS`].
@@ -109,9 +109,9 @@
     ranked.take(HOLDERS).map(|member| member.name.clone()).collect()
 }
 
-/// The rendezvous hash of a rack or member for a submission's key.
-fn rank(key: u64, member: u64) -> u64 {
-    xxh3_64_with_seed(&member.to_le_bytes(), key)
+/// The rendezvous hash of a rack or member, given the hash of its name, for a submission's key.
+fn hash_weight(key: u64, hash: u64) -> u64 {
+    xxh3_64_with_seed(&hash.to_le_bytes(), key)
 }
 
 /// The current view and, for some time after a change, the previous one.
--- a/components/claims/src/window.rs
+++ b/components/claims/src/window.rs
@@ -11,7 +11,8 @@
     Known,
     /// Past the retention: the submission may have run and been forgotten.
     TooOld,
-    /// In the future, but an entry with a faster clock may have admitted the submission.
+    /// Ahead of this entry's clock by more than the clock skew, but an entry with a faster clock
+    /// may have admitted the submission.
     TooNew,
     /// So far in the future that no entry within the clock skew can have admitted the submission.
     Impossible,
@@ -27,14 +28,14 @@
 }
 
 impl Window {
-    /// The age class of an id by an entry's clock.
+    /// The age class of an id when an entry's clock shows `now`.
     pub fn age(&self, id: SubmissionId, now: Time) -> Age {
-        let made = id.created_at();
-        if made + self.retention < now + self.clock_skew * 2 {
+        let created = id.created_at();
+        if created + self.retention < now + self.clock_skew * 2 {
             Age::TooOld
-        } else if made > now + self.clock_skew * 2 {
+        } else if created > now + self.clock_skew * 2 {
             Age::Impossible
-        } else if made > now + self.clock_skew {
+        } else if created > now + self.clock_skew {
             Age::TooNew
         } else {
             Age::Known
@@ -47,8 +48,8 @@
         id.created_at() + self.retention
     }
 
-    /// The time after which ids must be made for a process that started at `started` to vote on
-    /// them. Ids made earlier may have been claimed at an earlier process of the agent.
+    /// The latest creation time of ids on which a holder that started at `started` does not vote,
+    /// since they may have been claimed at an earlier process of the agent.
     pub fn votes_from(&self, started: Time) -> Time {
         started + self.clock_skew * 2
     }
@@ -68,14 +69,14 @@
 
     #[test]
     fn age_classes_at_their_bounds() {
-        let made = 1_000_000;
-        assert_eq!(age_at(made, made), Age::Known);
-        assert_eq!(age_at(made, made - 250), Age::Known);
-        assert_eq!(age_at(made, made - 251), Age::TooNew);
-        assert_eq!(age_at(made, made - 500), Age::TooNew);
-        assert_eq!(age_at(made, made - 501), Age::Impossible);
-        assert_eq!(age_at(made, made + 599_500), Age::Known);
-        assert_eq!(age_at(made, made + 599_501), Age::TooOld);
+        let created = 1_000_000;
+        assert_eq!(age_at(created, created), Age::Known);
+        assert_eq!(age_at(created, created - 250), Age::Known);
+        assert_eq!(age_at(created, created - 251), Age::TooNew);
+        assert_eq!(age_at(created, created - 500), Age::TooNew);
+        assert_eq!(age_at(created, created - 501), Age::Impossible);
+        assert_eq!(age_at(created, created + 599_500), Age::Known);
+        assert_eq!(age_at(created, created + 599_501), Age::TooOld);
     }
 
     #[test]
--- a/components/claims/tests/claims.rs
+++ b/components/claims/tests/claims.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_raised_retention_keeps_held_claims_and_bars_removed_ones() {
+fn a_raised_retention_keeps_held_claims_and_gives_no_vote_on_removed_ones() {
     let long = Window { retention: Duration::from_secs(1_200), ..WINDOW };
     let request = ClaimRequest { submission: submission(1), claim: claim(1) };
     let mut register = Register::new(START);
@@ -153,7 +153,7 @@
 
 proptest! {
     #[test]
-    fn at_most_one_entry_owns(steps in steps()) {
+    fn at_most_one_entry_owns_a_submission(steps in steps()) {
         let now = START + Duration::from_secs(6);
         let names: Vec<NodeName> = (0..3).map(|n| NodeName::new(&format!("a{n}"))).collect();
         let mut registers: Vec<Register> = (0..3).map(|_| Register::new(START)).collect();
