--- a/components/execution/src/ledger.rs
+++ b/components/execution/src/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger of slot tokens, which allow entries to start tasks without asking for a slot first.
 //!
 //! An idle slot is either free or lent to exactly one session as a token. Starting a task spends a
-//! token, and the reply to the start returns it.
+//! token. When the task ends, the session gets the token back or the slot becomes free.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -21,8 +21,8 @@
     idle: u32,
     /// Running tasks, each of which uses a slot.
     busy: u32,
-    /// Idle tokens lent since the last request of the session; not recalled, since the session will
-    /// probably spend them.
+    /// Tokens lent since the last request of the session; as many idle ones are not recalled, since
+    /// the session will probably spend them.
     newly_lent: u32,
     /// Tokens requested and not yet lent.
     wanted: u32,
@@ -92,7 +92,7 @@
     orphaned: u32,
     accounts: BTreeMap<Session, Account>,
     waiters: Waiters,
-    /// Whether the target leaves, so that nothing is lent any more.
+    /// Whether the target is leaving, so that nothing is lent any more.
     leaving: bool,
     /// Whether the target is unreachable, so that nothing is lent until it resumes.
     paused: bool,
@@ -127,7 +127,8 @@
         self.accounts.get(&session).map_or(0, |account| account.idle)
     }
 
-    /// Sets the number of tokens that a session requests; replaces its earlier request.
+    /// Sets the number of tokens that a session requests; replaces its earlier request. All its
+    /// idle tokens can be recalled from then on.
     pub fn set_wanted(&mut self, session: Session, wanted: u32) {
         let account = self.accounts.entry(session).or_default();
         account.wanted = wanted;
@@ -139,7 +140,8 @@
         }
     }
 
-    /// Takes idle tokens back from a session, at most as many as it has.
+    /// Takes idle tokens back from a session, at most as many as it has, and ends its outstanding
+    /// recall.
     pub fn take_back(&mut self, session: Session, count: u32) {
         let Some(account) = self.accounts.get_mut(&session) else { return };
         account.idle -= count.min(account.idle);
@@ -238,16 +240,17 @@
     }
 
     /// Grants free slots to the waiting sessions and, if some still wait, recalls idle tokens from
-    /// another session; appends the changes to `out`.
-    pub fn rebalance(&mut self, out: &mut Vec<TokenChange>) {
+    /// another session. Appends the grants and recalls to `changes`.
+    pub fn rebalance(&mut self, changes: &mut Vec<TokenChange>) {
         if self.paused {
             return;
         }
-        self.grant_free(out);
-        self.recall_idle(out);
+        self.grant_free(changes);
+        self.recall_idle(changes);
     }
 
-    fn grant_free(&mut self, out: &mut Vec<TokenChange>) {
+    /// Lends each free slot to the neediest session.
+    fn grant_free(&mut self, changes: &mut Vec<TokenChange>) {
         for _ in 0..self.free() {
             let Some(session) = self.neediest() else { return };
             let Some(account) = self.accounts.get_mut(&session) else { return };
@@ -257,7 +260,7 @@
             if account.wanted == 0 {
                 self.waiters.remove(session);
             }
-            add_grant(out, session);
+            add_grant(changes, session);
         }
     }
 
@@ -271,34 +274,35 @@
         waiting.into_iter().max_by_key(need)
     }
 
-    /// Recalls tokens from the session with the most spare ones, to even out its difference to the
-    /// neediest session. Only one recall is outstanding at a time.
-    fn recall_idle(&mut self, out: &mut Vec<TokenChange>) {
+    /// Recalls tokens from the session with the most spare ones, to balance its idle tokens with
+    /// those of the neediest session. Only one recall is outstanding at a time.
+    fn recall_idle(&mut self, changes: &mut Vec<TokenChange>) {
         let Some(neediest) = self.neediest() else { return };
         if self.accounts.values().any(|account| account.recalled > 0) {
             return;
         }
         let neediest_account = self.accounts.get(&neediest).copied().unwrap_or_default();
-        // A session that waits for tokens will use those it has.
-        let can_lend = |(session, account): &(&Session, &mut Account)| {
+        // A session that waits for tokens will spend the ones that it has.
+        let can_give_up = |(session, account): &(&Session, &mut Account)| {
             **session != neediest && account.wanted == 0
         };
-        let others = self.accounts.iter_mut().filter(can_lend);
-        let Some((session, lender)) = others.max_by_key(|(_, account)| account.spare()) else {
+        let others = self.accounts.iter_mut().filter(can_give_up);
+        let Some((session, donor)) = others.max_by_key(|(_, account)| account.spare()) else {
             return;
         };
-        if lender.spare() <= neediest_account.idle {
+        if donor.spare() <= neediest_account.idle {
             return;
         }
         let count =
-            neediest_account.wanted.min((lender.spare() - neediest_account.idle).div_ceil(2));
-        lender.recalled = count;
-        out.push(TokenChange::Recall(*session, count));
+            neediest_account.wanted.min((donor.spare() - neediest_account.idle).div_ceil(2));
+        donor.recalled = count;
+        changes.push(TokenChange::Recall(*session, count));
     }
 }
 
-fn add_grant(out: &mut Vec<TokenChange>, session: Session) {
-    for change in out.iter_mut() {
+/// Adds one token to the session's grant in `changes`.
+fn add_grant(changes: &mut Vec<TokenChange>, session: Session) {
+    for change in changes.iter_mut() {
         if let TokenChange::Grant(granted, count) = change
             && *granted == session
         {
@@ -306,5 +310,5 @@
             return;
         }
     }
-    out.push(TokenChange::Grant(session, 1));
+    changes.push(TokenChange::Grant(session, 1));
 }
--- a/components/execution/src/table.rs
+++ b/components/execution/src/table.rs
@@ -95,7 +95,7 @@
     /// Total size of the outcomes held, in bytes.
     held_bytes: usize,
     running: usize,
-    /// Tasks of submissions that were made before this time may have been removed.
+    /// Tasks of submissions that were created before this time may have been removed.
     forgotten_before: Time,
 }
 
@@ -173,7 +173,7 @@
     }
 
     /// Removes the tasks whose retention ended, except running ones. Afterwards unknown tasks of
-    /// submissions made before `forgotten_before` are reported as forgotten.
+    /// submissions created before `forgotten_before` are reported as forgotten.
     pub fn expire(&mut self, forgotten_before: Time, now: Time) {
         self.forgotten_before = self.forgotten_before.max(forgotten_before);
         for key in self.expiry.take_expired(now) {
@@ -228,7 +228,7 @@
         }
     }
 
-    /// The result of another start of a recorded task.
+    /// The result of another request to start a recorded task.
     fn known_outcome(&self, record: &Record, owner: &NodeRef) -> StartOutcome {
         let first = self.owners.value(record.owner);
         if first != owner {
--- a/components/execution/tests/execution.rs
+++ b/components/execution/tests/execution.rs
@@ -121,7 +121,7 @@
     }
 
     #[test]
-    fn tokens_never_exceed_slots(steps in proptest::collection::vec((0..6u8, 0..3u64, 0..5u32), 0..120)) {
+    fn free_lent_and_busy_slots_add_up(steps in proptest::collection::vec((0..6u8, 0..3u64, 0..5u32), 0..120)) {
         let slots = 4;
         let mut ledger = Ledger::new(slots);
         let mut running: Vec<Session> = Vec::new();
