--- a/components/agent/src/agent.rs
+++ b/components/agent/src/agent.rs
@@ -16,9 +16,10 @@
 
 /// Memory limit for the outcomes of ended tasks, in bytes.
 const OUTCOME_BYTES_MAX: usize = 4 * 1024 * 1024;
-/// Fraction of a token lease, as a divisor, after which a waiting exchange gets an empty reply.
+/// Divisor of the token lease that gives the silence after which a waiting exchange gets an empty
+/// reply.
 const RENEWAL_DIVISOR: u32 = 2;
-/// Fraction of a token lease, as a divisor, that is added to it for frames in transit.
+/// Divisor of the token lease that gives the time added to the lease for frames in transit.
 const LEASE_GRACE_DIVISOR: u32 = 4;
 
 /// The identity of an agent and its target, fixed when the process starts.
@@ -77,21 +78,21 @@
         }
     }
 
-    /// Processes an event at `now` and appends the resulting actions to `out`.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Processes an event at `now` and appends the resulting actions.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Call { session, call, request } => {
-                self.handle_call(now, session, call, request, out)
+                self.handle_call(now, session, call, request, actions)
             }
-            Event::Closed { session } => self.close_session(session, out),
-            Event::Ended { key, outcome } => self.task_ended(now, key, outcome, out),
-            Event::Settings { version, fleet } => self.apply_settings(version, fleet, out),
-            Event::Leave => self.leave(out),
+            Event::Closed { session } => self.close_session(session, actions),
+            Event::Ended { key, outcome } => self.task_ended(now, key, outcome, actions),
+            Event::Settings { version, fleet } => self.apply_settings(version, fleet, actions),
+            Event::Leave => self.leave(actions),
             Event::Tick => {}
         }
-        self.tick(now, out);
-        self.send_token_changes(out);
-        self.check_drained(out);
+        self.tick(now, actions);
+        self.send_token_changes(actions);
+        self.check_drained(actions);
     }
 
     /// The time of the next timer; the caller sends [`Event::Tick`] then.
@@ -120,7 +121,8 @@
         Window { retention: self.fleet.retention, clock_skew: self.fleet.clock_skew }
     }
 
-    /// The time of silence after which a session's lease must be renewed.
+    /// The silence after which a waiting exchange gets an empty reply, so that the lease is
+    /// renewed.
     pub(crate) fn renewal(&self) -> Duration {
         self.fleet.token_lease / RENEWAL_DIVISOR
     }
@@ -136,20 +138,20 @@
         session: Session,
         call: CallId,
         request: Request,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if let Request::Hello(hello) = request {
             if !self.sessions.open(session, now) {
                 self.counters.stale += 1;
                 return;
             }
-            out.push(Action::Log(LogEvent::SessionOpened(session, hello.entry)));
+            actions.push(Action::Log(LogEvent::SessionOpened(session, hello.entry)));
             let reply = Reply::Hello(self.agent_info());
-            return self.reply(call, reply, out);
+            return self.reply(call, reply, actions);
         }
         if request == Request::Status {
             let reply = Reply::Status(Box::new(self.status()));
-            return out.push(Action::Reply { call, reply });
+            return actions.push(Action::Reply { call, reply });
         }
         if !self.sessions.record_contact(session, now) {
             self.counters.stale += 1;
@@ -157,11 +159,11 @@
         }
         match request {
             Request::Hello(_) | Request::Status => {}
-            Request::Claim(request) => self.claim(now, call, &request, out),
-            Request::Lookup(submission) => self.lookup(now, call, submission, out),
-            Request::Start(request) => self.start_task(now, session, call, request, out),
-            Request::Settle(request) => self.settle_task(call, &request, out),
-            Request::Sync(request) => self.exchange_tokens(session, call, request, out),
+            Request::Claim(request) => self.claim(now, call, &request, actions),
+            Request::Lookup(submission) => self.lookup(now, call, submission, actions),
+            Request::Start(request) => self.start_task(now, session, call, request, actions),
+            Request::Settle(request) => self.settle_task(call, &request, actions),
+            Request::Sync(request) => self.exchange_tokens(session, call, request, actions),
         }
     }
 
@@ -186,7 +188,7 @@
         }
     }
 
-    pub(crate) fn reply(&mut self, call: CallId, reply: Reply, out: &mut Vec<Action>) {
+    pub(crate) fn reply(&mut self, call: CallId, reply: Reply, actions: &mut Vec<Action>) {
         self.counters.messages.sent(match &reply {
             Reply::Hello(_) => MessageKind::Hello,
             Reply::Claim(_) | Reply::Lookup(_) => MessageKind::Claim,
@@ -194,64 +196,76 @@
             Reply::Settle(_) => MessageKind::Settle,
             Reply::Sync(_) | Reply::Status(_) => MessageKind::Sync,
         });
-        out.push(Action::Reply { call, reply });
+        actions.push(Action::Reply { call, reply });
     }
 
-    fn claim(&mut self, now: Time, call: CallId, request: &ClaimRequest, out: &mut Vec<Action>) {
+    fn claim(
+        &mut self,
+        now: Time,
+        call: CallId,
+        request: &ClaimRequest,
+        actions: &mut Vec<Action>,
+    ) {
         let reply = self.register.claim(request, &self.window(), now);
         match &reply {
             ClaimReply::Granted | ClaimReply::Renewed => self.counters.claims_granted += 1,
             ClaimReply::Held(_) => self.counters.claims_held += 1,
             ClaimReply::Silent(_) => self.counters.claims_silent += 1,
         }
-        self.reply(call, Reply::Claim(reply), out);
+        self.reply(call, Reply::Claim(reply), actions);
     }
 
-    fn lookup(&mut self, now: Time, call: CallId, id: SubmissionId, out: &mut Vec<Action>) {
+    fn lookup(&mut self, now: Time, call: CallId, id: SubmissionId, actions: &mut Vec<Action>) {
         let reply = self.register.lookup(id, &self.window(), now);
-        self.reply(call, Reply::Lookup(reply), out);
+        self.reply(call, Reply::Lookup(reply), actions);
     }
 
-    fn close_session(&mut self, session: Session, out: &mut Vec<Action>) {
+    fn close_session(&mut self, session: Session, actions: &mut Vec<Action>) {
         if self.sessions.close(session) {
             self.ledger.close(session);
-            out.push(Action::Log(LogEvent::SessionClosed(session)));
+            actions.push(Action::Log(LogEvent::SessionClosed(session)));
         }
     }
 
-    fn apply_settings(&mut self, version: u64, fleet: Arc<FleetSettings>, out: &mut Vec<Action>) {
+    fn apply_settings(
+        &mut self,
+        version: u64,
+        fleet: Arc<FleetSettings>,
+        actions: &mut Vec<Action>,
+    ) {
         if version < self.settings_version {
             let breach = Breach::SettingsWentBack { have: self.settings_version, got: version };
-            return self.report_breach(breach, out);
+            return self.report_breach(breach, actions);
         }
         self.settings_version = version;
         self.fleet = fleet;
-        out.push(Action::Log(LogEvent::Settings(version)));
+        actions.push(Action::Log(LogEvent::Settings(version)));
     }
 
-    fn leave(&mut self, out: &mut Vec<Action>) {
+    fn leave(&mut self, actions: &mut Vec<Action>) {
         if self.ledger.is_leaving() {
             return;
         }
         self.ledger.leave();
-        out.push(Action::Log(LogEvent::Leaving));
-        self.notify_all(|pending| pending.leaving = true, out);
+        actions.push(Action::Log(LogEvent::Leaving));
+        self.notify_all(|pending| pending.leaving = true, actions);
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.paused_until.is_some_and(|until| until <= now) {
             self.paused_until = None;
             self.ledger.resume();
         }
-        self.answer_silent_sessions(now, out);
+        self.answer_silent_sessions(now, actions);
         for session in self.sessions.silent(self.lease_with_grace(), now) {
             let idle = self.ledger.end_lease(session);
             if let Some(state) = self.sessions.get_mut(session) {
+                // Restarts the lease period, so that the timer does not expire again at once.
                 state.last_contact = now;
                 state.pending = SyncReply::default();
             }
             if idle > 0 {
-                out.push(Action::Log(LogEvent::LeaseEnded(session, idle)));
+                actions.push(Action::Log(LogEvent::LeaseEnded(session, idle)));
             }
         }
         if now.since(self.last_expiry).as_secs() >= 1 {
@@ -261,15 +275,16 @@
         }
     }
 
-    fn check_drained(&mut self, out: &mut Vec<Action>) {
+    /// Logs once that a leaving target has finished its last task.
+    fn check_drained(&mut self, actions: &mut Vec<Action>) {
         if self.ledger.is_leaving() && self.running.is_empty() && !self.drained {
             self.drained = true;
-            out.push(Action::Log(LogEvent::Drained));
+            actions.push(Action::Log(LogEvent::Drained));
         }
     }
 
-    pub(crate) fn report_breach(&mut self, breach: Breach, out: &mut Vec<Action>) {
+    pub(crate) fn report_breach(&mut self, breach: Breach, actions: &mut Vec<Action>) {
         self.counters.breaches += 1;
-        out.push(Action::Log(LogEvent::Breach(breach)));
+        actions.push(Action::Log(LogEvent::Breach(breach)));
     }
 }
--- a/components/agent/src/sessions.rs
+++ b/components/agent/src/sessions.rs
@@ -12,7 +12,8 @@
 /// The state of one entry's session.
 #[derive(Clone, Debug)]
 pub(crate) struct SessionState {
-    /// When a message of the entry was last received, which renews the lease.
+    /// When a message of the entry was last received, which renews the lease, or when the lease
+    /// last ended, whichever is later.
     pub last_contact: Time,
     /// Exchanges that wait for a reply, oldest first.
     pub waiting: VecDeque<CallId>,
@@ -27,7 +28,7 @@
     }
 }
 
-/// Closed sessions that are remembered, so that a late frame does not reopen one.
+/// Greatest number of closed sessions that are remembered, so that a late frame reopens none.
 const CLOSED_SESSIONS_MAX: usize = 1_024;
 
 /// The open sessions and the most recently closed ones.
--- a/components/agent/src/tasks.rs
+++ b/components/agent/src/tasks.rs
@@ -26,33 +26,34 @@
         session: Session,
         call: CallId,
         request: StartRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if request.agent != self.setup.node.incarnation {
             self.counters.stale += 1;
             let token = self.has_unspent_token(session);
-            return self.reply_start(call, StartResult::Unknown, token, out);
+            return self.reply_start(call, StartResult::Unknown, token, actions);
         }
         if let Some(known) = self.table.peek(request.key, &request.owner) {
-            return self.repeat_start(session, call, &request, known, out);
+            return self.repeat_start(session, call, &request, known, actions);
         }
         if now >= request.deadline {
-            return self.refuse_start(session, call, &request, StartRefusal::TooLate, out);
+            return self.refuse_start(session, call, &request, StartRefusal::TooLate, actions);
         }
         if !self.ledger.spend(session) {
             let leaving = self.ledger.is_leaving();
             let reason = if leaving { StartRefusal::Leaving } else { StartRefusal::NoSlot };
-            return self.refuse_start(session, call, &request, reason, out);
+            return self.refuse_start(session, call, &request, reason, actions);
         }
-        self.start_new(session, call, request, out);
+        self.start_new(session, call, request, actions);
     }
 
+    /// Starts a new task, for which a slot is already taken.
     fn start_new(
         &mut self,
         session: Session,
         call: CallId,
         request: StartRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let keep_until = self.window().kept_until(request.key.submission);
         let outcome = self.table.start(request.key, &request.owner, keep_until);
@@ -62,19 +63,23 @@
         let running = RunningTask { session, starts: vec![call], settles: Vec::new() };
         self.running.insert(request.key, running);
         if self.running.len() > self.setup.slots as usize {
-            self.report_breach(Breach::SlotsOverdrawn, out);
+            self.report_breach(Breach::SlotsOverdrawn, actions);
         }
-        out.push(Action::Run { key: request.key, task: request.task, deadline: request.deadline });
+        actions.push(Action::Run {
+            key: request.key,
+            task: request.task,
+            deadline: request.deadline,
+        });
     }
 
-    /// Answers a repeated start from the start table; the task is not started again.
+    /// Answers a repeated start with the state of the task, `known`; the task is not started again.
     fn repeat_start(
         &mut self,
         session: Session,
         call: CallId,
         request: &StartRequest,
         known: StartOutcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.counters.repeated += 1;
         let result = match known {
@@ -90,12 +95,12 @@
             StartOutcome::Forgotten => StartResult::Unknown,
             StartOutcome::OtherOwner(first) => {
                 let second = request.owner.clone();
-                self.report_breach(Breach::TwoOwners { key: request.key, first, second }, out);
+                self.report_breach(Breach::TwoOwners { key: request.key, first, second }, actions);
                 StartResult::Unknown
             }
         };
         let token = self.has_unspent_token(session);
-        self.reply_start(call, result, token, out);
+        self.reply_start(call, result, token, actions);
     }
 
     /// Whether the session still has a token that a refused or repeated start did not spend.
@@ -111,7 +116,7 @@
         call: CallId,
         request: &StartRequest,
         reason: StartRefusal,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.counters.refused += 1;
         let keep_until = self.window().kept_until(request.key.submission);
@@ -120,7 +125,7 @@
             _ => StartResult::Unknown,
         };
         let token = self.has_unspent_token(session);
-        self.reply_start(call, result, token, out);
+        self.reply_start(call, result, token, actions);
     }
 
     fn reply_start(
@@ -128,9 +133,9 @@
         call: CallId,
         result: StartResult,
         token: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        self.reply(call, Reply::Start(StartReply { result, token }), out);
+        self.reply(call, Reply::Start(StartReply { result, token }), actions);
     }
 
     /// Replies whether a task ran, or waits for the end of a running task.
@@ -138,11 +143,11 @@
         &mut self,
         call: CallId,
         request: &SettleRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.counters.settled += 1;
         if request.agent != self.setup.node.incarnation {
-            return self.reply(call, Reply::Settle(SettleReply::Unknown), out);
+            return self.reply(call, Reply::Settle(SettleReply::Unknown), actions);
         }
         let keep_until = self.window().kept_until(request.key.submission);
         let reply = match self.table.settle(request.key, &request.owner, keep_until) {
@@ -157,7 +162,7 @@
                 return;
             }
         };
-        self.reply(call, Reply::Settle(reply), out);
+        self.reply(call, Reply::Settle(reply), actions);
     }
 
     /// Records the end of a task and answers the calls that wait for it.
@@ -166,23 +171,23 @@
         now: Time,
         key: TaskKey,
         outcome: TaskOutcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let known = self.table.end(key, outcome.clone());
-        let Some(running) = self.running.remove(&key).filter(|_| known) else {
-            return self.report_breach(Breach::EndedTwice(key), out);
+        let was_running = self.table.end(key, outcome.clone());
+        let Some(running) = self.running.remove(&key).filter(|_| was_running) else {
+            return self.report_breach(Breach::EndedTwice(key), actions);
         };
         self.counters.ended += 1;
         if matches!(outcome, TaskOutcome::NeverSent(_)) {
-            self.pause_target(now, out);
+            self.pause_target(now, actions);
         }
         let mut token = self.ledger.finish(running.session);
         for call in running.starts {
-            self.reply_start(call, StartResult::Ended(outcome.clone()), token, out);
+            self.reply_start(call, StartResult::Ended(outcome.clone()), token, actions);
             token = false;
         }
         for call in running.settles {
-            self.reply(call, Reply::Settle(SettleReply::Ended(outcome.clone())), out);
+            self.reply(call, Reply::Settle(SettleReply::Ended(outcome.clone())), actions);
         }
     }
 }
