--- a/components/entry/src/entry.rs
+++ b/components/entry/src/entry.rs
@@ -80,53 +80,53 @@
         }
     }
 
-    /// Processes an event at `now` and appends the resulting actions to `out`.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Processes an event at `now` and appends the resulting actions.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
             Event::Submit { call, request, relayed } => {
-                self.submit(now, call, request, relayed, out);
+                self.submit(now, call, request, relayed, actions);
             }
             Event::Fetch { call, submission, relayed } => {
-                self.fetch(now, call, submission, relayed, out);
+                self.fetch(now, call, submission, relayed, actions);
             }
             Event::Connected { connection, info } => {
-                self.agent_connected(now, connection, &info, out)
+                self.agent_connected(now, connection, &info, actions)
             }
             Event::Disconnected { agent, connection } => {
-                self.agent_disconnected(&agent, connection, out)
+                self.agent_disconnected(&agent, connection, actions)
             }
-            Event::AgentDead { agent } => self.agent_dead(now, &agent, out),
+            Event::AgentDead { agent } => self.agent_dead(now, &agent, actions),
             Event::Suspected { agent, suspected } => self.suspicion_changed(&agent, suspected),
-            Event::AgentLeaving { agent } => self.agent_leaving(&agent, out),
+            Event::AgentLeaving { agent } => self.agent_leaving(&agent, actions),
             Event::ClaimReplied { holder, submission, reply } => {
                 let vote = reply.as_ref().map_or(claims::Vote::Absent, claims::Vote::from);
-                self.claim_replied(now, &holder, submission, vote, out);
+                self.claim_replied(now, &holder, submission, vote, actions);
             }
             Event::LookupReplied { holder, submission, reply } => {
                 let vote = reply.as_ref().map_or(claims::Vote::Absent, claims::Vote::from);
-                self.lookup_replied(&holder, submission, vote, out);
+                self.lookup_replied(&holder, submission, vote, actions);
             }
             Event::StartReplied { agent, connection, key, reply } => {
-                self.start_replied(now, &agent, connection, key, reply, out);
+                self.start_replied(now, &agent, connection, key, reply, actions);
             }
             Event::SettleReplied { agent, key, reply } => {
-                self.settle_replied(now, &agent, key, reply, out)
+                self.settle_replied(now, &agent, key, reply, actions)
             }
             Event::SyncReplied { agent, connection, reply } => {
-                self.sync_replied(now, &agent, connection, reply, out);
+                self.sync_replied(now, &agent, connection, reply, actions);
             }
             Event::OwnerReplied { call, submission, reply } => {
-                self.owner_replied(now, call, submission, reply, out);
+                self.owner_replied(now, call, submission, reply, actions);
             }
-            Event::Settings { catalog } => self.apply_settings(now, catalog, out),
+            Event::Settings { catalog } => self.apply_settings(now, catalog, actions),
             Event::SettingsConfirmed { at } => {
                 self.settings_confirmed = self.settings_confirmed.max(at)
             }
             Event::EntryCount { count } => self.entry_count = count.max(1),
             Event::Tick => {}
         }
-        self.tick(now, out);
+        self.tick(now, actions);
     }
 
     /// The time of the next timer; the caller sends [`Event::Tick`] then.
@@ -178,6 +178,7 @@
         Window { retention: fleet.retention, clock_skew: fleet.clock_skew }
     }
 
+    /// Whether the settings are missing or were confirmed too long ago to admit work.
     pub(crate) fn settings_are_stale(&self, now: Time) -> bool {
         let bound = |catalog: &Arc<Catalog>| catalog.fleet().settings_age_max;
         self.catalog
@@ -188,25 +189,25 @@
 
     /// Puts a version of the settings in force; a lower version is rejected as an invariant
     /// violation.
-    fn apply_settings(&mut self, now: Time, catalog: Arc<Catalog>, out: &mut Vec<Action>) {
+    fn apply_settings(&mut self, now: Time, catalog: Arc<Catalog>, actions: &mut Vec<Action>) {
         if let Some(have) = self.settings_version().filter(|have| *have > catalog.version()) {
             let breach = Breach::SettingsWentBack { have, got: catalog.version() };
-            return self.report_breach(breach, out);
+            return self.report_breach(breach, actions);
         }
         self.views = claim_views(catalog.fleet());
-        out.push(Action::Log(LogEvent::Settings(catalog.version())));
+        actions.push(Action::Log(LogEvent::Settings(catalog.version())));
         self.catalog = Some(catalog);
         self.settings_confirmed = self.settings_confirmed.max(now);
     }
 
     /// Handles the expired timers and periodically removes expired state.
-    fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         while let Some((id, timer)) = self.table.pop_expired_timer(now) {
             match timer {
-                TimerKind::ClaimTimeout => self.claim_round_timed_out(now, id, out),
-                TimerKind::LookupTimeout => self.lookup_timed_out(id, out),
-                TimerKind::AnyTarget => self.accept_any_target(now, id, out),
-                TimerKind::Deadline => self.deadline_passed(id, out),
+                TimerKind::ClaimTimeout => self.claim_round_timed_out(now, id, actions),
+                TimerKind::LookupTimeout => self.lookup_timed_out(id, actions),
+                TimerKind::AnyTarget => self.accept_any_target(now, id, actions),
+                TimerKind::Deadline => self.deadline_passed(id, actions),
             }
         }
         if now.since(self.last_expiry) < Duration::from_secs(1) {
@@ -214,25 +215,30 @@
         }
         self.last_expiry = now;
         self.table.expire(now);
-        self.expire_leases(now, out);
+        self.expire_leases(now, actions);
         let stale = self.settings_are_stale(now);
         if stale != self.settings_stale {
             self.settings_stale = stale;
-            out.push(Action::Log(LogEvent::SettingsStale(stale)));
+            actions.push(Action::Log(LogEvent::SettingsStale(stale)));
         }
     }
 
     /// Stores the outcome of a submission and answers its waiting callers.
-    pub(crate) fn finish(&mut self, id: SubmissionId, reply: RelayReply, out: &mut Vec<Action>) {
-        let Some(reply) = self.correct_verdict(id, reply, out) else { return };
+    pub(crate) fn finish(
+        &mut self,
+        id: SubmissionId,
+        reply: RelayReply,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(reply) = self.correct_verdict(id, reply, actions) else { return };
         self.remove_from_queue(id);
-        self.answer_waiters(id, &reply, out);
+        self.answer_waiters(id, &reply, actions);
         match &reply {
             Ok(_) => self.counters.completed += 1,
             Err(failure) => {
                 self.counters.failed += 1;
                 let code = failure.code;
-                self.log_decision(id, DecisionKind::Refuse { code }, Duration::ZERO, out);
+                self.log_decision(id, DecisionKind::Refuse { code }, Duration::ZERO, actions);
             }
         }
         let Some(fleet) = self.catalog.as_ref().map(|catalog| catalog.fleet()) else { return };
@@ -246,15 +252,15 @@
         &mut self,
         id: SubmissionId,
         reply: RelayReply,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Option<RelayReply> {
         let job = self.table.get(id)?;
         let Err(mut failure) = reply else { return Some(reply) };
-        let known = job.gather().map(|gather| gather.verdict());
+        let task_verdict = job.gather().map(|gather| gather.verdict());
         let not_run = model::Verdict::NotRun;
-        if failure.verdict == not_run && known.is_some_and(|known| known != not_run) {
+        if failure.verdict == not_run && task_verdict.is_some_and(|verdict| verdict != not_run) {
             failure.verdict = model::Verdict::MayHaveRun;
-            self.report_breach(Breach::FalseNotRun(id), out);
+            self.report_breach(Breach::FalseNotRun(id), actions);
         }
         Some(Err(failure))
     }
@@ -264,12 +270,17 @@
         &mut self,
         id: SubmissionId,
         reply: &RelayReply,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if let Err(failure) = reply {
-            self.log_decision(id, DecisionKind::Refuse { code: failure.code }, Duration::ZERO, out);
+            self.log_decision(
+                id,
+                DecisionKind::Refuse { code: failure.code },
+                Duration::ZERO,
+                actions,
+            );
         }
-        self.answer_waiters(id, reply, out);
+        self.answer_waiters(id, reply, actions);
         self.table.remove(id);
     }
 
@@ -279,12 +290,13 @@
         id: SubmissionId,
         step: DecisionKind,
         estimate: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(job) = self.table.get(id) else { return };
-        out.push(Action::LogDecision(self.decision(id, job, step, estimate)));
+        actions.push(Action::LogDecision(self.decision(id, job, step, estimate)));
     }
 
+    /// Builds the record of a decision on a job for the decision log.
     pub(crate) fn decision(
         &self,
         submission: SubmissionId,
@@ -304,9 +316,9 @@
         }
     }
 
-    pub(crate) fn report_breach(&mut self, breach: Breach, out: &mut Vec<Action>) {
+    pub(crate) fn report_breach(&mut self, breach: Breach, actions: &mut Vec<Action>) {
         self.counters.breaches += 1;
-        out.push(Action::Log(LogEvent::Breach(breach)));
+        actions.push(Action::Log(LogEvent::Breach(breach)));
     }
 
     /// Allocates the id of the next call to an owner and counts its message.
--- a/components/entry/src/gather.rs
+++ b/components/entry/src/gather.rs
@@ -9,17 +9,17 @@
 
 /// The recipient of a task's current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Sent {
+pub(crate) struct Recipient {
     /// The agent process that the task was sent to.
     pub agent: Incarnation,
 }
 
 #[derive(Clone, Debug)]
 enum TaskState {
-    /// Not sent, or sent and proven not to have run.
+    /// Not sent yet, or to be sent again.
     Waiting,
     /// Sent, outcome not yet known.
-    Sent(Sent),
+    Sent(Recipient),
     /// Ran and was answered.
     Answered(Arc<str>),
     /// Ran, but without a usable answer.
@@ -43,7 +43,7 @@
     waiting: VecDeque<u32>,
     /// Tasks without an answer.
     missing: usize,
-    /// Tasks sent by rack: the rack's number and the count.
+    /// Numbers of attempts sent to each rack, as pairs of rack and count.
     racks: Vec<(u32, u32)>,
 }
 
@@ -68,13 +68,13 @@
         self.waiting.len()
     }
 
-    /// The number of tasks of this job sent to a rack.
+    /// The number of attempts of this job's tasks that were sent to a rack.
     pub fn on_rack(&self, rack: u32) -> u32 {
         self.racks.iter().find(|(known, _)| *known == rack).map_or(0, |(_, count)| *count)
     }
 
     /// Marks the next waiting task as sent and returns its index, attempt and text.
-    pub fn send(&mut self, sent: Sent, rack: u32) -> Option<(u32, u32, Arc<str>)> {
+    pub fn send(&mut self, recipient: Recipient, rack: u32) -> Option<(u32, u32, Arc<str>)> {
         let index = self.waiting.pop_front()?;
         match self.racks.iter_mut().find(|(known, _)| *known == rack) {
             Some((_, count)) => *count += 1,
@@ -82,22 +82,23 @@
         }
         let task = &mut self.tasks[index as usize];
         debug_assert!(matches!(task.state, TaskState::Waiting));
-        task.state = TaskState::Sent(sent);
+        task.state = TaskState::Sent(recipient);
         Some((index, task.attempt, task.text.clone()))
     }
 
-    /// The recipient of a task's attempt while its outcome is unknown; `None` for earlier attempts.
-    pub fn sent(&self, index: u32, attempt: u32) -> Option<Sent> {
+    /// The recipient of an attempt while its outcome is unknown; `None` once it is known, and for
+    /// earlier attempts.
+    pub fn recipient(&self, index: u32, attempt: u32) -> Option<Recipient> {
         let task = self.tasks.get(index as usize)?;
         match task.state {
-            TaskState::Sent(sent) if task.attempt == attempt => Some(sent),
+            TaskState::Sent(recipient) if task.attempt == attempt => Some(recipient),
             _ => None,
         }
     }
 
     /// Stores the answer of a sent task; false when it is late or a duplicate.
     pub fn answer(&mut self, index: u32, attempt: u32, text: Arc<str>) -> bool {
-        if self.sent(index, attempt).is_none() {
+        if self.recipient(index, attempt).is_none() {
             return false;
         }
         self.tasks[index as usize].state = TaskState::Answered(text);
@@ -107,14 +108,15 @@
 
     /// Marks a sent task as run without an answer.
     pub fn fail(&mut self, index: u32, attempt: u32) {
-        if self.sent(index, attempt).is_some() {
+        if self.recipient(index, attempt).is_some() {
             self.tasks[index as usize].state = TaskState::Failed;
         }
     }
 
-    /// Returns a sent task to the waiting tasks as its next attempt; false when it is not open.
+    /// Returns a sent task to the waiting tasks as its next attempt; false when the outcome of the
+    /// attempt is already known.
     pub fn requeue(&mut self, index: u32, attempt: u32, proven_not_run: bool) -> bool {
-        if self.sent(index, attempt).is_none() {
+        if self.recipient(index, attempt).is_none() {
             return false;
         }
         let task = &mut self.tasks[index as usize];
@@ -154,7 +156,7 @@
 mod tests {
     use super::*;
 
-    const SENT: Sent = Sent { agent: Incarnation(1) };
+    const AGENT: Recipient = Recipient { agent: Incarnation(1) };
 
     fn two_tasks() -> Gather {
         Gather::new(&["a".into(), "b".into()])
@@ -163,8 +165,8 @@
     #[test]
     fn answers_are_in_task_order_and_only_when_complete() {
         let mut gather = two_tasks();
-        gather.send(SENT, 1);
-        gather.send(SENT, 1);
+        gather.send(AGENT, 1);
+        gather.send(AGENT, 1);
         assert!(gather.answer(1, 0, "B".into()));
         assert_eq!((gather.is_complete(), gather.answers()), (false, None));
         assert!(!gather.answer(1, 0, "late".into()));
@@ -177,9 +179,9 @@
     #[test]
     fn an_answer_to_an_earlier_attempt_is_late() {
         let mut gather = two_tasks();
-        gather.send(SENT, 1);
+        gather.send(AGENT, 1);
         assert!(gather.requeue(0, 0, true));
-        let (index, attempt, _) = gather.send(SENT, 1).unwrap();
+        let (index, attempt, _) = gather.send(AGENT, 1).unwrap();
         assert_eq!((index, attempt), (0, 1));
         assert!(!gather.answer(0, 0, "old".into()));
         assert!(gather.answer(0, 1, "new".into()));
@@ -189,11 +191,11 @@
     fn a_retry_without_proof_keeps_the_verdict_may_have_run() {
         let mut gather = two_tasks();
         assert_eq!(gather.verdict(), Verdict::NotRun);
-        gather.send(SENT, 1);
+        gather.send(AGENT, 1);
         assert_eq!(gather.verdict(), Verdict::MayHaveRun);
         gather.requeue(0, 0, true);
         assert_eq!(gather.verdict(), Verdict::NotRun);
-        gather.send(SENT, 1);
+        gather.send(AGENT, 1);
         gather.requeue(0, 1, false);
         assert_eq!(gather.verdict(), Verdict::MayHaveRun);
     }
--- a/components/entry/src/intake.rs
+++ b/components/entry/src/intake.rs
@@ -13,7 +13,7 @@
 use crate::job::{Job, Phase};
 use crate::{Action, CallId, Entry};
 
-/// Deadline of a request of an unknown kind, while its id is claimed for a proven refusal.
+/// Time limit for a request of an unknown kind, which is claimed only to prove its refusal.
 const REFUSAL_DEADLINE: Duration = Duration::from_secs(2);
 /// Retry delay sent with refusals that have no estimate, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
@@ -27,29 +27,29 @@
         call: CallId,
         request: RelayRequest,
         relayed: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.counters.submitted += 1;
         let texts = request.tasks.iter().map(|text| &**text);
         let digest = Digest::of(&request.service, &request.kind, request.repeatable, texts);
         if self.table.get(request.submission).is_some() {
-            return self.join_known(now, call, digest, request, out);
+            return self.join_known(now, call, digest, request, actions);
         }
         let Some(catalog) = self.catalog.clone() else {
             let failure =
                 Failure::new(Code::NotReady, Verdict::MayHaveRun, "the entry has no settings yet");
-            return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), out);
+            return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), actions);
         };
         if let Err(failure) = check_age(request.submission, &catalog, now) {
             self.count_refusal(failure.code);
-            return respond(call, Err(failure), out);
+            return respond(call, Err(failure), actions);
         }
         let checked = self.check_request(now, &catalog, &request);
         let job = self.new_job(now, call, digest, &catalog, &request);
         if request.repeatable {
-            return self.submit_repeatable(now, job, &request, checked, out);
+            return self.submit_repeatable(now, job, &request, checked, actions);
         }
-        self.submit_claimed(now, job, request, relayed, checked, out);
+        self.submit_claimed(now, job, request, relayed, checked, actions);
     }
 
     /// Answers a request for a known submission, adds it to the waiting callers, or retries a
@@ -60,22 +60,22 @@
         call: CallId,
         digest: Digest,
         request: RelayRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.counters.joined += 1;
         let id = request.submission;
         let Some(job) = self.table.get_mut(id) else { return };
         if job.digest != digest {
-            return respond(call, Err(id_conflict(id)), out);
+            return respond(call, Err(id_conflict(id)), actions);
         }
         match &mut job.phase {
-            Phase::Done(reply) => respond(call, reply.clone(), out),
+            Phase::Done(reply) => respond(call, reply.clone(), actions),
             Phase::Refused { failure, until } if now < *until => {
                 // The earlier refusal may still be in transit to its caller and must stay true.
-                respond(call, Err(failure.clone()), out);
+                respond(call, Err(failure.clone()), actions);
             }
             Phase::Undecided | Phase::Refused { .. } => {
-                self.retry_inactive(now, call, request, out);
+                self.retry_inactive(now, call, request, actions);
             }
             _ => job.waiters.push(call),
         }
@@ -87,31 +87,31 @@
         now: Time,
         call: CallId,
         request: RelayRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let id = request.submission;
         let Some(catalog) = self.catalog.clone() else { return };
         if let Err(failure) = check_age(id, &catalog, now) {
-            return respond(call, Err(failure), out);
+            return respond(call, Err(failure), actions);
         }
         let checked = self.check_request(now, &catalog, &request);
         let Some(job) = self.table.get_mut(id) else { return };
         job.waiters.push(call);
         job.kind = catalog.kind(&request.service, &request.kind).cloned();
-        let until = deadline_at(now, &catalog, job.kind.as_deref(), &request);
+        let deadline = deadline_at(now, &catalog, job.kind.as_deref(), &request);
         let owned = matches!(job.phase, Phase::Refused { .. });
         match checked {
             Ok(_) if owned => {
-                let phase = Phase::Active(Gather::new(&request.tasks));
-                self.table.reactivate(id, phase, until);
-                self.enqueue(now, id, out);
+                let phase = Phase::Admitted(Gather::new(&request.tasks));
+                self.table.reactivate(id, phase, deadline);
+                self.enqueue(now, id, actions);
             }
-            Err(failure) if owned => self.refuse_owned(now, id, failure, out),
+            Err(failure) if owned => self.refuse_owned(now, id, failure, actions),
             checked => {
                 job.claimed_before = true;
                 let phase = self.claim_phase(now, request, checked);
-                self.table.reactivate(id, phase, until);
-                self.claim(now, id, out);
+                self.table.reactivate(id, phase, deadline);
+                self.claim(now, id, actions);
             }
         }
     }
@@ -147,7 +147,8 @@
         Ok(settings.clone())
     }
 
-    /// Refuses a request whose estimated completion is past its deadline.
+    /// Refuses a request whose estimated completion is past its deadline or whose service has no
+    /// usable target.
     fn check_load(
         &self,
         catalog: &Catalog,
@@ -168,19 +169,20 @@
             slots: service.usable_slots(self.entry_count),
         };
         let estimate = estimate_completion(times, load, request.tasks.len());
-        let deadline = time_limit(kind, request);
-        if estimate <= deadline {
+        let limit = time_limit(kind, request);
+        if estimate <= limit {
             return Ok(());
         }
         let message = format!(
             "estimated completion in {} ms, after the deadline of {} ms",
             estimate.as_millis(),
-            deadline.as_millis()
+            limit.as_millis()
         );
-        let wait = u64::try_from((estimate - deadline).as_millis()).unwrap_or(RETRY_AFTER_MS);
+        let wait = u64::try_from((estimate - limit).as_millis()).unwrap_or(RETRY_AFTER_MS);
         Err(Failure::new(Code::Overloaded, Verdict::MayHaveRun, message).retry_after(wait.max(1)))
     }
 
+    /// Creates the job of a new request, in the phase `Undecided`.
     fn new_job(
         &mut self,
         now: Time,
@@ -216,21 +218,21 @@
         mut job: Job,
         request: &RelayRequest,
         checked: Result<Arc<KindSettings>, Failure>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let id = request.submission;
         match checked {
             Ok(kind) => {
                 self.kinds.get_mut(&kind).add_retry_credit(kind.retry_share);
-                job.phase = Phase::Active(Gather::new(&request.tasks));
+                job.phase = Phase::Admitted(Gather::new(&request.tasks));
                 self.table.insert(id, job);
-                self.enqueue(now, id, out);
+                self.enqueue(now, id, actions);
             }
             Err(mut failure) => {
                 self.count_refusal(failure.code);
                 failure.verdict = Verdict::NotRun;
                 self.table.insert(id, job);
-                self.answer_and_remove(id, &Err(failure), out);
+                self.answer_and_remove(id, &Err(failure), actions);
             }
         }
     }
@@ -244,13 +246,13 @@
         request: RelayRequest,
         relayed: bool,
         checked: Result<Arc<KindSettings>, Failure>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let id = request.submission;
         job.may_relay = !relayed;
         job.phase = self.claim_phase(now, request, checked);
         self.table.insert(id, job);
-        self.claim(now, id, out);
+        self.claim(now, id, actions);
     }
 
     /// Opens a claim round to admit a request or, if a check failed, to refuse it with proof.
@@ -275,13 +277,13 @@
         call: CallId,
         submission: SubmissionId,
         relayed: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if let Some(job) = self.table.get_mut(submission) {
             match &job.phase {
-                Phase::Done(reply) => return respond(call, reply.clone(), out),
+                Phase::Done(reply) => return respond(call, reply.clone(), actions),
                 Phase::Undecided | Phase::Refused { .. } => {
-                    return respond(call, Err(not_started()), out);
+                    return respond(call, Err(not_started()), actions);
                 }
                 _ => return job.waiters.push(call),
             }
@@ -289,26 +291,26 @@
         if relayed {
             let message = "the submission's owner does not know it";
             let failure = Failure::new(Code::UnknownId, Verdict::MayHaveRun, message);
-            return respond(call, Err(failure), out);
+            return respond(call, Err(failure), actions);
         }
         let Some(catalog) = self.catalog.clone() else {
             let failure =
                 Failure::new(Code::NotReady, Verdict::MayHaveRun, "the entry has no settings yet");
-            return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), out);
+            return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), actions);
         };
         if let Err(failure) = check_age(submission, &catalog, now) {
-            return respond(call, Err(failure), out);
+            return respond(call, Err(failure), actions);
         }
-        self.look_up_owner(now, submission, call, out);
+        self.look_up_owner(now, submission, call, actions);
     }
 }
 
 /// Appends the answer to one caller.
-pub(crate) fn respond(call: CallId, reply: RelayReply, out: &mut Vec<Action>) {
-    out.push(Action::Respond { call, reply });
+pub(crate) fn respond(call: CallId, reply: RelayReply, actions: &mut Vec<Action>) {
+    actions.push(Action::Respond { call, reply });
 }
 
-/// The answer to a fetch of a submission that was refused here or had no quorum.
+/// The failure of a fetch of a submission that was refused here or whose claim round had no quorum.
 fn not_started() -> Failure {
     let message = "the submission was refused here and has not started; submit it again";
     Failure::new(Code::UnknownId, Verdict::MayHaveRun, message)
@@ -327,8 +329,8 @@
 
 /// The deadline of a request.
 ///
-/// It ends before agents may forget the submission, so that no task starts whose earlier start
-/// has been forgotten.
+/// It is always before the time at which agents may forget the submission, so that no task starts
+/// whose earlier start has been forgotten.
 fn deadline_at(
     now: Time,
     catalog: &Catalog,
@@ -336,10 +338,11 @@
     request: &RelayRequest,
 ) -> Time {
     let window = Entry::window(catalog.fleet());
-    let time = kind.map_or(REFUSAL_DEADLINE, |kind| time_limit(kind, request));
-    (now + time).min(window.kept_until(request.submission) - window.clock_skew * 2)
+    let limit = kind.map_or(REFUSAL_DEADLINE, |kind| time_limit(kind, request));
+    (now + limit).min(window.kept_until(request.submission) - window.clock_skew * 2)
 }
 
+/// Checks that a submission id is neither too old nor too new to be admitted.
 fn check_age(id: SubmissionId, catalog: &Catalog, now: Time) -> Result<(), Failure> {
     let (code, verdict, message) = match Entry::window(catalog.fleet()).age(id, now) {
         Age::Known => return Ok(()),
@@ -362,6 +365,7 @@
     Err(Failure::new(code, verdict, message))
 }
 
+/// Checks the number of tasks and their sizes against the limits of the kind.
 fn check_size(kind: &KindSettings, request: &RelayRequest) -> Result<(), Failure> {
     let tasks = request.tasks.len();
     let too_large = |message| Err(Failure::new(Code::TooLarge, Verdict::MayHaveRun, message));
--- a/components/entry/src/job.rs
+++ b/components/entry/src/job.rs
@@ -10,7 +10,7 @@
 use crate::gather::Gather;
 use crate::{CallId, OwnerCall};
 
-/// The state of a submission.
+/// The progress of a submission at this entry.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
     /// The claim round is open.
@@ -21,7 +21,7 @@
     /// Relayed to the entry that owns it.
     Relaying { call: OwnerCall, since: Time },
     /// Admitted: its tasks wait, run or are answered.
-    Active(Gather),
+    Admitted(Gather),
     /// The claim round had no quorum; nothing started, and it may be claimed again.
     Undecided,
     /// Claimed and refused; nothing started. Until `until` the refusal may still be in transit to
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Whether the submission is in progress at this entry.
+    /// Whether the submission is in progress at this entry: neither done nor waiting to be
+    /// submitted again.
     pub fn is_active(&self) -> bool {
         !matches!(self.phase, Phase::Done(_) | Phase::Undecided | Phase::Refused { .. })
     }
@@ -79,7 +80,7 @@
     /// The tasks of an admitted job that has no outcome yet.
     pub fn gather_mut(&mut self) -> Option<&mut Gather> {
         match &mut self.phase {
-            Phase::Active(gather) => Some(gather),
+            Phase::Admitted(gather) => Some(gather),
             _ => None,
         }
     }
@@ -87,7 +88,7 @@
     /// The tasks of an admitted job that has no outcome yet.
     pub fn gather(&self) -> Option<&Gather> {
         match &self.phase {
-            Phase::Active(gather) => Some(gather),
+            Phase::Admitted(gather) => Some(gather),
             _ => None,
         }
     }
--- a/components/entry/src/kinds.rs
+++ b/components/entry/src/kinds.rs
@@ -13,6 +13,7 @@
 #[derive(Debug)]
 pub(crate) struct KindState {
     pub times: ServiceTimes,
+    /// Retries left in the budget; the shares of requests add up to whole retries.
     retry_credit: f64,
 }
 
@@ -39,18 +40,19 @@
     pub sent_at: Time,
 }
 
-/// The state of every requested kind, by service and kind.
+/// The states of kinds, by service and kind; each is created when it is first needed.
 #[derive(Debug, Default)]
 pub(crate) struct Kinds {
     states: Map<String, Map<String, KindState>>,
 }
 
 impl Kinds {
-    /// The service times of a kind; `None` before its first request.
+    /// The service times of a kind; `None` if it has no state yet.
     pub fn times(&self, kind: &KindSettings) -> Option<&ServiceTimes> {
         Some(&self.states.get(&kind.service)?.get(&kind.kind)?.times)
     }
 
+    /// The state of a kind, which is created if there is none.
     pub fn get_mut(&mut self, kind: &KindSettings) -> &mut KindState {
         let service = self.states.entry(kind.service.clone()).or_default();
         let new_state =
--- a/components/entry/src/owner_lookup.rs
+++ b/components/entry/src/owner_lookup.rs
@@ -42,7 +42,7 @@
         now: Time,
         id: SubmissionId,
         call: CallId,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if let Some(lookup) = self.owner_lookups.get_mut(&id) {
             return lookup.calls.push(call);
@@ -57,10 +57,10 @@
                 continue;
             }
             self.count_sent(MessageKind::Claim);
-            out.push(Action::Lookup { holder, submission: id });
+            actions.push(Action::Lookup { holder, submission: id });
         }
         self.table.set_timer(now + ROUND_TIMEOUT, id, TimerKind::LookupTimeout);
-        self.advance_lookup(id, out);
+        self.advance_lookup(id, actions);
     }
 
     fn lookup_round(&mut self, id: SubmissionId) -> Option<&mut Round> {
@@ -82,23 +82,23 @@
         holder: &NodeName,
         id: SubmissionId,
         vote: Vote,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.record_lookup_vote(id, holder, vote);
-        self.advance_lookup(id, out);
+        self.advance_lookup(id, actions);
     }
 
     /// Records holders that have not replied to a lookup in time as absent.
-    pub(crate) fn lookup_timed_out(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
+    pub(crate) fn lookup_timed_out(&mut self, id: SubmissionId, actions: &mut Vec<Action>) {
         let awaited = self.lookup_round(id).map(|round| round.awaited()).unwrap_or_default();
         for holder in awaited {
             self.record_lookup_vote(id, &holder, Vote::Absent);
         }
-        self.advance_lookup(id, out);
+        self.advance_lookup(id, actions);
     }
 
     /// Once the lookup round is decided, answers the callers or asks the owner.
-    fn advance_lookup(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
+    fn advance_lookup(&mut self, id: SubmissionId, actions: &mut Vec<Action>) {
         let unknown = |message| Err(Failure::new(Code::UnknownId, Verdict::MayHaveRun, message));
         let Some(state) = self.lookup_round(id).map(|round| round.state()) else { return };
         let reply = match state {
@@ -115,10 +115,10 @@
                 let call = self.next_owner_call();
                 let Some(lookup) = self.owner_lookups.get_mut(&id) else { return };
                 lookup.stage = Stage::Owner(call);
-                return out.push(Action::Fetch { call, owner: claim.owner, submission: id });
+                return actions.push(Action::Fetch { call, owner: claim.owner, submission: id });
             }
         };
-        self.answer_lookup(id, &reply, out);
+        self.answer_lookup(id, &reply, actions);
     }
 
     /// Ends a lookup and answers its callers.
@@ -126,11 +126,11 @@
         &mut self,
         id: SubmissionId,
         reply: &RelayReply,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(lookup) = self.owner_lookups.remove(&id) else { return };
         for call in lookup.calls {
-            out.push(Action::Respond { call, reply: reply.clone() });
+            actions.push(Action::Respond { call, reply: reply.clone() });
         }
     }
 }
--- a/components/entry/src/placing.rs
+++ b/components/entry/src/placing.rs
@@ -9,7 +9,7 @@
 use telemetry::{Breach, DecisionKind, MessageKind};
 use wire::{StartReply, StartRequest, StartResult};
 
-use crate::gather::Sent;
+use crate::gather::Recipient;
 use crate::job::Phase;
 use crate::kinds::{InFlight, Kinds};
 use crate::table::TimerKind;
@@ -17,13 +17,13 @@
 
 impl Entry {
     /// Queues the waiting tasks of an admitted job and places those that find a token.
-    pub(crate) fn enqueue(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
+    pub(crate) fn enqueue(&mut self, now: Time, id: SubmissionId, actions: &mut Vec<Action>) {
         if let Some(job) = self.table.get_mut(id) {
             job.waits_since = now;
         }
         self.add_to_queue(id);
         let Some(kind) = self.table.get(id).and_then(|job| job.kind.clone()) else { return };
-        self.dispatch(now, &kind.service, out);
+        self.dispatch(now, &kind.service, actions);
     }
 
     /// Adds a job with its waiting tasks to the queue of its service.
@@ -46,17 +46,17 @@
     }
 
     /// Places waiting tasks while idle tokens are available, then requests the missing tokens.
-    pub(crate) fn dispatch(&mut self, now: Time, service: &str, out: &mut Vec<Action>) {
-        while self.place_next(now, service, out) {}
-        self.ask_for_tokens(now, service, out);
+    pub(crate) fn dispatch(&mut self, now: Time, service: &str, actions: &mut Vec<Action>) {
+        while self.place_next(now, service, actions) {}
+        self.request_tokens(now, service, actions);
     }
 
     /// Places the next task of a service's queue; false when the queue is empty or has no token.
-    fn place_next(&mut self, now: Time, name: &str, out: &mut Vec<Action>) -> bool {
+    fn place_next(&mut self, now: Time, name: &str, actions: &mut Vec<Action>) -> bool {
         let Some(service) = self.services.get_mut(name) else { return false };
         let Some(id) = service.queue.head() else { return false };
         if self.would_miss_deadline(now, id) {
-            self.abandon(id, out);
+            self.abandon(id, actions);
             return true;
         }
         let Some(service) = self.services.get_mut(name) else { return false };
@@ -64,11 +64,11 @@
         let (team, deadline, arrival) = (job.team.clone(), job.deadline, job.arrival);
         let origin = if job.repeatable { self.setup.node.incarnation.0 } else { 0 };
         let wait = straggler_wait(&self.kinds, job.kind.as_deref());
-        // Compared as `Time`, which counts whole microseconds, so that the timer set for
-        // `any_target_at` finds that time reached.
+        // Truncated to the resolution of `Time`, like the timer that is set for it, so that any
+        // target is accepted when the timer fires.
         let any_target_at = job.waits_since + wait;
         let any_target = now >= any_target_at;
-        let Phase::Active(gather) = &mut job.phase else { return false };
+        let Phase::Admitted(gather) = &mut job.phase else { return false };
         let Some(target) = service.pool.spend_token(any_target, |rack| gather.on_rack(rack)) else {
             if !any_target && service.pool.idle_tokens() > 0 {
                 self.table.set_timer(any_target_at, id, TimerKind::AnyTarget);
@@ -76,8 +76,8 @@
             return false;
         };
         let state = self.targets.get(target);
-        let sent = Sent { agent: state.node.incarnation };
-        let Some((index, attempt, task)) = gather.send(sent, state.rack) else { return false };
+        let recipient = Recipient { agent: state.node.incarnation };
+        let Some((index, attempt, task)) = gather.send(recipient, state.rack) else { return false };
         service.queue.take_task();
         if gather.waiting() == 0 {
             service.queue.remove(&team, deadline, arrival, 0);
@@ -88,12 +88,12 @@
         let request = StartRequest {
             key: TaskKey { submission: id, index, attempt, origin },
             owner: self.setup.node.clone(),
-            agent: sent.agent,
+            agent: recipient.agent,
             task,
             deadline,
             wanted,
         };
-        self.send_start(target, request, idle, out);
+        self.send_start(target, request, idle, actions);
         true
     }
 
@@ -101,7 +101,8 @@
     fn would_miss_deadline(&self, now: Time, id: SubmissionId) -> bool {
         let Some(job) = self.table.get(id) else { return false };
         if job.waits_since == now {
-            // Admission has just checked the deadline.
+            // Queued by this event: admission has just checked the deadline, and a requeued task is
+            // placed at once if a token is idle.
             return false;
         }
         let (Some(kind), Some(gather)) = (&job.kind, job.gather()) else { return false };
@@ -110,20 +111,26 @@
     }
 
     /// Fails a job that would miss its deadline, so that its slots serve other jobs.
-    fn abandon(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
-        let Some(verdict) = self.table.get(id).and_then(|job| job.gather()).map(|g| g.verdict())
+    fn abandon(&mut self, id: SubmissionId, actions: &mut Vec<Action>) {
+        let Some(verdict) =
+            self.table.get(id).and_then(|job| job.gather()).map(|gather| gather.verdict())
         else {
             return;
         };
         let message = "the deadline can no longer be met";
         let failure = Failure::new(Code::DeadlinePassed, verdict, message);
-        self.finish(id, Err(failure), out);
+        self.finish(id, Err(failure), actions);
     }
 
     /// Dispatches again after a job has waited long enough to accept straggling targets.
-    pub(crate) fn accept_any_target(&mut self, now: Time, id: SubmissionId, out: &mut Vec<Action>) {
+    pub(crate) fn accept_any_target(
+        &mut self,
+        now: Time,
+        id: SubmissionId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(kind) = self.table.get(id).and_then(|job| job.kind.clone()) else { return };
-        self.dispatch(now, &kind.service, out);
+        self.dispatch(now, &kind.service, actions);
     }
 
     /// Sends the start of a placed task and logs the decision.
@@ -132,7 +139,7 @@
         target: TargetId,
         request: StartRequest,
         idle: u32,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let state = self.targets.get(target);
         let agent = state.node.name.clone();
@@ -143,9 +150,9 @@
             self.in_flight.insert(key, InFlight { kind, sent_at: self.now });
         }
         self.count_sent(MessageKind::Start);
-        out.push(Action::Start { agent: agent.clone(), connection, request });
+        actions.push(Action::Start { agent: agent.clone(), connection, request });
         let step = DecisionKind::Place { index: key.index, target: agent, idle };
-        self.log_decision(key.submission, step, Duration::ZERO, out);
+        self.log_decision(key.submission, step, Duration::ZERO, actions);
     }
 
     /// Processes an agent's reply to a start: adds the returned token, then applies the result.
@@ -156,7 +163,7 @@
         connection: Connection,
         key: TaskKey,
         reply: Option<StartReply>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(target) = self.targets.id(agent) else { return };
         let service = self.targets.get(target).service.clone();
@@ -164,7 +171,7 @@
         let answered = matches!(&reply, Some(StartReply { result: StartResult::Ended(end), .. })
             if matches!(end, TaskOutcome::Answer(_)));
         if let Some(in_flight) = in_flight.filter(|_| answered) {
-            self.record_time(&in_flight, target, now, out);
+            self.record_time(&in_flight, target, now, actions);
         }
         if let Some(service) = self.services.get_mut(&service) {
             service.busy = service.busy.saturating_sub(1);
@@ -175,30 +182,31 @@
             self.add_tokens(target, u32::from(token));
         }
         match reply {
-            Some(reply) => self.apply_start_result(now, key, reply.result, out),
-            None => self.add_unsettled(now, target, key, out),
+            Some(reply) => self.apply_start_result(now, key, reply.result, actions),
+            None => self.add_unsettled(now, target, key, actions),
         }
-        self.dispatch(now, &service, out);
-        self.keep_sync_open(now, target, out);
+        self.dispatch(now, &service, actions);
+        self.keep_sync_open(now, target, actions);
     }
 
+    /// Applies the result of a start to its task.
     fn apply_start_result(
         &mut self,
         now: Time,
         key: TaskKey,
         result: StartResult,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match result {
-            StartResult::Ended(outcome) => self.task_ended(now, key, outcome, out),
+            StartResult::Ended(outcome) => self.task_ended(now, key, outcome, actions),
             StartResult::NotRun(_) => {
                 // Neither the start nor its refusal made progress.
                 self.counters.messages.wasted(MessageKind::Start, 2);
-                self.place_again(now, key, out);
+                self.place_again(now, key, actions);
             }
-            StartResult::OutcomeDropped => self.outcome_dropped(key, out),
+            StartResult::OutcomeDropped => self.outcome_dropped(key, actions),
             StartResult::Unknown => {
-                self.task_lost(now, key, "its agent does not know whether it ran", out)
+                self.task_lost(now, key, "its agent does not know whether it ran", actions)
             }
         }
     }
@@ -209,14 +217,14 @@
         now: Time,
         key: TaskKey,
         outcome: TaskOutcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let id = key.submission;
         let Some(gather) = self.table.get_mut(id).and_then(|job| job.gather_mut()) else {
             self.counters.late += 1;
             return;
         };
-        if gather.sent(key.index, key.attempt).is_none() {
+        if gather.recipient(key.index, key.attempt).is_none() {
             self.counters.late += 1;
             return;
         }
@@ -225,17 +233,17 @@
                 gather.answer(key.index, key.attempt, text);
                 let complete = gather.is_complete();
                 if complete {
-                    self.complete_job(id, out);
+                    self.complete_job(id, actions);
                 }
             }
             TaskOutcome::Failed(reason) => {
                 gather.fail(key.index, key.attempt);
                 let verdict = gather.verdict();
                 let message = format!("task {}: {reason}", key.index);
-                self.finish(id, Err(Failure::new(Code::TargetFailed, verdict, message)), out);
+                self.finish(id, Err(Failure::new(Code::TargetFailed, verdict, message)), actions);
             }
-            TaskOutcome::Lost(reason) => self.task_lost(now, key, &reason, out),
-            TaskOutcome::NeverSent(_) => self.place_again(now, key, out),
+            TaskOutcome::Lost(reason) => self.task_lost(now, key, &reason, actions),
+            TaskOutcome::NeverSent(_) => self.place_again(now, key, actions),
         }
     }
 
@@ -248,56 +256,59 @@
         in_flight: &InFlight,
         target: TargetId,
         now: Time,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let time = now.since(in_flight.sent_at);
         let times = &mut self.kinds.get_mut(&in_flight.kind).times;
-        let over_mean = time.as_secs_f64() / times.mean().as_secs_f64().max(0.001);
+        let relative_time = time.as_secs_f64() / times.mean().as_secs_f64().max(0.001);
         times.record(time);
         let state = self.targets.get_mut(target);
-        if let Some(straggling) = state.record_time(over_mean) {
+        if let Some(straggling) = state.record_time(relative_time) {
             let name = state.node.name.clone();
-            out.push(Action::Log(LogEvent::Straggling(name, straggling)));
+            actions.push(Action::Log(LogEvent::Straggling(name, straggling)));
             self.update_profile(target);
         }
     }
 
-    fn complete_job(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
-        let answers = self.table.get(id).and_then(|job| job.gather()).and_then(|g| g.answers());
+    /// Finishes a job of which every task has its answer.
+    fn complete_job(&mut self, id: SubmissionId, actions: &mut Vec<Action>) {
+        let answers =
+            self.table.get(id).and_then(|job| job.gather()).and_then(|gather| gather.answers());
         match answers {
-            Some(answers) => self.finish(id, Ok(answers), out),
-            None => self.report_breach(Breach::PartialAnswer(id), out),
+            Some(answers) => self.finish(id, Ok(answers), actions),
+            None => self.report_breach(Breach::PartialAnswer(id), actions),
         }
     }
 
     /// Requeues a task that is proven not to have run.
-    pub(crate) fn place_again(&mut self, now: Time, key: TaskKey, out: &mut Vec<Action>) {
-        if self.requeue(key, true, out) {
+    pub(crate) fn place_again(&mut self, now: Time, key: TaskKey, actions: &mut Vec<Action>) {
+        if self.requeue(key, true, actions) {
             self.counters.placed_again += 1;
             let step = DecisionKind::PlaceAgain { index: key.index, attempt: key.attempt + 1 };
-            self.log_decision(key.submission, step, Duration::ZERO, out);
-            self.enqueue(now, key.submission, out);
+            self.log_decision(key.submission, step, Duration::ZERO, actions);
+            self.enqueue(now, key.submission, actions);
         }
     }
 
-    /// Returns a sent task to the queue; false when its attempt is already resolved.
+    /// Returns a sent task to the waiting tasks of its job; false when the outcome of its attempt
+    /// is already known. On success the caller queues the job again.
     ///
     /// Without proof that it did not run, only a task of a repeatable request is requeued.
-    fn requeue(&mut self, key: TaskKey, proven_not_run: bool, out: &mut Vec<Action>) -> bool {
+    fn requeue(&mut self, key: TaskKey, proven_not_run: bool, actions: &mut Vec<Action>) -> bool {
         let id = key.submission;
         self.remove_from_queue(id);
         let Some(job) = self.table.get_mut(id) else { return false };
         if !proven_not_run && !job.repeatable {
-            self.report_breach(Breach::StartWithoutProof(key), out);
+            self.report_breach(Breach::StartWithoutProof(key), actions);
             return false;
         }
         let Some(gather) = job.gather_mut() else { return false };
-        let open = gather.requeue(key.index, key.attempt, proven_not_run);
+        let requeued = gather.requeue(key.index, key.attempt, proven_not_run);
         let waiting = gather.waiting() > 0;
-        if !open && waiting {
+        if !requeued && waiting {
             self.add_to_queue(id);
         }
-        open
+        requeued
     }
 
     /// Handles a task whose outcome can't be determined: retries it if the request is repeatable
@@ -307,37 +318,37 @@
         now: Time,
         key: TaskKey,
         reason: &str,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let id = key.submission;
         let Some(job) = self.table.get_mut(id) else { return };
         let (repeatable, kind) = (job.repeatable, job.kind.clone());
         let Some(gather) = job.gather_mut() else { return };
-        if gather.sent(key.index, key.attempt).is_none() {
+        if gather.recipient(key.index, key.attempt).is_none() {
             return;
         }
         let verdict = gather.verdict();
         if repeatable && kind.is_some_and(|kind| self.kinds.get_mut(&kind).take_retry()) {
             self.counters.retried += 1;
-            self.requeue(key, false, out);
-            return self.enqueue(now, id, out);
+            self.requeue(key, false, actions);
+            return self.enqueue(now, id, actions);
         }
         let message = format!("task {}: {reason}", key.index);
-        self.finish(id, Err(Failure::new(Code::TargetLost, verdict, message)), out);
+        self.finish(id, Err(Failure::new(Code::TargetLost, verdict, message)), actions);
     }
 
     /// Fails the job of a task that ran but whose outcome its agent no longer holds.
-    pub(crate) fn outcome_dropped(&mut self, key: TaskKey, out: &mut Vec<Action>) {
+    pub(crate) fn outcome_dropped(&mut self, key: TaskKey, actions: &mut Vec<Action>) {
         let id = key.submission;
         let Some(gather) = self.table.get_mut(id).and_then(|job| job.gather_mut()) else { return };
         gather.fail(key.index, key.attempt);
         let verdict = gather.verdict();
         let message = format!("task {} ran, but its agent no longer holds the answer", key.index);
-        self.finish(id, Err(Failure::new(Code::AnswerDropped, verdict, message)), out);
+        self.finish(id, Err(Failure::new(Code::AnswerDropped, verdict, message)), actions);
     }
 
     /// Fails a submission whose deadline passed before it had an outcome.
-    pub(crate) fn deadline_passed(&mut self, id: SubmissionId, out: &mut Vec<Action>) {
+    pub(crate) fn deadline_passed(&mut self, id: SubmissionId, actions: &mut Vec<Action>) {
         let Some(job) = self.table.get(id) else { return };
         let failure = |verdict| {
             Err(Failure::new(
@@ -347,13 +358,13 @@
             ))
         };
         match &job.phase {
-            Phase::Active(gather) => {
+            Phase::Admitted(gather) => {
                 let reply = failure(gather.verdict());
-                self.finish(id, reply, out);
+                self.finish(id, reply, actions);
             }
-            Phase::Claiming { .. } => self.finish(id, failure(Verdict::MayHaveRun), out),
+            Phase::Claiming { .. } => self.finish(id, failure(Verdict::MayHaveRun), actions),
             Phase::Refusing { .. } | Phase::Relaying { .. } => {
-                self.answer_and_remove(id, &failure(Verdict::MayHaveRun), out);
+                self.answer_and_remove(id, &failure(Verdict::MayHaveRun), actions);
             }
             Phase::Undecided | Phase::Refused { .. } | Phase::Done(_) => {}
         }
--- a/components/entry/src/service.rs
+++ b/components/entry/src/service.rs
@@ -5,8 +5,9 @@
 use model::SubmissionId;
 use placement::{FairQueue, TargetId, TargetPool};
 
-/// Targets considered in one call of [`Service::next_to_ask`] when all of them are asked already.
-const ASK_AGAIN_SCAN: usize = 4;
+/// Targets considered by one call of [`Service::next_request_targets`] when every target already
+/// has a request.
+const REPEAT_REQUEST_SCAN: usize = 4;
 /// Idle tokens kept in reserve, so that a request after a pause finds one.
 const RESERVE_TOKENS: u32 = 1;
 
@@ -19,8 +20,8 @@
     pub busy: u32,
     /// Slots of all targets in the pool.
     pub slots: u32,
-    /// The target that was last asked for tokens, where the next round starts.
-    pub last_asked: TargetId,
+    /// The target of the last token request; the next request starts after it.
+    pub last_requested: TargetId,
     /// Tokens requested and not yet granted, by target.
     requested: BTreeMap<TargetId, u32>,
     /// Sum of all tokens requested and not yet granted.
@@ -34,7 +35,7 @@
             queue: FairQueue::default(),
             busy: 0,
             slots: 0,
-            last_asked: TargetId(0),
+            last_requested: TargetId(0),
             requested: BTreeMap::new(),
             requested_total: 0,
         }
@@ -75,17 +76,17 @@
         self.requested.get(&target).copied().unwrap_or(0)
     }
 
-    /// The targets to ask next for `count` tokens each, in round-robin order.
+    /// The targets of the next requests for `count` tokens each, in round-robin order.
     ///
-    /// These are the targets without a request. When all have one, they are those of the next few
-    /// whose request is at most half of `count`, since demand has grown.
-    pub fn next_to_ask(&mut self, count: u32) -> Vec<TargetId> {
-        let round = self.pool.round_robin_after(self.last_asked);
+    /// These are the targets without a request. When all have one, the next few are considered, and
+    /// those are returned whose request is at most half of `count`, since demand has grown.
+    pub fn next_request_targets(&mut self, count: u32) -> Vec<TargetId> {
+        let in_order = self.pool.round_robin_after(self.last_requested);
         if self.requested.len() < self.pool.len() {
-            return round.filter(|id| self.requested_from(*id) == 0).collect();
+            return in_order.filter(|id| self.requested_from(*id) == 0).collect();
         }
-        let candidates: Vec<TargetId> = round.take(ASK_AGAIN_SCAN).collect();
-        self.last_asked = candidates.last().copied().unwrap_or(self.last_asked);
+        let candidates: Vec<TargetId> = in_order.take(REPEAT_REQUEST_SCAN).collect();
+        self.last_requested = candidates.last().copied().unwrap_or(self.last_requested);
         candidates.into_iter().filter(|id| self.requested_from(*id) * 2 <= count).collect()
     }
 
--- a/components/entry/src/targets.rs
+++ b/components/entry/src/targets.rs
@@ -21,7 +21,8 @@
     pub connection: Connection,
     /// Token exchanges sent and not yet answered.
     pub pending_syncs: u32,
-    /// When a message of the agent was last received, which renews its tokens' lease.
+    /// When a message was last received from the agent or an exchange sent to it; either renews the
+    /// lease of its tokens.
     pub last_contact: Time,
 }
 
@@ -35,9 +36,9 @@
     /// The number that this entry gave the rack.
     pub rack: u32,
     pub slots: u32,
-    /// The agent votes on claims of submission ids that were made after this time.
+    /// The agent votes on claims of submission ids that were created after this time.
     pub votes_from: Time,
-    /// Whether the target's host leaves, so that it gets no new work.
+    /// Whether the target is leaving, so that it gets no new work.
     pub leaving: bool,
     /// Whether the agent's process is known to be dead.
     pub dead: bool,
@@ -55,8 +56,8 @@
 impl Target {
     /// Records a service time relative to its kind's mean; returns the new straggling state if it
     /// changed.
-    pub fn record_time(&mut self, over_mean: f64) -> Option<bool> {
-        self.slowness += (over_mean - self.slowness) * SLOWNESS_WEIGHT;
+    pub fn record_time(&mut self, relative_time: f64) -> Option<bool> {
+        self.slowness += (relative_time - self.slowness) * SLOWNESS_WEIGHT;
         let straggling = match self.straggling {
             false => self.slowness >= STRAGGLING_FROM,
             true => self.slowness >= STRAGGLING_UNTIL,
@@ -151,7 +152,7 @@
         (self.get(id).connection() == Some(connection)).then_some(id)
     }
 
-    /// Whether an agent is connected and votes on ids made at `now`.
+    /// Whether an agent is connected and votes on ids created at `now`.
     pub fn can_vote(&self, name: &NodeName, now: Time) -> bool {
         self.id(name)
             .is_some_and(|id| self.get(id).session.is_some() && self.get(id).votes_from < now)
--- a/components/entry/src/tokens.rs
+++ b/components/entry/src/tokens.rs
@@ -8,31 +8,32 @@
 use crate::{Action, Connection, Entry, LogEvent};
 
 /// Placement penalty of a straggling target: used when no other target has an idle token.
-const STRAGGLING: u8 = 1;
+const STRAGGLING_PENALTY: u8 = 1;
 /// Placement penalty of a target whose host the failure detector suspects.
-const SUSPECTED: u8 = 2;
+const SUSPECTED_PENALTY: u8 = 2;
 
 impl Entry {
-    /// Registers the session of an agent and adds its target to the pool of its service.
+    /// Registers the session of an agent, adds its target to the pool of its service and settles
+    /// its unsettled tasks.
     pub(crate) fn agent_connected(
         &mut self,
         now: Time,
         connection: Connection,
         info: &AgentInfo,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let known = self.targets.id(&info.agent.name);
         if let Some(target) = known {
             self.remove_from_pool(target);
         }
         let target = self.targets.connect(info, connection, &self.setup.hall, now);
-        out.push(Action::Log(LogEvent::TargetConnected(info.agent.clone())));
+        actions.push(Action::Log(LogEvent::TargetConnected(info.agent.clone())));
         if !self.targets.get(target).leaving {
             self.update_profile(target);
             self.services.entry(info.service.clone()).or_default().slots += info.slots;
         }
-        self.send_settles(target, out);
-        self.dispatch(now, &info.service, out);
+        self.send_settles(target, actions);
+        self.dispatch(now, &info.service, actions);
     }
 
     /// Removes the target of a closed connection from its pool and voids its tokens.
@@ -40,23 +41,23 @@
         &mut self,
         agent: &NodeName,
         connection: Connection,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(target) = self.targets.on_connection(agent, connection) else { return };
         self.remove_from_pool(target);
         self.targets.get_mut(target).session = None;
-        out.push(Action::Log(LogEvent::TargetDisconnected(agent.clone())));
+        actions.push(Action::Log(LogEvent::TargetDisconnected(agent.clone())));
     }
 
-    /// Marks the target of a leaving host, so that it gets no new work.
-    pub(crate) fn agent_leaving(&mut self, agent: &NodeName, out: &mut Vec<Action>) {
+    /// Marks a target as leaving and removes it from its pool, so that it gets no new work.
+    pub(crate) fn agent_leaving(&mut self, agent: &NodeName, actions: &mut Vec<Action>) {
         let Some(target) = self.targets.id(agent) else { return };
         if self.targets.get(target).leaving {
             return;
         }
         self.remove_from_pool(target);
         self.targets.get_mut(target).leaving = true;
-        out.push(Action::Log(LogEvent::TargetLeaving(agent.clone())));
+        actions.push(Action::Log(LogEvent::TargetLeaving(agent.clone())));
     }
 
     /// Removes a target with its tokens and slots from the pool of its service.
@@ -70,11 +71,11 @@
         }
     }
 
-    /// Updates a usable target's rank in the pool of its service.
+    /// Adds a usable target to the pool of its service, or updates its rank there.
     pub(crate) fn update_profile(&mut self, target: TargetId) {
         let state = self.targets.get(target);
-        let straggling = if state.straggling { STRAGGLING } else { 0 };
-        let penalty = if state.suspected { SUSPECTED } else { straggling };
+        let straggling = if state.straggling { STRAGGLING_PENALTY } else { 0 };
+        let penalty = if state.suspected { SUSPECTED_PENALTY } else { straggling };
         let profile = TargetProfile { remote: state.remote, rack: state.rack, penalty };
         let usable = state.session.is_some() && !state.leaving;
         if usable {
@@ -105,27 +106,27 @@
     }
 
     /// Requests the missing tokens of a service from its targets, round-robin.
-    pub(crate) fn ask_for_tokens(&mut self, now: Time, name: &str, out: &mut Vec<Action>) {
+    pub(crate) fn request_tokens(&mut self, now: Time, name: &str, actions: &mut Vec<Action>) {
         let Some(service) = self.services.get_mut(name) else { return };
         let needed = service.tokens_needed();
         if needed == 0 {
             return;
         }
-        let targets = service.pool.len().max(1) as u32;
+        let target_count = service.pool.len().max(1) as u32;
         let waiting = u32::try_from(service.queue.waiting_tasks()).unwrap_or(u32::MAX);
-        let each = needed.div_ceil(targets).max(waiting.div_ceil(targets));
-        let mut round = service.next_to_ask(each);
-        round.truncate(needed.div_ceil(each.max(1)) as usize);
-        for target in round {
+        let per_target = needed.div_ceil(target_count).max(waiting.div_ceil(target_count));
+        let mut targets = service.next_request_targets(per_target);
+        targets.truncate(needed.div_ceil(per_target.max(1)) as usize);
+        for target in targets {
             let Some(service) = self.services.get_mut(name) else { return };
-            service.last_asked = target;
-            service.set_requested(target, each);
-            self.send_sync(now, target, 0, out);
+            service.last_requested = target;
+            service.set_requested(target, per_target);
+            self.send_sync(now, target, 0, actions);
         }
     }
 
     /// Sends a token exchange to a target.
-    fn send_sync(&mut self, now: Time, target: TargetId, returned: u32, out: &mut Vec<Action>) {
+    fn send_sync(&mut self, now: Time, target: TargetId, returned: u32, actions: &mut Vec<Action>) {
         let state = self.targets.get_mut(target);
         let agent = state.node.name.clone();
         let service = self.services.get_mut(&state.service);
@@ -136,7 +137,7 @@
         let request = SyncRequest { wanted, returned };
         let connection = session.connection;
         self.count_sent(MessageKind::Sync);
-        out.push(Action::Sync { agent, connection, request });
+        actions.push(Action::Sync { agent, connection, request });
     }
 
     /// Applies an agent's reply to a token exchange: grants, recalls, voided tokens.
@@ -146,7 +147,7 @@
         agent: &NodeName,
         connection: Connection,
         reply: Option<SyncReply>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(target) = self.targets.on_connection(agent, connection) else { return };
         let Some(reply) = reply else { return };
@@ -155,7 +156,7 @@
             session.pending_syncs = session.pending_syncs.saturating_sub(1);
         }
         if reply.leaving {
-            return self.agent_leaving(agent, out);
+            return self.agent_leaving(agent, actions);
         }
         let service = self.targets.get(target).service.clone();
         if let Some(service) = self.services.get_mut(&service) {
@@ -166,13 +167,18 @@
             }
             service.pool.add_tokens(target, reply.granted);
         }
-        self.dispatch(now, &service, out);
-        self.return_recalled(now, target, reply.recalled, out);
+        self.dispatch(now, &service, actions);
+        self.return_recalled(now, target, reply.recalled, actions);
     }
 
     /// Keeps an exchange open with a target that lends tokens, so that it can recall them.
-    pub(crate) fn keep_sync_open(&mut self, now: Time, target: TargetId, out: &mut Vec<Action>) {
-        self.return_recalled(now, target, 0, out);
+    pub(crate) fn keep_sync_open(
+        &mut self,
+        now: Time,
+        target: TargetId,
+        actions: &mut Vec<Action>,
+    ) {
+        self.return_recalled(now, target, 0, actions);
     }
 
     /// Returns recalled tokens and keeps an exchange open while tokens are held or requested.
@@ -181,7 +187,7 @@
         now: Time,
         target: TargetId,
         recalled: u32,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let state = self.targets.get(target);
         let Some(session) = state.session else { return };
@@ -193,12 +199,12 @@
             self.counters.messages.wasted(MessageKind::Sync, 2);
         }
         if recalled > 0 || (holds && session.pending_syncs == 0) {
-            self.send_sync(now, target, returned, out);
+            self.send_sync(now, target, returned, actions);
         }
     }
 
-    /// Drops the idle tokens of agents from which nothing was received for a token lease.
-    pub(crate) fn expire_leases(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Drops the idle tokens of agents whose token lease has expired.
+    pub(crate) fn expire_leases(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(lease) = self.catalog.as_ref().map(|catalog| catalog.fleet().token_lease) else {
             return;
         };
@@ -211,7 +217,7 @@
             let Some(service) = self.services.get_mut(&state.service) else { continue };
             let idle = service.pool.take_tokens(target, u32::MAX);
             if idle > 0 {
-                out.push(Action::Log(LogEvent::LeaseEnded(name, idle)));
+                actions.push(Action::Log(LogEvent::LeaseEnded(name, idle)));
             }
             service.set_requested(target, 0);
         }
--- a/components/entry/tests/entry.rs
+++ b/components/entry/tests/entry.rs
@@ -151,10 +151,10 @@
     fixture.claimed("a1", other_claim());
     fixture.claimed("a2", other_claim());
     let refusal = Failure::new(Code::Overloaded, Verdict::NotRun, "full");
-    let late =
+    let owner_replied =
         |call| Event::OwnerReplied { call, submission: id(), reply: Some(Err(refusal.clone())) };
-    assert_eq!(outcome(&fixture.handle(late(OwnerCall(1)))), None);
-    let current = fixture.handle(late(OwnerCall(2)));
+    assert_eq!(outcome(&fixture.handle(owner_replied(OwnerCall(1)))), None);
+    let current = fixture.handle(owner_replied(OwnerCall(2)));
     assert_eq!(failure(&current), Some((Code::Overloaded, Verdict::NotRun)));
 }
 
