--- a/daemon/tests/room_sets.rs
+++ b/daemon/tests/agent_subsets.rs
@@ -3,12 +3,12 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
+mod support;
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-use room_support::{Fleet, StandInTarget, call, eventually};
+use support::{Fleet, StandInTarget, call, eventually};
 
 const ENTRIES: usize = 4;
 const AGENTS: usize = 6;
@@ -26,7 +26,7 @@
 struct Running {
     fleet: Fleet,
     targets: Vec<StandInTarget>,
-    _processes: Vec<room_support::process::Process>,
+    _processes: Vec<support::process::Process>,
 }
 
 fn start() -> Running {
--- a/daemon/tests/room_halls.rs
+++ b/daemon/tests/emptied_halls.rs
@@ -5,7 +5,7 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
+mod support;
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -13,9 +13,9 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use room_support::process::Struck;
-use room_support::{Answer, Fleet, StandInTarget, call, checks, eventually, seeds};
 use socket2::SockRef;
+use support::process::Struck;
+use support::{Answer, Fleet, StandInTarget, call, checks, eventually, seeds};
 
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 const SHORT: Duration = Duration::from_secs(2);
--- a/daemon/tests/room.rs
+++ b/daemon/tests/end_to_end.rs
@@ -3,12 +3,12 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
+mod support;
 
 use std::thread;
 use std::time::Duration;
 
-use room_support::{Fleet, StandInTarget, call, eventually};
+use support::{Fleet, StandInTarget, call, eventually};
 
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 const SHORT: Duration = Duration::from_secs(2);
--- a/daemon/tests/room_faults.rs
+++ b/daemon/tests/fault_injection.rs
@@ -13,7 +13,7 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
+mod support;
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -22,10 +22,10 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use room_support::checks::{self, Evidence};
-use room_support::process::Struck;
-use room_support::proxy::{Direction, Fault, Proxy, Silence};
-use room_support::{Fleet, StandInTarget, eventually, number, seeds, unix_seconds};
+use support::checks::{self, Evidence};
+use support::process::Struck;
+use support::proxy::{Direction, Fault, Proxy, Silence};
+use support::{Fleet, StandInTarget, eventually, number, seeds, unix_seconds};
 
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 const AGENTS: usize = 3;
--- a/daemon/tests/keepers_support/mod.rs
+++ b/daemon/tests/keeper_cluster/mod.rs
@@ -14,7 +14,7 @@
 use rustix::process::{Pid, Resource, Rlimit, prlimit};
 use tempfile::TempDir;
 
-use crate::room_support::{Answer, call, eventually};
+use crate::support::{Answer, call, eventually};
 
 /// Where keepers listen for operators, and for nodes and each other.
 const PORTS: [u16; 2] = [7_100, 7_101];
--- a/daemon/tests/room_called.rs
+++ b/daemon/tests/keeper_discovery.rs
@@ -3,11 +3,11 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
+mod support;
 
 use std::time::Duration;
 
-use room_support::{Fleet, Process, StandInTarget, eventually};
+use support::{Fleet, Process, StandInTarget, eventually};
 
 const AGENTS: usize = 2;
 const REMEMBERED: &str = "nodes.json";
--- a/daemon/tests/keepers_full_disk.rs
+++ b/daemon/tests/keepers_full_disk.rs
@@ -6,14 +6,14 @@
 
 // Entries, agents and targets take no part here.
 #[allow(unused_imports)]
-mod room_support;
+mod support;
 
-mod keepers_support;
+mod keeper_cluster;
 
 use std::time::{Duration, Instant};
 
-use keepers_support::Keepers;
-use room_support::eventually;
+use keeper_cluster::Keepers;
+use support::eventually;
 
 const FETCH: &str = "/configuration/fetch";
 /// Within this time another leads where a leader's disk has filled: an operator's call gives up after a second.
--- a/daemon/tests/keepers_power_loss.rs
+++ b/daemon/tests/keepers_power_loss.rs
@@ -7,14 +7,14 @@
 
 // Entries, agents and targets take no part here.
 #[allow(unused_imports)]
-mod room_support;
+mod support;
 
-mod keepers_support;
+mod keeper_cluster;
 
 use std::time::{Duration, Instant};
 
-use keepers_support::Keepers;
-use room_support::eventually;
+use keeper_cluster::Keepers;
+use support::eventually;
 
 /// The shortest time that users allow from the return of the machines to service.
 const RECOVERY: Duration = Duration::from_secs(12);
--- a/daemon/tests/large_documents.rs
+++ b/daemon/tests/large_documents.rs
@@ -13,8 +13,8 @@
 use net::Spawner;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use room_support::proxy::{Direction, Fault, Proxy};
-use room_support::{Fleet, call, document, eventually};
+use support::proxy::{Direction, Fault, Proxy};
+use support::{Fleet, call, document, eventually};
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel};
 use wire::{
@@ -22,7 +22,7 @@
     WatchReply, WatchRequest,
 };
 
-mod room_support;
+mod support;
 
 /// The port at which the processes of a fleet reach each other.
 const NODE_PORT: u16 = 7_101;
--- a/daemon/tests/planned_stop.rs
+++ b/daemon/tests/planned_stop.rs
@@ -3,14 +3,14 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
+mod support;
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
-use room_support::kept::{Kept, job_request};
-use room_support::{Fleet, Process, StandInTarget, call, eventually};
+use support::keep_alive::{Kept, job_request};
+use support::{Fleet, Process, StandInTarget, call, eventually};
 
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 /// What the platform grants a process from the request to stop to its end.
--- a/daemon/tests/room_stops.rs
+++ b/daemon/tests/planned_stop_faults.rs
@@ -15,18 +15,18 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
 mod stops;
+mod support;
 
 use std::sync::atomic::Ordering;
 use std::thread;
 
-use room_support::checks::{self, Evidence};
-use room_support::{Fleet, StandInTarget, eventually, number, seeds};
 use stops::{
     Client, Course, FIRST_VERSION, KEEPER, Node, Order, Orders, Record, print_summary,
     stop_in_series,
 };
+use support::checks::{self, Evidence};
+use support::{Fleet, StandInTarget, eventually, number, seeds};
 
 const ENTRIES: usize = 3;
 const AGENTS: usize = 6;
--- a/daemon/tests/room_silences.rs
+++ b/daemon/tests/silent_connection_faults.rs
@@ -11,7 +11,7 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
+mod support;
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,11 +21,11 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use room_support::balancer::pause;
-use room_support::callers::{self, Connection, Exchange, Job, Request};
-use room_support::checks::{self, Evidence};
-use room_support::proxy::{Proxy, Silence};
-use room_support::{Fleet, StandInTarget, number, seeds, unix_seconds};
+use support::balancer::pause;
+use support::checks::{self, Evidence};
+use support::exchange::{self, Connection, Exchange, Job, Request};
+use support::proxy::{Proxy, Silence};
+use support::{Fleet, StandInTarget, number, seeds, unix_seconds};
 
 const ENTRIES: usize = 2;
 const AGENTS: usize = 3;
@@ -323,7 +323,7 @@
         let wrong = match &self.exchange {
             Exchange::Answered(answer) => {
                 let request = Request::Job(self.job);
-                let untrue = callers::fault(&request, answer, self.over, evidence);
+                let untrue = exchange::find_fault(&request, answer, self.over, evidence);
                 let untrue = untrue.or_else(|| self.ran_all_the_same(answer.status, evidence))?;
                 format!("{untrue}: {} {}", answer.status, answer.body)
             }
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -20,9 +20,9 @@
 use model::{Incarnation, NodeName};
 use net::Spawner;
 use peers::ToPeers;
-use room_support::{Fleet, eventually};
 use session::SessionSender;
 use socket2::SockRef;
+use support::{Fleet, eventually};
 use tarpc::client::NewClient;
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel};
@@ -32,7 +32,7 @@
 };
 
 #[allow(unused_imports)]
-mod room_support;
+mod support;
 
 #[path = "../src/keeper_role/peers.rs"]
 #[allow(dead_code)]
--- a/daemon/tests/stops/client.rs
+++ b/daemon/tests/stops/client.rs
@@ -8,9 +8,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{Course, FIRST_VERSION, GRACE, POLL, Record};
-use crate::room_support::balancer::pause;
-use crate::room_support::callers::{Connection, Exchange, Job, Request};
-use crate::room_support::unix_seconds;
+use crate::support::balancer::pause;
+use crate::support::exchange::{Connection, Exchange, Job, Request};
+use crate::support::unix_seconds;
 
 /// How long after a broken try a client sends again.
 const RESEND: Duration = Duration::from_millis(1_300);
--- a/daemon/tests/stops/mod.rs
+++ b/daemon/tests/stops/mod.rs
@@ -12,8 +12,8 @@
 pub use node::{KEEPER, Node, Order, Orders, stop_in_series};
 pub use record::{Record, print_summary};
 
-use crate::room_support::Fleet;
-use crate::room_support::balancer::Balancer;
+use crate::support::Fleet;
+use crate::support::balancer::Balancer;
 
 /// When the platform kills a process that it told to stop.
 pub const GRACE: Duration = Duration::from_secs(6);
--- a/daemon/tests/stops/node.rs
+++ b/daemon/tests/stops/node.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{Course, GRACE, POLL};
-use crate::room_support::{Fleet, Process, unix_seconds};
+use crate::support::{Fleet, Process, unix_seconds};
 
 /// How long processes are told to stop; the last stops take a while longer.
 const STOPS: Duration = Duration::from_secs(12);
--- a/daemon/tests/stops/record.rs
+++ b/daemon/tests/stops/record.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use super::GRACE;
-use crate::room_support::callers::{self, Exchange, Request};
-use crate::room_support::checks::Evidence;
+use crate::support::checks::Evidence;
+use crate::support::exchange::{self, Exchange, Request};
 
 /// A connection that is used first within this time of its opening did not lie idle.
 const FRESH: Duration = Duration::from_millis(500);
@@ -60,7 +60,7 @@
     pub fn fault(&self, evidence: &Evidence) -> Option<String> {
         let wrong = match &self.exchange {
             Exchange::Answered(answer) => {
-                let untrue = callers::fault(&self.request, answer, self.over, evidence);
+                let untrue = exchange::find_fault(&self.request, answer, self.over, evidence);
                 untrue.or_else(|| self.ran_all_the_same(evidence))?
             }
             Exchange::NotSent => return None,
--- a/daemon/tests/room_support/checks.rs
+++ b/daemon/tests/support/checks.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use super::StandInTarget;
-use super::target::Span;
+use super::fake_target::Span;
 
 /// The runs that targets saw, by job.
 pub struct Evidence {
--- a/daemon/tests/room_support/callers.rs
+++ b/daemon/tests/support/exchange.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use super::checks::Evidence;
-use super::target::FAILS;
+use super::fake_target::FAILS;
 use super::{Answer, document};
 
 /// How long a client waits to be connected.
@@ -242,7 +242,7 @@
 
 /// Why an answer that came at a time can't be the true one of a request, if so. Answers name no job:
 /// that one belongs to its request shows in what it says of the job's own tasks.
-pub fn fault(
+pub fn find_fault(
     request: &Request,
     answer: &Answer,
     at: Instant,
--- a/daemon/tests/room_support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -5,13 +5,13 @@
 #![allow(dead_code)]
 
 pub mod balancer;
-pub mod callers;
 pub mod checks;
+pub mod exchange;
+mod fake_target;
 mod http;
-pub mod kept;
+pub mod keep_alive;
 pub mod process;
 pub mod proxy;
-mod target;
 
 use std::fs;
 use std::net::SocketAddr;
@@ -21,10 +21,10 @@
 
 use tempfile::TempDir;
 
+pub use fake_target::StandInTarget;
 pub use http::{Answer, call};
 pub use process::Process;
 use proxy::Proxy;
-pub use target::StandInTarget;
 
 /// Longest wait for anything to come about.
 const PATIENCE: Duration = Duration::from_secs(20);
--- a/daemon/tests/suspended.rs
+++ b/daemon/tests/suspended_client.rs
@@ -4,7 +4,7 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
+mod support;
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::Duration;
 
-use room_support::kept::{Kept, job_request};
+use support::keep_alive::{Kept, job_request};
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
 /// Longest wait for the answer, which comes right after the pause.
--- a/daemon/tests/room_lives.rs
+++ b/daemon/tests/target_restarts.rs
@@ -7,15 +7,15 @@
 // Spans that a test measures or waits.
 #![allow(clippy::disallowed_methods)]
 
-mod room_support;
+mod support;
 
 use std::thread;
 use std::time::{Duration, Instant};
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use room_support::checks::{self, Evidence};
-use room_support::{Answer, Fleet, StandInTarget, eventually, seeds, unix_seconds};
+use support::checks::{self, Evidence};
+use support::{Answer, Fleet, StandInTarget, eventually, seeds, unix_seconds};
 
 /// Lives of the target after its first.
 const LIVES: usize = 4;
