--- a/daemon/tests/agent_subsets.rs
+++ b/daemon/tests/agent_subsets.rs
@@ -8,43 +8,48 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use support::{Fleet, StandInTarget, call, eventually};
+use support::{FakeTarget, Fleet, call, eventually};
 
 const ENTRIES: usize = 4;
 const AGENTS: usize = 6;
 /// Each agent has sessions with two of the four entries.
-const SETTINGS: &str = "entries_served = 2\nagents_of_entry = 1\n";
-const SHORT: Duration = Duration::from_secs(2);
+const AGENT_SETTINGS: &str = "entries_served = 2\nagents_of_entry = 1\n";
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 const CANCELLED: &str = "{\"state\":\"cancelled\"}";
 /// How long a task runs that is cancelled, in ms: far longer than a cancel may take.
-const LONG_MS: u64 = 3_000;
+const LONG_TASK_MS: u64 = 3_000;
 /// A cancel that reaches any entry has stopped all tasks within this time: messages and a stop take
 /// milliseconds, a busy host takes the rest.
-const CANCELLED_WITHIN: Duration = Duration::from_millis(1_500);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-struct Running {
+struct RunningFleet {
     fleet: Fleet,
-    targets: Vec<StandInTarget>,
+    targets: Vec<FakeTarget>,
     _processes: Vec<support::process::Process>,
 }
 
-fn start() -> Running {
-    let fleet = Fleet::with_agent_settings(ENTRIES, AGENTS, SETTINGS);
+fn start() -> RunningFleet {
+    let fleet = Fleet::with_agent_settings(ENTRIES, AGENTS, AGENT_SETTINGS);
     let target = |number| {
-        StandInTarget::start(fleet.target(number), fleet.agent(number), &format!("i-{number}"))
+        FakeTarget::start(
+            fleet.target_address(number),
+            fleet.agent_address(number),
+            &format!("i-{number}"),
+        )
     };
     let targets = (0..AGENTS).map(target).collect();
     let processes = fleet.names().iter().map(|name| fleet.start(name)).collect();
     fleet.configure(7);
-    fleet.until_ready();
-    Running { fleet, targets, _processes: processes }
+    fleet.wait_until_ready();
+    RunningFleet { fleet, targets, _processes: processes }
 }
 
-impl Running {
+impl RunningFleet {
     /// How many agents an entry has sessions with.
     fn agents_of(&self, entry: usize) -> Option<usize> {
-        let page = call(self.fleet.metrics_of(entry), "GET", "/metrics", "", SHORT)?.body;
+        let page =
+            call(self.fleet.metrics_address_of(entry), "GET", "/metrics", "", ANSWER_TIMEOUT)?.body;
         let line =
             page.lines().find(|line| line.starts_with("dockpass_agents{state=\"known\"}"))?;
         line.rsplit(' ').next()?.parse().ok()
@@ -55,7 +60,10 @@
     }
 
     fn starts(&self) -> usize {
-        self.targets.iter().map(|target| target.seen.lock().expect("no panic").starts.len()).sum()
+        self.targets
+            .iter()
+            .map(|target| target.observed.lock().expect("no panic").starts.len())
+            .sum()
     }
 }
 
@@ -65,11 +73,14 @@
     let running = start();
     eventually("each agent has two sessions", || running.sessions() == 2 * AGENTS);
     for entry in 0..ENTRIES {
-        let answer = running.fleet.job_within(entry, entry as u64 + 1, 4, 50, SHORT);
+        let answer =
+            running.fleet.submit_job_within(entry, entry as u64 + 1, 4, 50, ANSWER_TIMEOUT);
         assert_eq!(answer.expect("it is answered").body, COMPLETED);
     }
     assert_eq!(running.starts(), 4 * ENTRIES, "each task once");
-    let page = call(running.fleet.metrics(), "GET", "/metrics", "", SHORT).expect("a page").body;
+    let page = call(running.fleet.metrics_address(), "GET", "/metrics", "", ANSWER_TIMEOUT)
+        .expect("a page")
+        .body;
     let sent = "dockpass_session_messages_total{direction=\"sent\",kind=\"start\"}";
     assert!(page.contains(sent), "{page}");
 }
@@ -85,15 +96,17 @@
         let id = 0x100 + cancelled_at as u64;
         let before = running.starts();
         thread::scope(|scope| {
-            let job = scope.spawn(move || fleet.job_within(0, id, 2, LONG_MS, 2 * SHORT));
+            let job = scope
+                .spawn(move || fleet.submit_job_within(0, id, 2, LONG_TASK_MS, 2 * ANSWER_TIMEOUT));
             eventually("its tasks run", || running.starts() == before + 2);
-            let began = Instant::now();
+            let started = Instant::now();
             let path = format!("/q/{id:016x}");
-            let answer = call(fleet.entry_number(cancelled_at), "DELETE", &path, "", SHORT);
+            let answer =
+                call(fleet.entry_address_of(cancelled_at), "DELETE", &path, "", ANSWER_TIMEOUT);
             assert_eq!(answer.map(|answer| answer.status), Some(410), "it has not the job");
             let answer = job.join().expect("no panic").expect("it is answered");
             assert_eq!((answer.status, answer.body.as_str()), (200, CANCELLED));
-            assert!(began.elapsed() < CANCELLED_WITHIN, "after {:?}", began.elapsed());
+            assert!(started.elapsed() < CANCEL_TIMEOUT, "after {:?}", started.elapsed());
         });
     }
 }
--- a/daemon/tests/keeper_cluster/mod.rs
+++ b/daemon/tests/keeper_cluster/mod.rs
@@ -19,16 +19,16 @@
 /// Where keepers listen for operators, and for nodes and each other.
 const PORTS: [u16; 2] = [7_100, 7_101];
 /// Longest wait for one answer.
-pub const ANSWER: Duration = Duration::from_secs(1);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Keepers that begin a cluster.
-const FOUNDERS: usize = 3;
+const SEED_KEEPERS: usize = 3;
 
 /// Where files are kept in memory. How long a sync takes on a busy host's disk is not what is measured.
-const IN_MEMORY: &str = "/dev/shm";
+const MEMORY_FOLDER: &str = "/dev/shm";
 
 /// A folder for the keepers' files; what a loss of power leaves of them the test decides.
-fn folder() -> TempDir {
-    tempfile::tempdir_in(IN_MEMORY).or_else(|_| tempfile::tempdir()).expect("a folder")
+fn create_folder() -> TempDir {
+    tempfile::tempdir_in(MEMORY_FOLDER).or_else(|_| tempfile::tempdir()).expect("a folder")
 }
 
 /// Tells the clusters of one test run apart.
@@ -38,26 +38,26 @@
 pub struct Keepers {
     folder: TempDir,
     network: String,
-    tolerated: usize,
+    tolerated_losses: usize,
     processes: Vec<Option<Child>>,
 }
 
 impl Keepers {
-    pub fn start(count: usize, tolerated: usize) -> Self {
-        let folder = folder();
+    pub fn start(count: usize, tolerated_losses: usize) -> Self {
+        let folder = create_folder();
         // A network of its own: no port is shared with anything else on this host.
         let (pid, cluster) = (std::process::id(), CLUSTERS.fetch_add(1, Ordering::Relaxed));
         let network = format!("127.{}.{}", 1 + pid % 250, 1 + (pid / 250 + 97 * cluster) % 250);
         let processes = (0..count).map(|_| None).collect();
-        let mut keepers = Self { folder, network, tolerated, processes };
+        let mut keepers = Self { folder, network, tolerated_losses, processes };
         for number in 0..count {
-            fs::create_dir(keepers.data(number)).expect("a folder");
-            keepers.write_file(number, true);
+            fs::create_dir(keepers.data_folder(number)).expect("a folder");
+            keepers.write_config(number, true);
         }
-        (0..count).for_each(|number| keepers.start_one(number));
+        (0..count).for_each(|number| keepers.start_keeper(number));
         eventually("all have caught up", || keepers.all_have_caught_up());
         // Every keeper has read its file by now.
-        (0..count).for_each(|number| keepers.write_file(number, false));
+        (0..count).for_each(|number| keepers.write_config(number, false));
         keepers
     }
 
@@ -65,18 +65,18 @@
         format!("{}.{}:{port}", self.network, number + 1).parse().expect("an address")
     }
 
-    pub fn data(&self, number: usize) -> PathBuf {
+    pub fn data_folder(&self, number: usize) -> PathBuf {
         self.folder.path().join(format!("data{number}"))
     }
 
-    fn file(&self, number: usize) -> PathBuf {
+    fn config_path(&self, number: usize) -> PathBuf {
         self.folder.path().join(format!("k{number}.ini"))
     }
 
     /// The settings of a keeper; `found` at the very first start alone.
-    fn write_file(&self, number: usize, found: bool) {
+    fn write_config(&self, number: usize, found: bool) {
         let seeds: Vec<String> =
-            (0..FOUNDERS).map(|seed| self.address(seed, PORTS[0]).to_string()).collect();
+            (0..SEED_KEEPERS).map(|seed| self.address(seed, PORTS[0]).to_string()).collect();
         let text = format!(
             "[node]\nname = k{number}\nroles = keeper\nscheduling = room\nnode_port = {}\n\
              keepers = {}\n[keeper]\nlisten = {}\nnode_listen = {}\ndata = {}\n\
@@ -85,13 +85,13 @@
             seeds.join(" "),
             self.address(number, PORTS[0]),
             self.address(number, PORTS[1]),
-            self.data(number).display(),
-            self.tolerated
+            self.data_folder(number).display(),
+            self.tolerated_losses
         );
-        fs::write(self.file(number), text).expect("the file is written");
+        fs::write(self.config_path(number), text).expect("the file is written");
     }
 
-    pub fn start_one(&mut self, number: usize) {
+    pub fn start_keeper(&mut self, number: usize) {
         let path = self.folder.path().join(format!("k{number}.log"));
         let mut log = OpenOptions::new().create(true).append(true).open(path).expect("a log");
         // A write beyond a limit of files is then refused, where it would end the process else.
@@ -101,7 +101,7 @@
                 "trap '' XFSZ; exec \"$0\" --config \"$1\"",
                 env!("CARGO_BIN_EXE_dockpassd"),
             ])
-            .arg(self.file(number))
+            .arg(self.config_path(number))
             .stdout(Stdio::piped())
             .spawn();
         let mut child = child.expect("the daemon starts");
@@ -120,7 +120,7 @@
         (0..self.count()).all(|number| {
             let Some(status) = self.status(number) else { return false };
             let voters = status["voters"].as_array().map_or(0, Vec::len);
-            status["blank"] == false && voters == self.tolerated * 2 + 1
+            status["blank"] == false && voters == self.tolerated_losses * 2 + 1
         })
     }
 
@@ -133,7 +133,7 @@
         eventually("the configuration is acknowledged", || {
             acknowledged = (0..self.count()).find(|number| {
                 let to = self.address(*number, PORTS[0]);
-                call(to, "POST", "/configuration/replace", &body, ANSWER)
+                call(to, "POST", "/configuration/replace", &body, ANSWER_TIMEOUT)
                     .is_some_and(|answer| answer.status == 200)
             });
             acknowledged.is_some()
@@ -142,9 +142,9 @@
     }
 
     /// The answer of any keeper that is sure.
-    pub fn read(&self) -> Option<String> {
+    pub fn read_configuration(&self) -> Option<String> {
         let answers = (0..self.count()).filter_map(|number| {
-            call(self.address(number, PORTS[0]), "GET", "/configuration/fetch", "", ANSWER)
+            call(self.address(number, PORTS[0]), "GET", "/configuration/fetch", "", ANSWER_TIMEOUT)
         });
         answers.into_iter().find(|answer| answer.status == 200).map(|answer| answer.body)
     }
@@ -157,21 +157,21 @@
 
     /// One call of an operator, sent nowhere else.
     pub fn call(&self, number: usize, method: &str, path: &str, body: &str) -> Option<Answer> {
-        call(self.address(number, PORTS[0]), method, path, body, ANSWER)
+        call(self.address(number, PORTS[0]), method, path, body, ANSWER_TIMEOUT)
     }
 
     /// From now on a keeper's files can't grow: its disk takes no more bytes.
     pub fn fill_disk(&self, number: usize) {
-        let journal = fs::metadata(self.data(number).join("settings.journal"));
-        self.limit_files(number, Some(journal.map_or(0, |journal| journal.len())));
+        let journal = fs::metadata(self.data_folder(number).join("settings.journal"));
+        self.limit_file_size(number, Some(journal.map_or(0, |journal| journal.len())));
     }
 
     /// A full disk has room again.
-    pub fn make_room(&self, number: usize) {
-        self.limit_files(number, None);
+    pub fn free_disk(&self, number: usize) {
+        self.limit_file_size(number, None);
     }
 
-    fn limit_files(&self, number: usize, bytes: Option<u64>) {
+    fn limit_file_size(&self, number: usize, bytes: Option<u64>) {
         let process = self.processes[number].as_ref().expect("it runs");
         let limit = Rlimit { current: bytes, maximum: None };
         let pid = Pid::from_raw(process.id().cast_signed());
@@ -179,7 +179,7 @@
     }
 
     /// Whether a keeper's process has not ended.
-    pub fn runs(&mut self, number: usize) -> bool {
+    pub fn is_running(&mut self, number: usize) -> bool {
         let process = self.processes[number].as_mut();
         process.is_some_and(|process| process.try_wait().expect("its state").is_none())
     }
@@ -194,13 +194,13 @@
     }
 
     pub fn lose_disk(&self, number: usize) {
-        fs::remove_dir_all(self.data(number)).expect("the folder is removed");
-        fs::create_dir(self.data(number)).expect("a folder");
+        fs::remove_dir_all(self.data_folder(number)).expect("the folder is removed");
+        fs::create_dir(self.data_folder(number)).expect("a folder");
     }
 
     /// A write that was under way as power failed: its first bytes are missing, its last are there.
-    pub fn tear_a_write(&self, number: usize) {
-        let path = self.data(number).join("settings.journal");
+    pub fn tear_last_write(&self, number: usize) {
+        let path = self.data_folder(number).join("settings.journal");
         let mut file = OpenOptions::new().append(true).open(path).expect("there is a journal");
         let torn = [[0; 24], [0xA5; 24]].concat();
         file.write_all(&torn).expect("it is written");
--- a/daemon/tests/keeper_discovery.rs
+++ b/daemon/tests/keeper_discovery.rs
@@ -7,11 +7,11 @@
 
 use std::time::Duration;
 
-use support::{Fleet, Process, StandInTarget, eventually};
+use support::{FakeTarget, Fleet, Process, eventually};
 
 const AGENTS: usize = 2;
 const REMEMBERED: &str = "nodes.json";
-const SHORT: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 
 fn start_all(fleet: &Fleet) -> Vec<Process> {
@@ -23,14 +23,18 @@
 /// knew before.
 #[test]
 fn a_keeper_that_no_settings_name_is_found_after_all_has_stopped() {
-    let fleet = Fleet::of(1, AGENTS);
+    let fleet = Fleet::with_entries(1, AGENTS);
     let target = |number| {
-        StandInTarget::start(fleet.target(number), fleet.agent(number), &format!("i-{number}"))
+        FakeTarget::start(
+            fleet.target_address(number),
+            fleet.agent_address(number),
+            &format!("i-{number}"),
+        )
     };
-    let _targets: Vec<StandInTarget> = (0..AGENTS).map(target).collect();
+    let _targets: Vec<FakeTarget> = (0..AGENTS).map(target).collect();
     let processes = start_all(&fleet);
     fleet.configure(7);
-    fleet.until_ready();
+    fleet.wait_until_ready();
     let all = fleet.names().into_iter().filter(|name| name != "keeper");
     let names: Vec<String> = all.collect();
     eventually("the keeper remembers all nodes", || {
@@ -38,9 +42,9 @@
         nodes.matches("\"host\"").count() == names.len()
     });
     drop(processes);
-    names.iter().for_each(|name| fleet.name_absent_keeper(name));
+    names.iter().for_each(|name| fleet.name_only_absent_keeper(name));
     let _processes = start_all(&fleet);
-    fleet.until_ready();
-    let answer = fleet.job_within(0, 1, 2, 50, SHORT).expect("it is answered");
+    fleet.wait_until_ready();
+    let answer = fleet.submit_job_within(0, 1, 2, 50, ANSWER_TIMEOUT).expect("it is answered");
     assert_eq!((answer.status, answer.body.as_str()), (200, COMPLETED));
 }
--- a/daemon/tests/keeper_stops.rs
+++ b/daemon/tests/keeper_stops.rs
@@ -1,6 +1,6 @@
 //! A planned stop of a keeper while an operator's call is under way.
 
-// Spans that a test measures or waits.
+// Spans that a test measures or pending.
 #![allow(clippy::disallowed_methods)]
 
 use std::fs;
@@ -20,7 +20,7 @@
         assert!(Command::new("kill").args([&format!("-{name}"), &pid]).status().unwrap().success());
     }
 
-    fn send(&self, version: u64) -> std::io::Result<TcpStream> {
+    fn send_configuration(&self, version: u64) -> std::io::Result<TcpStream> {
         let mut stream = TcpStream::connect(&self.address)?;
         stream.set_read_timeout(Some(Duration::from_secs(3)))?;
         let body = serde_json::json!({"version": version, "routes": [],
@@ -35,12 +35,12 @@
         Ok(stream)
     }
 
-    fn status(&self, version: u64) -> Option<u16> {
-        read(self.send(version).ok()?)
+    fn configure_status(&self, version: u64) -> Option<u16> {
+        read_status(self.send_configuration(version).ok()?)
     }
 }
 
-fn read(stream: TcpStream) -> Option<u16> {
+fn read_status(stream: TcpStream) -> Option<u16> {
     let mut line = String::new();
     // Unlike a single read it goes on where this process was suspended meanwhile.
     BufReader::new(stream).read_line(&mut line).ok()?;
@@ -55,7 +55,7 @@
     }
 }
 
-fn start(folder: &std::path::Path, net: u32) -> Vec<Keeper> {
+fn start_keepers(folder: &std::path::Path, net: u32) -> Vec<Keeper> {
     let net = format!("127.{}.{net}", 1 + std::process::id() % 250);
     let seeds: Vec<String> = (1..=3).map(|host| format!("{net}.{host}:7100")).collect();
     (1..=3)
@@ -85,10 +85,10 @@
 
 /// Which keeper leads, once one does.
 fn leader_of(keepers: &[Keeper]) -> usize {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
-        assert!(began.elapsed() < Duration::from_secs(15), "no leader");
-        let leads = |keeper: &Keeper| keeper.status(1) == Some(200);
+        assert!(started.elapsed() < Duration::from_secs(15), "no leader");
+        let leads = |keeper: &Keeper| keeper.configure_status(1) == Some(200);
         if let Some(number) = keepers.iter().position(leads) {
             return number;
         }
@@ -99,18 +99,18 @@
 /// An operator's connection ended with no answer: a keeper that stopped dropped the calls under way before
 /// they were told that it had ended. Here the leader can't reach a majority as it stops.
 #[test]
-fn a_change_under_way_when_the_leader_stops_is_answered() {
+fn a_pending_change_is_answered_when_the_leader_stops() {
     let folder = tempfile::tempdir().unwrap();
-    let keepers = start(folder.path(), 251);
+    let keepers = start_keepers(folder.path(), 251);
     let leader = leader_of(&keepers);
     keepers.iter().enumerate().filter(|(number, _)| *number != leader).for_each(|(_, keeper)| {
         keeper.signal("STOP");
     });
-    let waits = keepers[leader].send(2).unwrap();
+    let pending = keepers[leader].send_configuration(2).unwrap();
     std::thread::sleep(Duration::from_millis(20));
     let stopped = Instant::now();
     keepers[leader].signal("TERM");
-    let status = read(waits);
+    let status = read_status(pending);
     println!("{status:?} after {:?}", stopped.elapsed());
     assert!(status.is_some(), "the connection ended with no answer, {:?}", stopped.elapsed());
 }
@@ -119,21 +119,21 @@
 /// stops. The very last may cross the closing of the listener, when the kernel has opened its connection
 /// and the keeper has not accepted it.
 #[test]
-fn changes_that_are_sent_while_the_leader_stops_are_answered() {
+fn changes_sent_while_the_leader_stops_are_answered() {
     let folder = tempfile::tempdir().unwrap();
-    let mut keepers = start(folder.path(), 252);
+    let mut keepers = start_keepers(folder.path(), 252);
     let leader = leader_of(&keepers);
     keepers[leader].signal("TERM");
-    let mut seen = Vec::new();
+    let mut answers = Vec::new();
     let stopped = Instant::now();
     for version in 2.. {
-        let Ok(stream) = keepers[leader].send(version) else { break };
-        seen.push((stopped.elapsed().as_millis(), read(stream)));
+        let Ok(stream) = keepers[leader].send_configuration(version) else { break };
+        answers.push((stopped.elapsed().as_millis(), read_status(stream)));
     }
     let _ = keepers[leader].child.wait();
     let unanswered = |(_, status): &(u128, Option<u16>)| status.is_none();
-    let last_crossed = seen.last().is_some_and(unanswered);
-    println!("{} sent, last {:?}", seen.len(), seen.last());
-    seen.truncate(seen.len() - usize::from(last_crossed));
-    assert!(seen.len() > 10 && !seen.iter().any(unanswered), "{seen:?}");
+    let last_crossed = answers.last().is_some_and(unanswered);
+    println!("{} sent, last {:?}", answers.len(), answers.last());
+    answers.truncate(answers.len() - usize::from(last_crossed));
+    assert!(answers.len() > 10 && !answers.iter().any(unanswered), "{answers:?}");
 }
--- a/daemon/tests/keepers_power_loss.rs
+++ b/daemon/tests/keepers_power_loss.rs
@@ -17,11 +17,11 @@
 use support::eventually;
 
 /// The shortest time that users allow from the return of the machines to service.
-const RECOVERY: Duration = Duration::from_secs(12);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Rounds of: a change, its acknowledgement, disks lost and all killed, all back in another order.
-fn run(count: usize, tolerated: usize, rounds: usize) {
-    let mut keepers = Keepers::start(count, tolerated);
+fn run_rounds(count: usize, tolerated_losses: usize, rounds: usize) {
+    let mut keepers = Keepers::start(count, tolerated_losses);
     for round in 0..rounds {
         eventually("all have caught up", || keepers.all_have_caught_up());
         let version = 10 + round as u64;
@@ -31,29 +31,29 @@
         let next = (0..count).map(|step| (acknowledged + step * (round + 1)) % count);
         let mut wiped: Vec<usize> = Vec::new();
         next.for_each(|number| {
-            if wiped.len() < tolerated && !wiped.contains(&number) {
+            if wiped.len() < tolerated_losses && !wiped.contains(&number) {
                 wiped.push(number);
             }
         });
         for number in 0..count {
             match wiped.contains(&number) {
                 true => keepers.lose_disk(number),
-                false => keepers.tear_a_write(number),
+                false => keepers.tear_last_write(number),
             }
         }
         for step in 0..count {
-            keepers.start_one((acknowledged + round + step) % count);
+            keepers.start_keeper((acknowledged + round + step) % count);
         }
         let back = Instant::now();
         let mut read = None;
         eventually("the configuration is read back", || {
-            read = keepers.read();
+            read = keepers.read_configuration();
             read.is_some()
         });
         let took = back.elapsed();
         let read = read.expect("it was read");
         assert!(read.contains(&format!("\"version\":{version}")), "round {round}: {read}");
-        assert!(took < RECOVERY, "round {round}: read after {took:?}");
+        assert!(took < RECOVERY_TIMEOUT, "round {round}: read after {took:?}");
         println!("{count} keepers, {wiped:?} lost their disks: read after {took:?}");
     }
 }
@@ -63,10 +63,10 @@
 /// and does not start. Evidence: it ends with "damaged at byte".
 #[test]
 fn a_lost_disk_of_three_and_a_loss_of_all_power_lose_no_configuration() {
-    run(3, 1, 3);
+    run_rounds(3, 1, 3);
 }
 
 #[test]
 fn two_lost_disks_of_six_keepers_and_a_loss_of_all_power_lose_no_configuration() {
-    run(6, 2, 2);
+    run_rounds(6, 2, 2);
 }
--- a/daemon/tests/large_documents.rs
+++ b/daemon/tests/large_documents.rs
@@ -27,18 +27,18 @@
 /// The port at which the processes of a fleet reach each other.
 const NODE_PORT: u16 = 7_101;
 /// How long a keeper lets a node wait for news.
-const WATCH_TIME: Duration = Duration::from_secs(1);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A keeper that has one configuration at a time.
 #[derive(Clone)]
-struct Telling(Arc<Mutex<Document>>);
+struct FakeKeeper(Arc<Mutex<Document>>);
 
-impl Telling {
+impl FakeKeeper {
     fn new(version: u64, body: String) -> Self {
         Self(Arc::new(Mutex::new(Document::new(version, body))))
     }
 
-    fn has(&self) -> Document {
+    fn current(&self) -> Document {
         self.0.lock().expect("nobody panicked with it").clone()
     }
 
@@ -47,7 +47,7 @@
     }
 }
 
-impl KeeperService for Telling {
+impl KeeperService for FakeKeeper {
     async fn peer(self, _: Context, _: PeerMessage) {}
 
     async fn pull(self, _: Context, _: PullRequest) -> PullReply {
@@ -55,11 +55,11 @@
     }
 
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
-        if request.document == self.has().version {
-            net::sleep(WATCH_TIME).await;
+        if request.document == self.current().version {
+            net::sleep(WATCH_TIMEOUT).await;
         }
         WatchReply {
-            version: self.has().version,
+            version: self.current().version,
             nodes: None,
             halls: None,
             peers: 1,
@@ -68,19 +68,19 @@
     }
 
     async fn document(self, _: Context, request: PartRequest) -> Option<DocumentPart> {
-        self.has().part(request)
+        self.current().part(request)
     }
 }
 
 /// Serves nodes on a port of its own for as long as the test runs.
-fn start_keeper(keeper: Telling) -> SocketAddr {
+fn start_keeper(keeper: FakeKeeper) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
     thread::spawn(move || net::block_on(|tasks| serve_nodes(listener, keeper, tasks)));
     address
 }
 
-async fn serve_nodes(listener: TcpListener, keeper: Telling, tasks: Spawner) {
+async fn serve_nodes(listener: TcpListener, keeper: FakeKeeper, tasks: Spawner) {
     let listener = Async::new(listener).expect("it can be waited for");
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
@@ -96,14 +96,15 @@
 }
 
 /// What one connection carries, and a configuration that takes four seconds by it.
-const SLOW_LINK: u64 = 512 * 1024;
-const LARGE: usize = 2 * 1024 * 1024;
+const SLOW_LINK_BYTES_PER_S: u64 = 512 * 1024;
+const LARGE_DOCUMENT_BYTES: usize = 2 * 1024 * 1024;
 
 /// A configuration that is as long on its way, where it is packed: with a field that nobody reads.
-fn large(version: u64) -> String {
+fn large_document(version: u64) -> String {
     let mut rng = ChaCha8Rng::seed_from_u64(version);
     // Less than six bits of each letter are left when it is packed.
-    let filler: String = (0..LARGE * 11 / 8).map(|_| rng.random_range('#'..='[')).collect();
+    let filler: String =
+        (0..LARGE_DOCUMENT_BYTES * 11 / 8).map(|_| rng.random_range('#'..='[')).collect();
     let body = document(version);
     let body = body.strip_suffix('}').expect("an object");
     format!(r#"{body},"filler":"{filler}"}}"#)
@@ -116,19 +117,19 @@
 /// and nothing of an answer that was cut off counted. The evidence: 105 of the 134 keepers that entries gave up in one
 /// run had been asked for a configuration, and nothing else was the matter with them.
 #[test]
-fn a_configuration_that_takes_seconds_to_come_reaches_an_entry() {
+fn a_configuration_that_takes_seconds_to_transfer_reaches_an_entry() {
     let fleet = Fleet::new(1);
-    let keeper = start_keeper(Telling::new(1, large(1)));
+    let keeper = start_keeper(FakeKeeper::new(1, large_document(1)));
     let _link = slow_link(&fleet, keeper);
     let _entry = fleet.start("entry");
-    fleet.until_version(1);
+    fleet.wait_for_version(1);
 }
 
 /// Between a keeper and the nodes of a fleet.
 fn slow_link(fleet: &Fleet, keeper: SocketAddr) -> Proxy {
-    let link = Proxy::start(SocketAddr::new(fleet.keeper().ip(), NODE_PORT), keeper);
+    let link = Proxy::start(SocketAddr::new(fleet.keeper_address().ip(), NODE_PORT), keeper);
     let until = Instant::now() + Duration::from_secs(60);
-    link.strike(Fault::Slow(SLOW_LINK), Direction::Back, until);
+    link.inject(Fault::Slow(SLOW_LINK_BYTES_PER_S), Direction::ToClient, until);
     link
 }
 
@@ -136,20 +137,20 @@
 /// which knew that: clients take that answer for final. They are told to come back; once the entry has the newest, what
 /// is not in it is unknown.
 #[test]
-fn a_route_is_not_called_unknown_while_a_newer_configuration_is_on_its_way() {
+fn an_unknown_route_is_retried_while_a_newer_configuration_is_in_transfer() {
     let fleet = Fleet::new(1);
-    let keeper = Telling::new(1, document(1));
+    let keeper = FakeKeeper::new(1, document(1));
     let _link = slow_link(&fleet, start_keeper(keeper.clone()));
     let _entry = fleet.start("entry");
-    fleet.until_version(1);
-    let unknown = || call(fleet.entry(), "GET", "/new/", "", Duration::from_secs(1));
+    fleet.wait_for_version(1);
+    let unknown = || call(fleet.entry_address(), "GET", "/new/", "", Duration::from_secs(1));
     eventually("it listens", || unknown().is_some());
     assert_eq!(unknown().map(|answer| answer.status), Some(404), "it has the newest");
-    keeper.replace(2, large(2));
+    keeper.replace(2, large_document(2));
     eventually("it is told", || unknown().is_some_and(|answer| answer.status == 503));
     let answer = unknown().expect("an answer");
     assert_eq!(answer.status, 503);
     assert!(answer.head.contains("retry-after: 1"), "{}", answer.head);
-    fleet.until_version(2);
+    fleet.wait_for_version(2);
     assert_eq!(unknown().map(|answer| answer.status), Some(404));
 }
--- a/daemon/tests/planned_stop_faults.rs
+++ b/daemon/tests/planned_stop_faults.rs
@@ -22,18 +22,18 @@
 use std::thread;
 
 use stops::{
-    Client, Course, FIRST_VERSION, KEEPER, Node, Order, Orders, Record, print_summary,
-    stop_in_series,
+    Action, Actions, Client, FIRST_VERSION, KEEPER, Node, Record, TestRun, print_summary,
+    run_actions,
 };
-use support::checks::{self, Evidence};
-use support::{Fleet, StandInTarget, eventually, number, seeds};
+use support::checks::{self, ObservedRuns};
+use support::{FakeTarget, Fleet, eventually, number_from_env, seeds_from_env};
 
 const ENTRIES: usize = 3;
 const AGENTS: usize = 6;
 /// Clients that send one request after the other.
 const CALLERS: usize = 12;
 /// For each of them so many clients wait for a stop with a connection that lies idle.
-const WAITERS: u64 = 6;
+const WAITERS_PER_CALLER: u64 = 6;
 
 /// Seeds that failed once, as nearly every one did: an entry ended 5.4 s after it was told to stop, and
 /// jobs that its clients had handed in up to 2 s into the stop, with tasks of up to four times their
@@ -44,34 +44,34 @@
 const OPERATORS: u64 = 4;
 
 /// Planned stops of all roles; most often of entries, which are few.
-const ORDERS: Orders = &[
-    ("entry", Order::Stop),
-    ("entry", Order::Stop),
-    ("entry", Order::Stop),
-    ("entry", Order::Stop),
-    ("entry", Order::Stop),
-    ("agent", Order::Stop),
-    ("agent", Order::Stop),
-    ("agent", Order::Kill),
-    (KEEPER, Order::Stop),
-    ("entry", Order::Reload),
-    ("agent", Order::Reload),
-    (KEEPER, Order::Reload),
+const ACTIONS: Actions = &[
+    ("entry", Action::Stop),
+    ("entry", Action::Stop),
+    ("entry", Action::Stop),
+    ("entry", Action::Stop),
+    ("entry", Action::Stop),
+    ("agent", Action::Stop),
+    ("agent", Action::Stop),
+    ("agent", Action::Kill),
+    (KEEPER, Action::Stop),
+    ("entry", Action::Reload),
+    ("agent", Action::Reload),
+    (KEEPER, Action::Reload),
 ];
 /// Planned stops of a keeper.
-const KEEPER_ORDERS: Orders =
-    &[(KEEPER, Order::Stop), (KEEPER, Order::Stop), (KEEPER, Order::Reload)];
+const KEEPER_ACTIONS: Actions =
+    &[(KEEPER, Action::Stop), (KEEPER, Action::Stop), (KEEPER, Action::Reload)];
 
 #[test]
 fn planned_stops_cut_no_request_that_was_read() {
-    let entries = number("DOCKPASS_STOP_ENTRIES", ENTRIES);
-    let agents = number("DOCKPASS_STOP_AGENTS", AGENTS);
-    let callers = number("DOCKPASS_STOP_CALLERS", CALLERS) as u64;
-    let clients = Clients { callers, waiters: callers * WAITERS, operators: 0 };
+    let entries = number_from_env("DOCKPASS_STOP_ENTRIES", ENTRIES);
+    let agents = number_from_env("DOCKPASS_STOP_AGENTS", AGENTS);
+    let callers = number_from_env("DOCKPASS_STOP_CALLERS", CALLERS) as u64;
+    let clients = Clients { callers, waiters: callers * WAITERS_PER_CALLER, operators: 0 };
     let mut faults = Vec::new();
-    for seed in seeds("DOCKPASS_STOP_SEEDS", &REGRESSIONS) {
-        let fleet = Fleet::without_disk(entries, agents);
-        faults.extend(run(seed, &fleet, ORDERS, clients));
+    for seed in seeds_from_env("DOCKPASS_STOP_SEEDS", &REGRESSIONS) {
+        let fleet = Fleet::with_keeper_in_memory(entries, agents);
+        faults.extend(run(seed, &fleet, ACTIONS, clients));
     }
     assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), faults.join("\n"));
 }
@@ -80,8 +80,8 @@
 fn planned_stops_of_a_keeper_cut_no_call_of_an_operator() {
     let clients = Clients { callers: 1, waiters: 0, operators: OPERATORS };
     let mut faults = Vec::new();
-    for seed in seeds("DOCKPASS_KEEPER_STOP_SEEDS", &[]) {
-        faults.extend(run(seed, &Fleet::without_disk(1, 1), KEEPER_ORDERS, clients));
+    for seed in seeds_from_env("DOCKPASS_KEEPER_STOP_SEEDS", &[]) {
+        faults.extend(run(seed, &Fleet::with_keeper_in_memory(1, 1), KEEPER_ACTIONS, clients));
     }
     assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), faults.join("\n"));
 }
@@ -95,55 +95,59 @@
 }
 
 /// One run; returns what was wrong.
-fn run(seed: u64, fleet: &Fleet, orders: Orders, clients: Clients) -> Vec<String> {
+fn run(seed: u64, fleet: &Fleet, actions: Actions, clients: Clients) -> Vec<String> {
     let agents = fleet.names().iter().filter(|name| name.starts_with("agent")).count();
-    let targets: Vec<StandInTarget> = (0..agents)
+    let targets: Vec<FakeTarget> = (0..agents)
         .map(|number| {
-            StandInTarget::start(fleet.target(number), fleet.agent(number), &format!("i-{number}"))
+            FakeTarget::start(
+                fleet.target_address(number),
+                fleet.agent_address(number),
+                &format!("i-{number}"),
+            )
         })
         .collect();
     let mut nodes: Vec<Node> =
         fleet.names().into_iter().map(|name| Node::start(fleet, name)).collect();
     fleet.configure(FIRST_VERSION);
-    fleet.until_ready();
-    let course = Course::new(seed, fleet, orders);
+    fleet.wait_until_ready();
+    let test_run = TestRun::new(seed, fleet, actions);
     let mut faults = Vec::new();
     thread::scope(|scope| {
-        let course = &course;
-        for entry in 0..fleet.entries() {
-            scope.spawn(move || course.balancer.watch(entry, &course.over));
+        let test_run = &test_run;
+        for entry in 0..fleet.entry_count() {
+            scope.spawn(move || test_run.balancer.probe_until_over(entry, &test_run.finished));
         }
         let Clients { callers, waiters, operators } = clients;
         for client in 0..callers {
-            scope.spawn(move || Client::new(course, client).send_on());
+            scope.spawn(move || Client::new(test_run, client).run_requests());
         }
         for client in callers..callers + waiters {
-            scope.spawn(move || Client::new(course, client).wait_for_stops());
+            scope.spawn(move || Client::new(test_run, client).wait_for_stops());
         }
         for client in callers + waiters..callers + waiters + operators {
-            scope.spawn(move || Client::new(course, client).operate());
+            scope.spawn(move || Client::new(test_run, client).run_operator());
         }
-        faults.extend(stop_in_series(course, &mut nodes));
-        course.over.store(true, Ordering::Relaxed);
+        faults.extend(run_actions(test_run, &mut nodes));
+        test_run.finished.store(true, Ordering::Relaxed);
     });
-    fleet.until_ready();
+    fleet.wait_until_ready();
     let mut id = 0xcafe_0000;
     eventually("jobs are served after the stops", || {
         id += 1;
-        fleet.job(id, 3, 50).is_some_and(|answer| answer.status == 200)
+        fleet.submit_job(id, 3, 50).is_some_and(|answer| answer.status == 200)
     });
-    let records = course.records.into_inner().expect("no client panicked");
-    faults.extend(judge(&records, &targets));
+    let records = test_run.records.into_inner().expect("no client panicked");
+    faults.extend(collect_faults(&records, &targets));
     faults.iter().map(|fault| format!("seed {seed}: {fault}")).collect()
 }
 
 /// What of the records is not as promised.
-fn judge(records: &[Record], targets: &[StandInTarget]) -> Vec<String> {
-    let evidence = Evidence::of(targets);
+fn collect_faults(records: &[Record], targets: &[FakeTarget]) -> Vec<String> {
+    let observed_runs = ObservedRuns::of(targets);
     let mut faults: Vec<String> =
-        records.iter().filter_map(|record| record.fault(&evidence)).collect();
-    let twice = checks::ran_twice_at_once(targets);
-    faults.extend(twice.iter().map(|task| format!("{task} ran twice at once")));
+        records.iter().filter_map(|record| record.fault(&observed_runs)).collect();
+    let overlapping = checks::overlapping_runs(targets);
+    faults.extend(overlapping.iter().map(|task| format!("{task} ran twice at once")));
     print_summary(records);
     if !records.iter().any(|record| record.entry.is_some() && record.is_answered(200)) {
         faults.push("nothing was served".to_owned());
--- a/daemon/tests/silent_connection_faults.rs
+++ b/daemon/tests/silent_connection_faults.rs
@@ -21,11 +21,11 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use support::balancer::pause;
-use support::checks::{self, Evidence};
+use support::balancer::sleep_unless_over;
+use support::checks::{self, ObservedRuns};
 use support::exchange::{self, Connection, Exchange, Job, Request};
 use support::proxy::{Proxy, Silence};
-use support::{Fleet, StandInTarget, number, seeds, unix_seconds};
+use support::{FakeTarget, Fleet, number_from_env, seeds_from_env, unix_seconds};
 
 const ENTRIES: usize = 2;
 const AGENTS: usize = 3;
@@ -34,32 +34,32 @@
 /// Time between them, in milliseconds.
 const GAP_MS: std::ops::Range<u64> = 100..900;
 /// A silent connection is noticed and replaced within this time, and jobs are served again.
-const REPLACED: Duration = Duration::from_millis(1_300);
+const REPLACE_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// How often new connections are looked for.
 const POLL: Duration = Duration::from_millis(5);
 /// In so many of the rounds clients hand in nothing while connections are silent: what lies idle then
 /// is first used once it has to be replaced.
-const QUIET_ROUNDS: f64 = 0.5;
+const QUIET_PROBABILITY: f64 = 0.5;
 /// Slots of a target, each of which may have had a connection of its own.
 const SLOTS: u32 = 8;
 /// Clients, and how long each waits for an answer: longer than any deadline.
 const CLIENTS: u64 = 4;
-const CLIENT_TIME: Duration = Duration::from_secs(6);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long after a broken try a client sends again.
-const RESEND: Duration = Duration::from_millis(1_300);
+const RETRY_DELAY: Duration = Duration::from_millis(1_300);
 /// The longest task of a client.
-const LONGEST_WORK: Duration = Duration::from_millis(200);
+const LONGEST_TASK: Duration = Duration::from_millis(200);
 /// Most tries of a client.
-const TRIES: u32 = 3;
+const MAX_TRIES: u32 = 3;
 /// Jobs that are handed in at each entry once silent connections have to be replaced; their tasks
 /// find room beside those of the clients.
 const PROBES: u64 = 3;
 const PROBE_TASKS: u32 = 4;
 const PROBE_MS: u64 = 40;
 /// A probe is handed in at most so often where the host holds up the fleet.
-const HELD_UP_TRIES: u32 = 5;
+const MAX_PROBES: u32 = 5;
 /// How long a line takes to its log, and a held-up target to take note of it.
-const LOG_TIME: Duration = Duration::from_millis(100);
+const LOG_DELAY: Duration = Duration::from_millis(100);
 /// The client number of the probes.
 const PROBER: u64 = 0xfff;
 
@@ -70,11 +70,11 @@
 
 #[test]
 fn silent_connections_are_replaced_in_time_and_nothing_is_answered_wrongly() {
-    let entries = number("DOCKPASS_SILENCE_ENTRIES", ENTRIES);
-    let agents = number("DOCKPASS_SILENCE_AGENTS", AGENTS);
+    let entries = number_from_env("DOCKPASS_SILENCE_ENTRIES", ENTRIES);
+    let agents = number_from_env("DOCKPASS_SILENCE_AGENTS", AGENTS);
     let mut faults = Vec::new();
-    for seed in seeds("DOCKPASS_SILENCE_SEEDS", &REGRESSIONS) {
-        let found = run(seed, &Fleet::with_links(entries, agents), agents);
+    for seed in seeds_from_env("DOCKPASS_SILENCE_SEEDS", &REGRESSIONS) {
+        let found = run(seed, &Fleet::with_proxies(entries, agents), agents);
         faults.extend(found.iter().map(|fault| format!("seed {seed}: {fault}")));
     }
     assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), faults.join("\n"));
@@ -82,110 +82,123 @@
 
 /// One run; returns what was wrong.
 fn run(seed: u64, fleet: &Fleet, agents: usize) -> Vec<String> {
-    let targets: Vec<StandInTarget> = (0..agents)
+    let targets: Vec<FakeTarget> = (0..agents)
         .map(|number| {
-            StandInTarget::start(fleet.target(number), fleet.agent(number), &format!("i-{number}"))
+            FakeTarget::start(
+                fleet.target_address(number),
+                fleet.agent_address(number),
+                &format!("i-{number}"),
+            )
         })
         .collect();
     let _processes: Vec<_> = fleet.names().iter().map(|name| fleet.start(name)).collect();
     fleet.configure(7);
-    fleet.until_ready();
-    let (over, quiet) = (AtomicBool::new(false), AtomicBool::new(false));
+    fleet.wait_until_ready();
+    let (finished, quiet) = (AtomicBool::new(false), AtomicBool::new(false));
     let records = Mutex::default();
     let mut faults = Vec::new();
     thread::scope(|scope| {
         for number in 0..CLIENTS {
-            let (over, quiet, records) = (&over, &quiet, &records);
-            scope.spawn(move || Client::new(seed, number, fleet, records).send_on(over, quiet));
+            let (finished, quiet, records) = (&finished, &quiet, &records);
+            scope.spawn(move || {
+                Client::new(seed, number, fleet, records).run_requests(finished, quiet)
+            });
         }
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut prober = Client::new(seed, PROBER, fleet, &records);
         for _ in 0..ROUNDS {
             thread::sleep(Duration::from_millis(rng.random_range(GAP_MS)));
-            if rng.random_bool(QUIET_ROUNDS) {
+            if rng.random_bool(QUIET_PROBABILITY) {
                 quiet.store(true, Ordering::Relaxed);
-                faults.extend(prober.fill(&targets));
+                faults.extend(prober.fill_targets(&targets));
             }
             faults.extend(silence_and_wait(fleet, &mut rng));
             faults.extend(prober.probe(&targets));
             quiet.store(false, Ordering::Relaxed);
         }
-        over.store(true, Ordering::Relaxed);
+        finished.store(true, Ordering::Relaxed);
     });
     let records: Vec<Record> = records.into_inner().expect("no client panicked");
-    let evidence = Evidence::of(&targets);
-    faults.extend(records.iter().filter_map(|record| record.fault(&evidence)));
-    let twice = checks::ran_twice_at_once(&targets);
-    faults.extend(twice.iter().map(|task| format!("{task} ran twice at once")));
+    let observed_runs = ObservedRuns::of(&targets);
+    faults.extend(records.iter().filter_map(|record| record.fault(&observed_runs)));
+    let overlapping = checks::overlapping_runs(&targets);
+    faults.extend(overlapping.iter().map(|task| format!("{task} ran twice at once")));
     print_summary(&records);
     faults
 }
 
 /// Which connections go silent at once.
 #[derive(Clone, Copy, Debug)]
-enum Silenced {
+enum SilencedLinks {
     /// The sessions of one entry,
     Sessions,
     /// of all entries,
     AllSessions,
     /// the orders of one agent,
-    Orders,
+    Commands,
     /// of all agents,
-    AllOrders,
+    AllCommands,
     /// all of them.
     All,
 }
 
 /// Each as often as it stands here.
-const SILENCED: [Silenced; 5] = [
-    Silenced::Sessions,
-    Silenced::AllSessions,
-    Silenced::Orders,
-    Silenced::AllOrders,
-    Silenced::All,
+const SILENCED: [SilencedLinks; 5] = [
+    SilencedLinks::Sessions,
+    SilencedLinks::AllSessions,
+    SilencedLinks::Commands,
+    SilencedLinks::AllCommands,
+    SilencedLinks::All,
 ];
 
 /// Silences connections, and waits as long as they may take to be replaced; returns those links whose
 /// connections were not.
 fn silence_and_wait(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Vec<String> {
-    let sessions: Vec<&Proxy> = fleet.session_links().collect();
-    let orders: Vec<&Proxy> = fleet.order_links().collect();
-    let which = *SILENCED.choose(rng).expect("there are some");
-    let how = if rng.random_bool(0.5) { Silence::Dropped } else { Silence::NotTaken };
-    let (session, order) = (rng.random_range(0..sessions.len()), rng.random_range(0..orders.len()));
-    let (sessions, orders): (&[&Proxy], &[&Proxy]) = match which {
-        Silenced::Sessions => (&sessions[session..=session], &[]),
-        Silenced::AllSessions => (&sessions, &[]),
-        Silenced::Orders => (&[], &orders[order..=order]),
-        Silenced::AllOrders => (&[], &orders),
-        Silenced::All => (&sessions, &orders),
+    let sessions: Vec<&Proxy> = fleet.session_proxies().collect();
+    let commands: Vec<&Proxy> = fleet.command_proxies().collect();
+    let silenced = *SILENCED.choose(rng).expect("there are some");
+    let silence_kind = if rng.random_bool(0.5) { Silence::Dropped } else { Silence::NotRead };
+    let (session, command) =
+        (rng.random_range(0..sessions.len()), rng.random_range(0..commands.len()));
+    let (sessions, commands): (&[&Proxy], &[&Proxy]) = match silenced {
+        SilencedLinks::Sessions => (&sessions[session..=session], &[]),
+        SilencedLinks::AllSessions => (&sessions, &[]),
+        SilencedLinks::Commands => (&[], &commands[command..=command]),
+        SilencedLinks::AllCommands => (&[], &commands),
+        SilencedLinks::All => (&sessions, &commands),
     };
-    println!("{:.3}: silent: {which:?} ({session}, {order}) {how:?}", unix_seconds());
-    let began = Instant::now();
+    println!("{:.3}: silent: {silenced:?} ({session}, {command}) {silence_kind:?}", unix_seconds());
+    let started = Instant::now();
     // Every session is replaced; of connections for orders only those that are needed.
-    let silence = |link: &Proxy| (link.taken(), link.silence_all(how));
+    let silence = |link: &Proxy| (link.accepted_count(), link.silence_all(silence_kind));
     let mut waiting: Vec<(&Proxy, u64, String)> = Vec::new();
     for (number, link) in sessions.iter().enumerate() {
-        let (taken, silent) = silence(link);
-        waiting.push((link, taken + silent, format!("sessions {number}: {silent} silent")));
+        let (accepted, silent) = silence(link);
+        waiting.push((link, accepted + silent, format!("sessions {number}: {silent} silent")));
     }
-    for (number, link) in orders.iter().enumerate() {
-        let (taken, silent) = silence(link);
-        waiting.push((link, taken + silent.min(1), format!("orders {number}: {silent} silent")));
+    for (number, link) in commands.iter().enumerate() {
+        let (accepted, silent) = silence(link);
+        waiting.push((
+            link,
+            accepted + silent.min(1),
+            format!("commands {number}: {silent} silent"),
+        ));
     }
-    while began.elapsed() < REPLACED {
+    while started.elapsed() < REPLACE_TIMEOUT {
         waiting.retain(|(link, due, what)| {
-            let replaced = link.taken() >= *due;
+            let replaced = link.accepted_count() >= *due;
             if replaced {
-                println!("{what}, replaced after {:.0?}", began.elapsed());
+                println!("{what}, replaced after {:.0?}", started.elapsed());
             }
             !replaced
         });
         thread::sleep(POLL);
     }
     let missing = |(link, due, what): &(&Proxy, u64, String)| {
-        let missing = due.saturating_sub(link.taken());
-        format!("{which:?} {how:?}: {what}, {missing} not replaced within {REPLACED:?}")
+        let missing = due.saturating_sub(link.accepted_count());
+        format!(
+            "{silenced:?} {silence_kind:?}: {what}, {missing} not replaced within {REPLACE_TIMEOUT:?}"
+        )
     };
     waiting.iter().map(missing).collect()
 }
@@ -197,7 +210,7 @@
     entry: usize,
     /// The time as the logs show it.
     unix_seconds: f64,
-    over: Instant,
+    ended_at: Instant,
     exchange: Exchange,
 }
 
@@ -217,42 +230,47 @@
         Self { seed, number, fleet, records, rng, jobs: 0 }
     }
 
-    fn send_on(mut self, over: &AtomicBool, quiet: &AtomicBool) {
-        while !over.load(Ordering::Relaxed) {
+    fn run_requests(mut self, finished: &AtomicBool, quiet: &AtomicBool) {
+        while !finished.load(Ordering::Relaxed) {
             if quiet.load(Ordering::Relaxed) {
                 thread::sleep(POLL);
                 continue;
             }
             let count = self.rng.random_range(1..4);
-            let work_ms = self.rng.random_range(20..LONGEST_WORK.as_millis() as u64);
+            let work_ms = self.rng.random_range(20..LONGEST_TASK.as_millis() as u64);
             let estimated_ms = work_ms / self.rng.random_range(1..=4);
             let job = self.job(count, work_ms, estimated_ms);
-            for attempt in 0..TRIES {
-                let entry = self.rng.random_range(0..self.fleet.entries());
+            for attempt in 0..MAX_TRIES {
+                let entry = self.rng.random_range(0..self.fleet.entry_count());
                 if matches!(self.send(job, attempt, entry), Some(status) if status != 504) {
                     break;
                 }
-                if !pause(RESEND, over) {
+                if !sleep_unless_over(RETRY_DELAY, finished) {
                     return;
                 }
             }
-            pause(Duration::from_millis(self.rng.random_range(0..60)), over);
+            sleep_unless_over(Duration::from_millis(self.rng.random_range(0..60)), finished);
         }
     }
 
     /// Hands in a job that fills all targets, once what the clients left there has ended: orders are
     /// sent at once over as many connections as they need.
-    fn fill(&mut self, targets: &[StandInTarget]) -> Option<String> {
-        thread::sleep(LONGEST_WORK);
-        self.unserved("job that fills targets", 0, targets.len() as u32 * SLOTS, targets)
+    fn fill_targets(&mut self, targets: &[FakeTarget]) -> Option<String> {
+        thread::sleep(LONGEST_TASK);
+        self.submit_expecting_success(
+            "job that fills targets",
+            0,
+            targets.len() as u32 * SLOTS,
+            targets,
+        )
     }
 
     /// Hands in jobs at every entry, all of which are to be served; returns those that were not.
-    fn probe(&mut self, targets: &[StandInTarget]) -> Vec<String> {
+    fn probe(&mut self, targets: &[FakeTarget]) -> Vec<String> {
         let mut faults = Vec::new();
-        for entry in 0..self.fleet.entries() {
+        for entry in 0..self.fleet.entry_count() {
             for _ in 0..PROBES {
-                faults.extend(self.unserved("probe", entry, PROBE_TASKS, targets));
+                faults.extend(self.submit_expecting_success("probe", entry, PROBE_TASKS, targets));
             }
         }
         faults
@@ -261,16 +279,16 @@
     /// Hands in a job that is to be served; returns what became of it if it was not. Where the host held
     /// up a target or a process meanwhile, it is handed in anew: an order that a target had no processor
     /// to answer looks as one on a silent connection does.
-    fn unserved(
+    fn submit_expecting_success(
         &mut self,
         what: &str,
         entry: usize,
         count: u32,
-        targets: &[StandInTarget],
+        targets: &[FakeTarget],
     ) -> Option<String> {
         let mut fault = None;
-        for _ in 0..HELD_UP_TRIES {
-            let (began, pauses) = (Instant::now(), self.fleet.pauses());
+        for _ in 0..MAX_PROBES {
+            let (started, pauses) = (Instant::now(), self.fleet.logged_pauses());
             let job = self.job(count, PROBE_MS, PROBE_MS);
             let at = unix_seconds();
             let status = self.send(job, 0, entry);
@@ -278,9 +296,9 @@
                 return None;
             }
             fault = Some(format!("{at:.3}: {what} {} at entry {entry}: {status:?}", job.name()));
-            thread::sleep(LOG_TIME);
-            let held_up = targets.iter().any(|target| was_held_up(target, began));
-            if !held_up && self.fleet.pauses() == pauses {
+            thread::sleep(LOG_DELAY);
+            let stalled = targets.iter().any(|target| was_stalled_since(target, started));
+            if !stalled && self.fleet.logged_pauses() == pauses {
                 return fault;
             }
             println!("{at:.3}: the host held up the fleet: the {what} is handed in anew");
@@ -297,46 +315,50 @@
     /// Hands in a job; returns the status of its answer.
     fn send(&self, job: Job, attempt: u32, entry: usize) -> Option<u16> {
         let unix_seconds = unix_seconds();
-        let connection = Connection::open(Some(entry), self.fleet.entry_number(entry));
+        let connection = Connection::open(Some(entry), self.fleet.entry_address_of(entry));
         let mut connection = connection.expect("entries are up, and their clients' links well");
-        let exchange = connection.exchange(&Request::Job(job), Duration::ZERO, CLIENT_TIME);
+        let exchange = connection.exchange(&Request::Job(job), Duration::ZERO, CLIENT_TIMEOUT);
         let status = match &exchange {
             Exchange::Answered(answer) => Some(answer.status),
             _ => None,
         };
-        let over = Instant::now();
-        let record = Record { job, attempt, entry, unix_seconds, over, exchange };
+        let ended_at = Instant::now();
+        let record = Record { job, attempt, entry, unix_seconds, ended_at, exchange };
         self.records.lock().expect("no client panicked").push(record);
         status
     }
 }
 
 /// Whether a target was held up since a time.
-fn was_held_up(target: &StandInTarget, since: Instant) -> bool {
-    let seen = target.seen.lock().expect("nobody panicked with it");
-    seen.held_up.is_some_and(|at| at >= since)
+fn was_stalled_since(target: &FakeTarget, since: Instant) -> bool {
+    let observed = target.observed.lock().expect("nobody panicked with it");
+    observed.stalled_at.is_some_and(|at| at >= since)
 }
 
 impl Record {
     /// What of it is not as promised.
-    fn fault(&self, evidence: &Evidence) -> Option<String> {
-        let wrong = match &self.exchange {
+    fn fault(&self, observed_runs: &ObservedRuns) -> Option<String> {
+        let problem = match &self.exchange {
             Exchange::Answered(answer) => {
                 let request = Request::Job(self.job);
-                let untrue = exchange::find_fault(&request, answer, self.over, evidence);
-                let untrue = untrue.or_else(|| self.ran_all_the_same(answer.status, evidence))?;
-                format!("{untrue}: {} {}", answer.status, answer.body)
+                let fault = exchange::find_fault(&request, answer, self.ended_at, observed_runs);
+                let fault =
+                    fault.or_else(|| self.ran_despite_refusal(answer.status, observed_runs))?;
+                format!("{fault}: {} {}", answer.status, answer.body)
             }
             other => format!("{other:?}"),
         };
         let (at, job, entry) = (self.unix_seconds, &self.job, self.entry);
         let attempt = self.attempt + 1;
-        Some(format!("{at:.3}, job {}, entry {entry}, try {attempt}: {wrong}: {job:?}", job.name()))
+        Some(format!(
+            "{at:.3}, job {}, entry {entry}, try {attempt}: {problem}: {job:?}",
+            job.name()
+        ))
     }
 
     /// What was refused at the first try never runs: the client does not send it again.
-    fn ran_all_the_same(&self, status: u16, evidence: &Evidence) -> Option<String> {
-        let starts = evidence.starts_of(&self.job.name());
+    fn ran_despite_refusal(&self, status: u16, observed_runs: &ObservedRuns) -> Option<String> {
+        let starts = observed_runs.starts_of(&self.job.name());
         let refused = self.attempt == 0 && status == 503;
         (refused && starts > 0).then(|| format!("said not to have run, with {starts} starts"))
     }
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -42,7 +42,7 @@
 mod session;
 
 /// Longest wait for anything that is to come about.
-const PATIENCE: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 /// A message between keepers that is to get through does so in less than this, whatever goes silent.
 const REPLACED_WITHIN: Duration = Duration::from_secs(2);
 /// Far below the time after which the kernel gives up a connection whose bytes are not taken.
@@ -56,27 +56,27 @@
 
 /// Takes connections, reads all that comes and answers nothing; tells when a connection brought its
 /// first bytes.
-fn reads_and_is_silent() -> (SocketAddr, Receiver<Instant>) {
+fn start_silent_reader() -> (SocketAddr, Receiver<Instant>) {
     let (listener, address) = listener();
-    (address, read_in_silence(listener))
+    (address, read_without_answering(listener))
 }
 
-fn read_in_silence(listener: TcpListener) -> Receiver<Instant> {
-    let (heard, told) = mpsc::channel();
+fn read_without_answering(listener: TcpListener) -> Receiver<Instant> {
+    let (first_bytes, received) = mpsc::channel();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, heard) = (stream.expect("a connection"), heard.clone());
+            let (mut stream, first_bytes) = (stream.expect("a connection"), first_bytes.clone());
             thread::spawn(move || {
                 let mut chunk = [0; 4_096];
                 if stream.read(&mut chunk).is_ok_and(|read| read > 0) {
                     // The test may have ended.
-                    let _ = heard.send(Instant::now());
+                    let _ = first_bytes.send(Instant::now());
                 }
                 while stream.read(&mut chunk).is_ok_and(|read| read > 0) {}
             });
         }
     });
-    told
+    received
 }
 
 /// Runs a keeper's thread that sends to others, until the ring of its inputs is dropped.
@@ -97,8 +97,8 @@
 /// hear of it no more. The cause: a call between keepers had no time-out but that of the kernel, which
 /// counts only what is not acknowledged.
 #[test]
-fn a_message_reaches_a_keeper_over_a_new_connection_once_the_old_one_is_silent() {
-    let (address, heard) = reads_and_is_silent();
+fn a_message_reaches_a_keeper_over_a_new_connection_after_the_old_one_goes_silent() {
+    let (address, received) = start_silent_reader();
     let to = NodeName::new(&address.to_string());
     let inputs = start_sender();
     let send = || {
@@ -106,17 +106,17 @@
         inputs.send_blocking(message).expect("the sender runs");
     };
     send();
-    let first = heard.recv_timeout(PATIENCE).expect("the first connection");
+    let first = received.recv_timeout(TIMEOUT).expect("the first connection");
     send();
-    let second = heard.recv_timeout(PATIENCE).expect("a second connection, and no reset");
+    let second = received.recv_timeout(TIMEOUT).expect("a second connection, and no reset");
     assert!(second - first < REPLACED_WITHIN, "after {:?}", second - first);
 }
 
 /// A keeper that says that it has each message.
 #[derive(Clone)]
-struct Taking;
+struct AcknowledgingKeeper;
 
-impl KeeperService for Taking {
+impl KeeperService for AcknowledgingKeeper {
     async fn peer(self, _: Context, _: PeerMessage) {}
 
     async fn pull(self, _: Context, _: PullRequest) -> PullReply {
@@ -134,11 +134,15 @@
 
 /// How long an answer may take to leave. Where it takes longer the other side sees a broken call, and
 /// the test shows less.
-const ANSWER_LEAVES: Duration = Duration::from_millis(100);
+const ANSWER_FLUSH_TIME: Duration = Duration::from_millis(100);
 
 /// Takes one message over each connection, answers it, and ends the connection; tells of it once the
 /// other side has ended it too.
-async fn take_one_each(listener: TcpListener, tasks: Spawner, taken: mpsc::Sender<()>) {
+async fn serve_one_message_per_connection(
+    listener: TcpListener,
+    tasks: Spawner,
+    taken: mpsc::Sender<()>,
+) {
     let listener = Async::new(listener).expect("it can be waited for");
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
@@ -147,11 +151,11 @@
             let raw = stream.get_ref().try_clone().expect("a second handle");
             let mut raw = Async::new(raw).expect("it can be waited for");
             let channel = BaseChannel::with_defaults(net::framed_transport(stream));
-            let mut calls = std::pin::pin!(channel.execute(Taking.serve()));
+            let mut calls = std::pin::pin!(channel.execute(AcknowledgingKeeper.serve()));
             let call = calls.next().await.expect("a message");
             tasks.spawn_rpc(call);
             let answered = async {
-                net::sleep(ANSWER_LEAVES).await;
+                net::sleep(ANSWER_FLUSH_TIME).await;
                 None
             };
             calls.next().or(answered).await;
@@ -167,37 +171,38 @@
 /// said for a while, the other keeper closes the connection, and the next message is given to it. The
 /// cause: the connection was opened before there was a message, and its end seen only by the next.
 #[test]
-fn a_connection_that_its_other_side_closed_costs_no_message() {
+fn no_message_is_lost_on_a_connection_closed_by_its_peer() {
     let (listener, address) = listener();
-    let (taken, told) = mpsc::channel();
+    let (taken, received) = mpsc::channel();
     thread::spawn(move || {
-        net::block_on(|tasks| take_one_each(listener, tasks, taken));
+        net::block_on(|tasks| serve_one_message_per_connection(listener, tasks, taken));
     });
     let to = NodeName::new(&address.to_string());
     let inputs = start_sender();
     for number in 1..=3 {
         let message = ToPeers::Message(to.clone(), Message::Join);
         inputs.send_blocking(message).expect("the sender runs");
-        assert!(told.recv_timeout(PATIENCE).is_ok(), "message {number} is lost");
+        assert!(received.recv_timeout(TIMEOUT).is_ok(), "message {number} is lost");
     }
 }
 
 /// Bytes of one large message between keepers: more than the buffers of both kernels hold.
-const LARGE: usize = 8 * 1024 * 1024;
+const LARGE_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 /// How much of it a slow link carries at once,
-const SLOW_CHUNK: usize = 64 * 1024;
+const SLOW_LINK_CHUNK: usize = 64 * 1024;
 /// and the pause after each: in all about 4 MB a second.
-const SLOW_PAUSE: Duration = Duration::from_millis(16);
+const SLOW_LINK_PAUSE: Duration = Duration::from_millis(16);
 
 /// A keeper that is behind gets the whole state in one message. Where that is taken for silence, it is
 /// cut off and begun again for ever.
 #[test]
-fn a_large_message_over_a_slow_link_is_not_taken_for_silence() {
+fn a_large_message_over_a_slow_link_does_not_time_out() {
     let (listener, address) = listener();
-    SockRef::from(&listener).set_recv_buffer_size(SLOW_CHUNK).expect("a small buffer");
+    SockRef::from(&listener).set_recv_buffer_size(SLOW_LINK_CHUNK).expect("a small buffer");
     let to = NodeName::new(&address.to_string());
     let inputs = start_sender();
-    let entry = Entry { index: 1, term: 1, payload: Payload::Command(vec![7; LARGE]) };
+    let entry =
+        Entry { index: 1, term: 1, payload: Payload::Command(vec![7; LARGE_MESSAGE_BYTES]) };
     let append = Message::Append {
         term: 1,
         prev_index: 0,
@@ -210,12 +215,12 @@
     inputs.send_blocking(ToPeers::Message(to, append)).expect("the sender runs");
     let (mut stream, _) = listener.accept().expect("a connection");
     let mut taken = 0;
-    let mut chunk = vec![0; SLOW_CHUNK];
-    while taken < LARGE {
+    let mut chunk = vec![0; SLOW_LINK_CHUNK];
+    while taken < LARGE_MESSAGE_BYTES {
         let read = stream.read(&mut chunk).expect("it is not reset");
         assert!(read > 0, "cut off after {taken} bytes");
         taken += read;
-        thread::sleep(SLOW_PAUSE * read as u32 / SLOW_CHUNK as u32);
+        thread::sleep(SLOW_LINK_PAUSE * read as u32 / SLOW_LINK_CHUNK as u32);
     }
 }
 
@@ -226,7 +231,7 @@
 /// and the agent does not connect again. The cause: closing a session ended only what waited for the
 /// next message to send.
 #[test]
-fn a_session_ends_when_it_is_closed_though_the_other_side_takes_nothing() {
+fn a_closed_session_ends_although_its_peer_reads_nothing() {
     let (listener, address) = listener();
     let (outgoing, waiting) = SessionSender::<Vec<u8>>::new();
     // More than the buffers of both kernels hold, and less than the longest frame.
@@ -236,24 +241,24 @@
     let ended = net::block_on(|tasks| async move {
         let stream = Async::<TcpStream>::connect(address).await.expect("a connection");
         let _unread = listener.accept().expect("the other side of it");
-        let (over, is_over) = async_channel::bounded::<()>(1);
+        let (end_guard, ended_signal) = async_channel::bounded::<()>(1);
         tasks.spawn(async move {
             session::run(stream, waiting, |_: ()| {}).await;
-            drop(over);
+            drop(end_guard);
         });
         // It writes what it can.
         net::sleep(Duration::from_millis(100)).await;
         drop(outgoing);
         let ended = async {
             // Nothing is sent; it fails once the other half is dropped.
-            let _ = is_over.recv().await;
+            let _ = ended_signal.recv().await;
             true
         };
-        let late = async {
+        let timed_out = async {
             net::sleep(ENDED_WITHIN).await;
             false
         };
-        ended.or(late).await
+        ended.or(timed_out).await
     });
     assert!(ended, "the connection is still open {ENDED_WITHIN:?} after the session was closed");
 }
@@ -263,7 +268,7 @@
 /// that the old ones are over, keeps them until it has no descriptor left. The cause: a keeper never
 /// closed a connection over which nothing came.
 #[test]
-fn a_keeper_closes_a_connection_over_which_nothing_is_asked() {
+fn a_keeper_closes_an_idle_connection() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("keeper.ini");
     let text = format!(
@@ -277,18 +282,18 @@
     init_keeper(&node, &config).expect("the cluster is begun");
     let keeper = KeeperHandle::start(KeeperOptions::new(node, config)).expect("it starts");
     let mut silent = TcpStream::connect(keeper.node_address()).expect("it listens");
-    silent.set_read_timeout(Some(PATIENCE)).expect("a time above none");
+    silent.set_read_timeout(Some(TIMEOUT)).expect("a time above none");
     let read = silent.read_to_end(&mut Vec::new());
-    assert!(read.is_ok_and(|read| read == 0), "it is still open after {PATIENCE:?}");
+    assert!(read.is_ok_and(|read| read == 0), "it is still open after {TIMEOUT:?}");
     keeper.stop();
 }
 
 /// The port at which the processes of a fleet reach each other.
 const NODE_PORT: u16 = 7_101;
 /// After a broken try clients send again so much later: by then no run of the first may be left.
-const SENT_AGAIN: Duration = Duration::from_millis(1_300);
+const CLIENT_RETRY_DELAY: Duration = Duration::from_millis(1_300);
 /// A node hears from a keeper whose connection went silent in less than this.
-const WATCHED_AGAIN: Duration = Duration::from_millis(2_500);
+const WATCH_REPLACED_WITHIN: Duration = Duration::from_millis(2_500);
 
 /// Registers an entry at a keeper.
 fn register_entry(keeper: SocketAddr, entry: SocketAddr) {
@@ -318,42 +323,43 @@
 /// An agent stops what it runs for an entry that it does not hear, and connects anew, before clients
 /// send again.
 #[test]
-fn an_agent_replaces_a_session_that_is_silent_before_clients_send_again() {
+fn an_agent_replaces_a_silent_session_before_clients_retry() {
     let fleet = Fleet::new(1);
     let _keeper = fleet.start("keeper");
-    let keeper = SocketAddr::new(fleet.keeper().ip(), NODE_PORT);
+    let keeper = SocketAddr::new(fleet.keeper_address().ip(), NODE_PORT);
     eventually("the keeper listens", || TcpStream::connect(keeper).is_ok());
-    let (entry, heard) = reads_and_is_silent();
+    let (entry, received) = start_silent_reader();
     register_entry(keeper, entry);
     let _agent = fleet.start("agent0");
-    let first = heard.recv_timeout(PATIENCE).expect("a session");
-    let second = heard.recv_timeout(PATIENCE).expect("a second session");
-    assert!(second - first < SENT_AGAIN, "after {:?}", second - first);
+    let first = received.recv_timeout(TIMEOUT).expect("a session");
+    let second = received.recv_timeout(TIMEOUT).expect("a second session");
+    assert!(second - first < CLIENT_RETRY_DELAY, "after {:?}", second - first);
 }
 
 /// An entry closes the session of an agent that it does not hear.
 #[test]
-fn an_entry_closes_a_session_that_is_silent_before_clients_send_again() {
+fn an_entry_closes_a_silent_session_before_clients_retry() {
     let fleet = Fleet::new(1);
     let _entry = fleet.start("entry");
-    let sessions = SocketAddr::new(fleet.entry().ip(), NODE_PORT);
+    let sessions = SocketAddr::new(fleet.entry_address().ip(), NODE_PORT);
     eventually("the entry listens", || TcpStream::connect(sessions).is_ok());
-    let began = Instant::now();
+    let started = Instant::now();
     let mut session = TcpStream::connect(sessions).expect("it listens");
-    session.set_read_timeout(Some(PATIENCE)).expect("a time above none");
-    let mut beats = Vec::new();
-    session.read_to_end(&mut beats).expect("it is closed, not reset");
-    assert!(began.elapsed() < SENT_AGAIN, "after {:?}", began.elapsed());
+    session.set_read_timeout(Some(TIMEOUT)).expect("a time above none");
+    let mut frames = Vec::new();
+    session.read_to_end(&mut frames).expect("it is closed, not reset");
+    assert!(started.elapsed() < CLIENT_RETRY_DELAY, "after {:?}", started.elapsed());
 }
 
 /// A node asks a keeper over a new connection once the old one has gone silent.
 #[test]
-fn a_watch_that_is_silent_is_replaced_in_a_bounded_time() {
+fn a_silent_watch_is_replaced_in_bounded_time() {
     let fleet = Fleet::new(1);
-    let keeper = SocketAddr::new(fleet.keeper().ip(), NODE_PORT);
-    let heard = read_in_silence(TcpListener::bind(keeper).expect("the fleet's own address"));
+    let keeper = SocketAddr::new(fleet.keeper_address().ip(), NODE_PORT);
+    let received =
+        read_without_answering(TcpListener::bind(keeper).expect("the fleet's own address"));
     let _agent = fleet.start("agent0");
-    let first = heard.recv_timeout(PATIENCE).expect("a watch");
-    let second = heard.recv_timeout(PATIENCE).expect("a second one");
-    assert!(second - first < WATCHED_AGAIN, "after {:?}", second - first);
+    let first = received.recv_timeout(TIMEOUT).expect("a watch");
+    let second = received.recv_timeout(TIMEOUT).expect("a second one");
+    assert!(second - first < WATCH_REPLACED_WITHIN, "after {:?}", second - first);
 }
--- a/daemon/tests/stops/mod.rs
+++ b/daemon/tests/stops/mod.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 pub use client::Client;
-pub use node::{KEEPER, Node, Order, Orders, stop_in_series};
+pub use node::{Action, Actions, KEEPER, Node, run_actions};
 pub use record::{Record, print_summary};
 
 use crate::support::Fleet;
@@ -23,49 +23,49 @@
 pub const FIRST_VERSION: u64 = 7;
 
 /// One run while it goes on.
-pub struct Course<'a> {
+pub struct TestRun<'a> {
     pub seed: u64,
     pub fleet: &'a Fleet,
     /// What processes are told.
-    pub orders: Orders,
+    pub actions: Actions,
     pub balancer: Balancer,
-    pub over: AtomicBool,
+    pub finished: AtomicBool,
     /// By entry, and the keeper after them: when it was told to stop, until it is back.
-    pub told: Vec<Mutex<Option<Instant>>>,
+    pub stop_requested: Vec<Mutex<Option<Instant>>>,
     /// In the same order: when it answered last.
     pub answered: Vec<Mutex<Instant>>,
     pub records: Mutex<Vec<Record>>,
 }
 
-impl<'a> Course<'a> {
-    pub fn new(seed: u64, fleet: &'a Fleet, orders: Orders) -> Self {
+impl<'a> TestRun<'a> {
+    pub fn new(seed: u64, fleet: &'a Fleet, actions: Actions) -> Self {
         Self {
             seed,
             fleet,
-            orders,
+            actions,
             balancer: Balancer::new(fleet),
-            over: AtomicBool::new(false),
-            told: (0..=fleet.entries()).map(|_| Mutex::new(None)).collect(),
-            answered: (0..=fleet.entries()).map(|_| Mutex::new(Instant::now())).collect(),
+            finished: AtomicBool::new(false),
+            stop_requested: (0..=fleet.entry_count()).map(|_| Mutex::new(None)).collect(),
+            answered: (0..=fleet.entry_count()).map(|_| Mutex::new(Instant::now())).collect(),
             records: Mutex::default(),
         }
     }
 
-    pub fn told(&self, entry: Option<usize>) -> Option<Instant> {
-        *self.told[self.place(entry)].lock().expect("nobody panicked with it")
+    pub fn stop_requested(&self, entry: Option<usize>) -> Option<Instant> {
+        *self.stop_requested[self.index_of(entry)].lock().expect("nobody panicked with it")
     }
 
     /// When an entry answered last.
     pub fn answered(&self, entry: Option<usize>) -> Instant {
-        *self.answered[self.place(entry)].lock().expect("nobody panicked with it")
+        *self.answered[self.index_of(entry)].lock().expect("nobody panicked with it")
     }
 
     /// The place of an entry, or of the keeper, in lists.
-    pub fn place(&self, entry: Option<usize>) -> usize {
-        entry.unwrap_or(self.fleet.entries())
+    pub fn index_of(&self, entry: Option<usize>) -> usize {
+        entry.unwrap_or(self.fleet.entry_count())
     }
 
-    pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    pub fn is_finished(&self) -> bool {
+        self.finished.load(Ordering::Relaxed)
     }
 }
--- a/daemon/tests/support/exchange.rs
+++ b/daemon/tests/support/exchange.rs
@@ -8,14 +8,14 @@
 
 use serde_json::json;
 
-use super::checks::Evidence;
-use super::fake_target::FAILS;
+use super::checks::ObservedRuns;
+use super::fake_target::FAILS_PREFIX;
 use super::{Answer, document};
 
 /// How long a client waits to be connected.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Most bytes read at once.
-const CHUNK: usize = 16 * 1024;
+const READ_CHUNK: usize = 16 * 1024;
 /// Names how long the client waits for the answer.
 const DEADLINE_HEADER: &str = "X-Dockpass-Deadline-Milliseconds";
 /// Most attempts of a task in the fleet's configuration.
@@ -27,17 +27,17 @@
     /// A job of equal tasks.
     Job(Job),
     /// For the state of a job that nobody handed in.
-    State(u64),
+    JobState(u64),
     /// For how many jobs wait.
-    Count,
+    WaitingCount,
     /// For a queue that there is not.
-    Nowhere,
+    UnknownRoute,
     /// A job that can't be read.
-    Malformed(u64),
+    MalformedJob(u64),
     /// Of an operator, for a configuration of this version.
-    Replace(u64),
+    ReplaceConfiguration(u64),
     /// Of an operator, for the configuration in force; this version was acknowledged before.
-    Fetch(u64),
+    FetchConfiguration(u64),
 }
 
 /// A job of equal tasks.
@@ -64,17 +64,19 @@
 
 impl Request {
     /// The head and the body, as sent over a kept connection.
-    fn text(&self) -> (String, String) {
+    fn serialize(&self) -> (String, String) {
         let (method, path, body) = match self {
-            Self::Job(job) => ("POST", format!("/q/{}", job.name()), job_body(job)),
-            Self::State(id) => ("GET", format!("/q/{id:016x}"), String::new()),
-            Self::Count => ("GET", "/q/".to_owned(), String::new()),
-            Self::Nowhere => ("POST", "/nowhere/0000000000000001".to_owned(), "{}".to_owned()),
-            Self::Malformed(id) => ("POST", format!("/q/{id:016x}"), "{\"steps\":".to_owned()),
-            Self::Replace(version) => {
+            Self::Job(job) => ("POST", format!("/q/{}", job.name()), job_document(job)),
+            Self::JobState(id) => ("GET", format!("/q/{id:016x}"), String::new()),
+            Self::WaitingCount => ("GET", "/q/".to_owned(), String::new()),
+            Self::UnknownRoute => ("POST", "/nowhere/0000000000000001".to_owned(), "{}".to_owned()),
+            Self::MalformedJob(id) => ("POST", format!("/q/{id:016x}"), "{\"steps\":".to_owned()),
+            Self::ReplaceConfiguration(version) => {
                 ("POST", "/configuration/replace".to_owned(), document(*version))
             }
-            Self::Fetch(_) => ("GET", "/configuration/fetch".to_owned(), String::new()),
+            Self::FetchConfiguration(_) => {
+                ("GET", "/configuration/fetch".to_owned(), String::new())
+            }
         };
         let deadline = match self {
             Self::Job(Job { deadline: Some(time), .. }) => {
@@ -91,8 +93,8 @@
     }
 }
 
-fn job_body(job: &Job) -> String {
-    let fails = if job.fails { FAILS } else { "" };
+fn job_document(job: &Job) -> String {
+    let fails = if job.fails { FAILS_PREFIX } else { "" };
     json!({"spec": format!("{fails}{}", job.work_ms), "best_effort": true,
         "steps": [{"count": job.count, "cpu": 1000, "mem_mb": 64,
             "estimated_ms": job.estimated_ms}]})
@@ -108,11 +110,11 @@
     NotSent,
     /// The connection was reset without a byte of an answer: the process closed it and had not read
     /// the request. Its kernel says so: what is closed with all bytes read ends without a reset.
-    Unread,
+    ResetUnread,
     /// The connection ended after the process had read the request, with so many bytes of an answer.
-    Cut(usize),
+    Truncated(usize),
     /// No whole answer came in the client's time; so many bytes of one did.
-    Silent(usize),
+    TimedOut(usize),
 }
 
 /// A connection that is used until either side ends it.
@@ -128,18 +130,18 @@
 impl Connection {
     /// Connects to an entry, or to a keeper.
     pub fn open(entry: Option<usize>, to: SocketAddr) -> Option<Self> {
-        let stream = TcpStream::connect_timeout(&to, CONNECT_TIME).ok()?;
+        let stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(Self { stream, entry, opened: Instant::now(), answered: 0 })
     }
 
     /// Whether the other side has ended it, with all that it sent before read.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         let mut byte = [0];
         self.stream.set_nonblocking(true).expect("a socket");
-        let seen = self.stream.peek(&mut byte);
+        let peeked = self.stream.peek(&mut byte);
         self.stream.set_nonblocking(false).expect("a socket");
-        match seen {
+        match peeked {
             Ok(bytes) => bytes == 0,
             Err(error) => error.kind() != ErrorKind::WouldBlock,
         }
@@ -148,7 +150,7 @@
     /// Sends a request, with a pause before its body if there is one, and waits so long for the whole
     /// answer.
     pub fn exchange(&mut self, request: &Request, pause: Duration, time: Duration) -> Exchange {
-        let (head, body) = request.text();
+        let (head, body) = request.serialize();
         if !self.send(&head, &body, pause) {
             return Exchange::NotSent;
         }
@@ -164,29 +166,29 @@
         }
         thread::sleep(pause);
         // The answer may come before the body; it counts all the same.
-        !self.has_ended() && self.stream.write_all(body.as_bytes()).is_ok()
+        !self.is_closed() && self.stream.write_all(body.as_bytes()).is_ok()
     }
 
     fn read_answer(&mut self, time: Duration) -> Exchange {
         let until = Instant::now() + time;
         let mut bytes = Vec::new();
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_CHUNK];
         loop {
-            if let Some(answer) = whole_answer(&bytes) {
+            if let Some(answer) = parse_answer(&bytes) {
                 self.answered += 1;
                 return Exchange::Answered(answer);
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Exchange::Silent(bytes.len());
+                return Exchange::TimedOut(bytes.len());
             }
             self.stream.set_read_timeout(Some(left)).expect("a time above zero");
             match self.stream.read(&mut chunk) {
-                Ok(0) => return self.ended(bytes.len(), false),
+                Ok(0) => return self.connection_end(bytes.len(), false),
                 Ok(read) => bytes.extend_from_slice(&chunk[..read]),
                 Err(error) => match error.kind() {
                     ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted => {}
-                    _ => return self.ended(bytes.len(), true),
+                    _ => return self.connection_end(bytes.len(), true),
                 },
             }
         }
@@ -194,17 +196,17 @@
 
     /// The connection ended after so many bytes, by a reset or not. One that was closed before the
     /// request came shows its end first, and the reset behind it.
-    fn ended(&self, bytes: usize, reset: bool) -> Exchange {
+    fn connection_end(&self, bytes: usize, reset: bool) -> Exchange {
         let reset = reset || self.stream.take_error().is_ok_and(|error| error.is_some());
         match (bytes, reset) {
-            (0, true) => Exchange::Unread,
-            _ => Exchange::Cut(bytes),
+            (0, true) => Exchange::ResetUnread,
+            _ => Exchange::Truncated(bytes),
         }
     }
 }
 
 /// An answer whose body is as long as its head says; none before it is whole.
-fn whole_answer(bytes: &[u8]) -> Option<Answer> {
+fn parse_answer(bytes: &[u8]) -> Option<Answer> {
     let text = std::str::from_utf8(bytes).expect("answers are text");
     let (head, body) = text.split_once("\r\n\r\n")?;
     let head = head.to_lowercase();
@@ -246,37 +248,44 @@
     request: &Request,
     answer: &Answer,
     at: Instant,
-    evidence: &Evidence,
+    observed_runs: &ObservedRuns,
 ) -> Option<String> {
     let is_state = |state: &str| answer.body == format!("{{\"state\":\"{state}\"}}");
-    let of_operator = matches!(request, Request::Replace(_) | Request::Fetch(_));
-    if answer.status == 503 && !of_operator {
+    let is_operator =
+        matches!(request, Request::ReplaceConfiguration(_) | Request::FetchConfiguration(_));
+    if answer.status == 503 && !is_operator {
         return (!answer.has_retry_after()).then(|| "503 without Retry-After".to_owned());
     }
-    let fits = match request {
+    let is_valid = match request {
         Request::Job(_) if answer.status == 504 => answer.body.contains("may have run"),
         Request::Job(job) if answer.status == 200 && is_state("completed") => {
-            let done = evidence.done_by(&job.name(), at);
+            let done = observed_runs.done_by(&job.name(), at);
             if done < job.count as usize {
                 return Some(format!("completed with {done} of {} tasks done", job.count));
             }
             !job.fails
         }
         Request::Job(job) if answer.status == 200 && is_state("failed") => {
-            let failures = evidence.failures_by(&job.name(), at);
+            let failures = observed_runs.failures_by(&job.name(), at);
             if failures < MAX_ATTEMPTS {
                 return Some(format!("failed after {failures} failures of a task"));
             }
             job.fails
         }
         Request::Job(_) => false,
-        Request::State(_) => answer.status == 410 && answer.body == "{}",
-        Request::Count => answer.status == 200 && answer.body.starts_with("{\"waiting\":"),
-        Request::Nowhere => answer.status == 404,
-        Request::Malformed(_) => answer.status == 400,
-        Request::Replace(_) | Request::Fetch(_) if answer.status == 503 => true,
-        Request::Replace(_) => answer.status == 200,
-        Request::Fetch(at_least) => version(answer).is_some_and(|version| version >= *at_least),
+        Request::JobState(_) => answer.status == 410 && answer.body == "{}",
+        Request::WaitingCount => answer.status == 200 && answer.body.starts_with("{\"waiting\":"),
+        Request::UnknownRoute => answer.status == 404,
+        Request::MalformedJob(_) => answer.status == 400,
+        Request::ReplaceConfiguration(_) | Request::FetchConfiguration(_)
+            if answer.status == 503 =>
+        {
+            true
+        }
+        Request::ReplaceConfiguration(_) => answer.status == 200,
+        Request::FetchConfiguration(acknowledged) => {
+            version(answer).is_some_and(|version| version >= *acknowledged)
+        }
     };
-    (!fits).then(|| "it can't be the answer to this".to_owned())
+    (!is_valid).then(|| "it can't be the answer to this".to_owned())
 }
--- a/daemon/tests/support/fake_target.rs
+++ b/daemon/tests/support/fake_target.rs
@@ -21,76 +21,76 @@
 use super::call;
 
 /// How often it reports of itself.
-const BEAT: Duration = Duration::from_millis(100);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// How often a hold that waits looks for an end.
 const POLL: Duration = Duration::from_millis(5);
 const CPU_MILLI: u64 = 8_000;
 /// Comes before the time of a task that fails.
-pub const FAILS: &str = "fails ";
+pub const FAILS_PREFIX: &str = "fails ";
 /// A target that got no processor for so long may have left an order unanswered: an agent waits 40 ms.
-const HELD_UP: Duration = Duration::from_millis(25);
+const STALL: Duration = Duration::from_millis(25);
 /// Names the life that an order is for.
-const EXPECTED_INSTANCE: &str = "x-dockpass-expected-instance";
+const EXPECTED_INSTANCE_HEADER: &str = "x-dockpass-expected-instance";
 /// The answer to an order for another life.
-const OTHER_LIFE: u16 = 421;
+const MISDIRECTED: u16 = 421;
 /// How long a report may take.
-const BEAT_TIME: Duration = Duration::from_secs(1);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One run of a task.
 #[derive(Clone, Debug)]
-pub struct Span {
+pub struct TaskRun {
     pub task: String,
-    pub began: Instant,
+    pub started: Instant,
     /// When it ended, and how.
     pub ended: Option<(Instant, &'static str)>,
 }
 
 /// What a stand-in saw, over all its lives.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// Starts by task.
     pub starts: BTreeMap<String, u32>,
-    /// Most tasks at once.
-    pub most: usize,
+    /// Most tasks that ran at the same time.
+    pub max_running: usize,
     /// The runs, in the order of their starts.
-    pub spans: Vec<Span>,
+    pub runs: Vec<TaskRun>,
     /// When orders came for a life that is over, and for which.
     pub misdirected: Vec<(Instant, String)>,
     /// When its present life was first acknowledged by its agent.
     pub acknowledged: Option<Instant>,
     /// When the host last held it up for so long that agents take its orders for unanswered.
-    pub held_up: Option<Instant>,
+    pub stalled_at: Option<Instant>,
 }
 
 /// A running stand-in; it ends when dropped.
-pub struct StandInTarget {
-    pub seen: Arc<Mutex<Seen>>,
+pub struct FakeTarget {
+    pub observed: Arc<Mutex<Observations>>,
     address: SocketAddr,
     agent: SocketAddr,
     hall: &'static str,
-    began: Instant,
+    started: Instant,
     stop: Option<async_channel::Sender<()>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-struct Run {
+struct ActiveRun {
     number: u64,
-    ends: Instant,
+    ends_at: Instant,
     /// How it ends, unless something else ends it before.
-    how: &'static str,
-    lease: Instant,
+    outcome: &'static str,
+    leased_until: Instant,
 }
 
 struct State {
-    life: Life,
+    instance: Instance,
     fence: u64,
-    runs: BTreeMap<String, Run>,
+    runs: BTreeMap<String, ActiveRun>,
     barred: BTreeMap<String, u64>,
     ended: Vec<(u64, String, u64, &'static str)>,
-    next: u64,
+    next_number: u64,
 }
 
-impl StandInTarget {
+impl FakeTarget {
     /// Starts a target that reports to its agent.
     pub fn start(address: SocketAddr, agent: SocketAddr, id: &str) -> Self {
         Self::start_in(address, agent, id, "hall")
@@ -98,53 +98,60 @@
 
     /// Starts a target in a data hall.
     pub fn start_in(address: SocketAddr, agent: SocketAddr, id: &str, hall: &'static str) -> Self {
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let mut target =
-            Self { seen, address, agent, hall, began: Instant::now(), stop: None, threads: vec![] };
-        target.live(id);
+        let observed = Arc::new(Mutex::new(Observations::default()));
+        let mut target = Self {
+            observed,
+            address,
+            agent,
+            hall,
+            started: Instant::now(),
+            stop: None,
+            threads: vec![],
+        };
+        target.start_instance(id);
         target
     }
 
     /// Begins a life.
-    fn live(&mut self, id: &str) {
+    fn start_instance(&mut self, id: &str) {
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        self.began = Instant::now();
-        self.seen.lock().expect("nobody panicked with it").acknowledged = None;
-        let (address, began) = (self.address, self.began);
-        let life = Life { id: id.to_owned(), began, seen: self.seen.clone() };
-        let serving = stopped.clone();
-        let serve = std::thread::spawn(move || serve(address, life, serving));
+        self.started = Instant::now();
+        self.observed.lock().expect("nobody panicked with it").acknowledged = None;
+        let (address, started) = (self.address, self.started);
+        let instance = Instance { id: id.to_owned(), started, observed: self.observed.clone() };
+        let server_stopped = stopped.clone();
+        let serve = std::thread::spawn(move || serve(address, instance, server_stopped));
         let (agent, hall) = (self.agent, self.hall);
-        let (seen, id) = (self.seen.clone(), id.to_owned());
-        let beats = std::thread::spawn(move || {
+        let (observed, id) = (self.observed.clone(), id.to_owned());
+        let heartbeats = std::thread::spawn(move || {
             while !stopped.is_closed() {
                 // An agent that is down hears of it later.
-                if beat(agent, hall, &id, clock_ms(began)) {
-                    let mut seen = seen.lock().expect("nobody panicked with it");
-                    seen.acknowledged.get_or_insert_with(Instant::now);
+                if send_heartbeat(agent, hall, &id, clock_ms(started)) {
+                    let mut observed = observed.lock().expect("nobody panicked with it");
+                    observed.acknowledged.get_or_insert_with(Instant::now);
                 }
-                std::thread::sleep(BEAT);
+                std::thread::sleep(HEARTBEAT_INTERVAL);
             }
         });
         self.stop = Some(stop);
-        self.threads = vec![serve, beats];
+        self.threads = vec![serve, heartbeats];
     }
 
     /// Crashes, and begins a new life at the same address; nothing of the old one runs on. Returns
     /// the clock of the life that is over.
-    pub fn begin_new_life(&mut self, id: &str) -> u64 {
-        let clock_ms = clock_ms(self.began);
-        self.end();
-        self.live(id);
+    pub fn restart(&mut self, id: &str) -> u64 {
+        let clock_ms = clock_ms(self.started);
+        self.shut_down();
+        self.start_instance(id);
         clock_ms
     }
 
     /// A heartbeat of an earlier life arrives now; returns whether it was acknowledged.
-    pub fn late_beat(&self, id: &str, clock_ms: u64) -> bool {
-        beat(self.agent, self.hall, id, clock_ms)
+    pub fn send_late_heartbeat(&self, id: &str, clock_ms: u64) -> bool {
+        send_heartbeat(self.agent, self.hall, id, clock_ms)
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         self.stop.take();
         for thread in self.threads.drain(..) {
             // One that panicked has failed its test already.
@@ -153,35 +160,35 @@
     }
 }
 
-impl Drop for StandInTarget {
+impl Drop for FakeTarget {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
 /// One life of a target.
-struct Life {
+struct Instance {
     id: String,
-    began: Instant,
-    seen: Arc<Mutex<Seen>>,
+    started: Instant,
+    observed: Arc<Mutex<Observations>>,
 }
 
 /// The clock of a life that began then.
-fn clock_ms(began: Instant) -> u64 {
-    1_000 + began.elapsed().as_millis() as u64
+fn clock_ms(started: Instant) -> u64 {
+    1_000 + started.elapsed().as_millis() as u64
 }
 
 /// Reports of a life to an agent; returns whether it was acknowledged.
-fn beat(agent: SocketAddr, hall: &str, id: &str, clock_ms: u64) -> bool {
+fn send_heartbeat(agent: SocketAddr, hall: &str, id: &str, clock_ms: u64) -> bool {
     let body = json!({"service": "work", "zone": hall, "state": "ready", "labels": ["a"],
         "capacity": {"cpu": CPU_MILLI, "mem_mb": 32_768, "gpu": 0},
         "clock_ms": clock_ms, "sequence": clock_ms});
     let path = format!("/instances/{id}/heartbeat");
-    call(agent, "POST", &path, &body.to_string(), BEAT_TIME)
+    call(agent, "POST", &path, &body.to_string(), HEARTBEAT_TIMEOUT)
         .is_some_and(|answer| answer.status == 200)
 }
 
-fn serve(address: SocketAddr, life: Life, stopped: async_channel::Receiver<()>) {
+fn serve(address: SocketAddr, instance: Instance, stopped: async_channel::Receiver<()>) {
     let limits = Limits {
         max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
         max_body_bytes: 1 << 20,
@@ -189,48 +196,48 @@
         max_connections: 100,
     };
     let state = Rc::new(RefCell::new(State {
-        life,
+        instance,
         fence: 0,
         runs: BTreeMap::new(),
         barred: BTreeMap::new(),
         ended: Vec::new(),
-        next: 1,
+        next_number: 1,
     }));
-    let crashing = state.clone();
-    let passing = state.clone();
+    let crashed_state = state.clone();
+    let polled_state = state.clone();
     net::block_on(|tasks| async move {
         let listener = Async::<TcpListener>::bind(address).expect("the address is free");
         let handler = move |request: Request<Result<Bytes, BodyError>>| {
             let state = state.clone();
-            async move { answer(&state, request).await }
+            async move { handle(&state, request).await }
         };
         tasks.spawn(net::serve(listener, tasks.clone(), move || limits, handler));
         tasks.spawn(async move {
             // Runs end and leases run out whether or not anyone asks.
             loop {
-                let looked = Instant::now();
-                passing.borrow_mut().pass();
+                let polled_at = Instant::now();
+                polled_state.borrow_mut().end_due_runs();
                 Timer::after(POLL).await;
-                passing.borrow().note_pause(looked);
+                polled_state.borrow().note_stall(polled_at);
             }
         });
         // Ends when the handle is dropped.
         let _ = stopped.recv().await;
-        crashing.borrow_mut().crash();
+        crashed_state.borrow_mut().crash();
     });
 }
 
-async fn answer(
+async fn handle(
     state: &Rc<RefCell<State>>,
     request: Request<Result<Bytes, BodyError>>,
 ) -> Response<Body> {
     let (head, body) = request.into_parts();
-    let order: Value =
+    let command: Value =
         body.ok().and_then(|body| serde_json::from_slice(&body).ok()).unwrap_or_default();
-    let number = |name: &str| order[name].as_u64().unwrap_or_default();
-    let expected = head.headers.get(EXPECTED_INSTANCE).and_then(|id| id.to_str().ok());
-    if let Some(other) = expected.filter(|id| *id != state.borrow().life.id) {
-        return state.borrow().other_life(other);
+    let number = |name: &str| command[name].as_u64().unwrap_or_default();
+    let expected = head.headers.get(EXPECTED_INSTANCE_HEADER).and_then(|id| id.to_str().ok());
+    if let Some(other) = expected.filter(|id| *id != state.borrow().instance.id) {
+        return state.borrow().misdirected_response(other);
     }
     if number("fencing_token") < state.borrow().fence {
         let clock_ms = state.borrow().clock_ms();
@@ -238,25 +245,25 @@
     }
     state.borrow_mut().fence = number("fencing_token");
     match head.uri.path() {
-        "/run-start" => state.borrow_mut().start(&order),
-        "/run-stop" => state.borrow_mut().stop(&order),
-        "/hold" => hold(state, &order).await,
+        "/run-start" => state.borrow_mut().start(&command),
+        "/run-stop" => state.borrow_mut().stop(&command),
+        "/hold" => hold(state, &command).await,
         _ => respond(404, &json!({})),
     }
 }
 
-async fn hold(state: &Rc<RefCell<State>>, order: &Value) -> Response<Body> {
-    let number = |name: &str| order[name].as_u64().unwrap_or_default();
+async fn hold(state: &Rc<RefCell<State>>, command: &Value) -> Response<Body> {
+    let number = |name: &str| command[name].as_u64().unwrap_or_default();
     let until = Instant::now() + Duration::from_millis(number("wait_ms"));
     // A lease that has run out can't be renewed.
-    state.borrow_mut().pass();
-    state.borrow_mut().renew(number("deadline_ms"));
+    state.borrow_mut().end_due_runs();
+    state.borrow_mut().renew_leases(number("deadline_ms"));
     let last_seen = number("last_seen");
     state.borrow_mut().ended.retain(|(number, ..)| *number > last_seen);
     loop {
-        state.borrow_mut().pass();
+        state.borrow_mut().end_due_runs();
         if !state.borrow().ended.is_empty() || Instant::now() >= until {
-            return state.borrow().lists();
+            return state.borrow().hold_response();
         }
         Timer::after(POLL).await;
     }
@@ -264,73 +271,76 @@
 
 impl State {
     /// Takes note of a long time between two looks.
-    fn note_pause(&self, looked: Instant) {
-        if looked.elapsed() > POLL + HELD_UP {
-            let mut seen = self.life.seen.lock().expect("nobody panicked with it");
-            seen.held_up = Some(Instant::now());
+    fn note_stall(&self, polled_at: Instant) {
+        if polled_at.elapsed() > POLL + STALL {
+            let mut observed = self.instance.observed.lock().expect("nobody panicked with it");
+            observed.stalled_at = Some(Instant::now());
         }
     }
 
     fn clock_ms(&self) -> u64 {
-        clock_ms(self.life.began)
+        clock_ms(self.instance.started)
     }
 
-    fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.life.seen.lock().expect("nobody panicked with it")
+    fn observed(&self) -> MutexGuard<'_, Observations> {
+        self.instance.observed.lock().expect("nobody panicked with it")
     }
 
     /// An order for another life changes nothing.
-    fn other_life(&self, id: &str) -> Response<Body> {
-        self.seen().misdirected.push((Instant::now(), id.to_owned()));
-        respond(OTHER_LIFE, &json!({"clock_ms": self.clock_ms()}))
+    fn misdirected_response(&self, id: &str) -> Response<Body> {
+        self.observed().misdirected.push((Instant::now(), id.to_owned()));
+        respond(MISDIRECTED, &json!({"clock_ms": self.clock_ms()}))
     }
 
     /// All that runs ends with its life.
     fn crash(&mut self) {
-        self.pass();
+        self.end_due_runs();
         let tasks: Vec<String> = self.runs.keys().cloned().collect();
-        tasks.iter().for_each(|task| self.end(task, "crashed"));
+        tasks.iter().for_each(|task| self.end_run(task, "crashed"));
     }
 
-    fn renew(&mut self, deadline_ms: u64) {
+    fn renew_leases(&mut self, deadline_ms: u64) {
         let left = Duration::from_millis(deadline_ms.saturating_sub(self.clock_ms()));
-        let lease = Instant::now() + left.min(Duration::from_secs(1));
-        self.runs.values_mut().for_each(|run| run.lease = run.lease.max(lease));
+        let leased_until = Instant::now() + left.min(Duration::from_secs(1));
+        self.runs
+            .values_mut()
+            .for_each(|run| run.leased_until = run.leased_until.max(leased_until));
     }
 
-    fn pass(&mut self) {
+    fn end_due_runs(&mut self) {
         let now = Instant::now();
-        let over = |run: &Run| run.ends <= now || run.lease <= now;
+        let is_due = |run: &ActiveRun| run.ends_at <= now || run.leased_until <= now;
         let tasks: Vec<String> =
-            self.runs.iter().filter(|(_, run)| over(run)).map(|(task, _)| task.clone()).collect();
+            self.runs.iter().filter(|(_, run)| is_due(run)).map(|(task, _)| task.clone()).collect();
         for task in tasks {
             let run = &self.runs[&task];
-            let how = if run.ends <= now { run.how } else { "lapsed" };
-            self.end(&task, how);
+            let outcome = if run.ends_at <= now { run.outcome } else { "lapsed" };
+            self.end_run(&task, outcome);
         }
     }
 
-    fn end(&mut self, task: &str, how: &'static str) {
+    fn end_run(&mut self, task: &str, outcome: &'static str) {
         let Some(run) = self.runs.remove(task) else { return };
-        let over = Instant::now().min(run.ends).min(run.lease);
-        let mut seen = self.seen();
-        let mut spans = seen.spans.iter_mut().rev();
-        if let Some(span) = spans.find(|span| span.task == task && span.ended.is_none()) {
-            span.ended = Some((over, how));
+        let ended_at = Instant::now().min(run.ends_at).min(run.leased_until);
+        let mut observed = self.observed();
+        let mut observed_runs = observed.runs.iter_mut().rev();
+        if let Some(ended) = observed_runs.find(|other| other.task == task && other.ended.is_none())
+        {
+            ended.ended = Some((ended_at, outcome));
         }
-        drop(seen);
+        drop(observed);
         self.barred.insert(task.to_owned(), run.number);
-        self.ended.push((self.next, task.to_owned(), run.number, how));
-        self.next += 1;
+        self.ended.push((self.next_number, task.to_owned(), run.number, outcome));
+        self.next_number += 1;
     }
 
-    fn start(&mut self, order: &Value) -> Response<Body> {
-        self.pass();
+    fn start(&mut self, command: &Value) -> Response<Body> {
+        self.end_due_runs();
         let clock_ms = self.clock_ms();
         let refuse = |reason: &str| respond(409, &json!({"clock_ms": clock_ms, "reason": reason}));
-        let task = order["task"].as_str().unwrap_or_default().to_owned();
-        let number = order["run"].as_u64().unwrap_or_default();
-        let deadline_ms = order["deadline_ms"].as_u64().unwrap_or_default();
+        let task = command["task"].as_str().unwrap_or_default().to_owned();
+        let number = command["run"].as_u64().unwrap_or_default();
+        let deadline_ms = command["deadline_ms"].as_u64().unwrap_or_default();
         if deadline_ms <= clock_ms {
             return refuse("late");
         }
@@ -344,40 +354,40 @@
         if (self.runs.len() as u64 + 1) * 1_000 > CPU_MILLI {
             return refuse("room");
         }
-        let spec = order["spec"].as_str().unwrap_or_default();
-        let how = if spec.starts_with(FAILS) { "failed" } else { "done" };
-        let work: u64 = spec.trim_start_matches(FAILS).parse().unwrap_or(1);
+        let spec = command["spec"].as_str().unwrap_or_default();
+        let outcome = if spec.starts_with(FAILS_PREFIX) { "failed" } else { "done" };
+        let work: u64 = spec.trim_start_matches(FAILS_PREFIX).parse().unwrap_or(1);
         let now = Instant::now();
-        let lease = now + Duration::from_millis(deadline_ms - clock_ms);
-        let ends = now + Duration::from_millis(work);
-        self.runs.insert(task.clone(), Run { number, ends, how, lease });
+        let leased_until = now + Duration::from_millis(deadline_ms - clock_ms);
+        let ends_at = now + Duration::from_millis(work);
+        self.runs.insert(task.clone(), ActiveRun { number, ends_at, outcome, leased_until });
         let running = self.runs.len();
-        let mut seen = self.seen();
-        seen.spans.push(Span { task: task.clone(), began: now, ended: None });
-        *seen.starts.entry(task).or_default() += 1;
-        seen.most = seen.most.max(running);
-        drop(seen);
+        let mut observed = self.observed();
+        observed.runs.push(TaskRun { task: task.clone(), started: now, ended: None });
+        *observed.starts.entry(task).or_default() += 1;
+        observed.max_running = observed.max_running.max(running);
+        drop(observed);
         respond(200, &json!({"clock_ms": clock_ms}))
     }
 
-    fn stop(&mut self, order: &Value) -> Response<Body> {
-        let task = order["task"].as_str().unwrap_or_default();
-        let number = order["run"].as_u64().unwrap_or_default();
+    fn stop(&mut self, command: &Value) -> Response<Body> {
+        let task = command["task"].as_str().unwrap_or_default();
+        let number = command["run"].as_u64().unwrap_or_default();
         if self.runs.get(task).is_some_and(|run| run.number == number) {
-            self.end(task, "stopped");
+            self.end_run(task, "stopped");
         } else {
             self.barred.insert(task.to_owned(), number);
         }
         respond(200, &json!({"clock_ms": self.clock_ms()}))
     }
 
-    fn lists(&self) -> Response<Body> {
+    fn hold_response(&self) -> Response<Body> {
         let running: Vec<Value> =
             self.runs.iter().map(|(task, run)| json!([task, run.number, "", 100])).collect();
         let ended: Vec<Value> = self
             .ended
             .iter()
-            .map(|(number, task, run, how)| json!([number, task, run, how, ""]))
+            .map(|(number, task, run, outcome)| json!([number, task, run, outcome, ""]))
             .collect();
         let clock_ms = self.clock_ms();
         respond(200, &json!({"clock_ms": clock_ms, "running": running, "ended": ended}))
--- a/daemon/tests/support/keep_alive.rs
+++ b/daemon/tests/support/keep_alive.rs
@@ -8,21 +8,21 @@
 
 /// Why a request has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoAnswer {
+pub enum ResponseError {
     /// The connection ended before a byte of the answer.
     Closed,
     /// The connection ended within the answer.
     Partial,
     /// Nothing came in time.
-    Late,
+    TimedOut,
 }
 
 /// An open connection.
-pub struct Kept {
+pub struct KeepAliveConnection {
     stream: TcpStream,
 }
 
-impl Kept {
+impl KeepAliveConnection {
     /// Connects; `None` where nobody listens.
     pub fn open(to: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
@@ -36,31 +36,33 @@
     }
 
     /// Sends a whole request and waits for its answer.
-    pub fn ask(&mut self, request: &str, time: Duration) -> Result<Answer, NoAnswer> {
+    pub fn request(&mut self, request: &str, time: Duration) -> Result<Answer, ResponseError> {
         if !self.send(request.as_bytes()) {
-            return Err(NoAnswer::Closed);
+            return Err(ResponseError::Closed);
         }
-        self.answer(time)
+        self.read_answer(time)
     }
 
     /// Reads one answer, which says how long its body is.
-    pub fn answer(&mut self, time: Duration) -> Result<Answer, NoAnswer> {
+    pub fn read_answer(&mut self, time: Duration) -> Result<Answer, ResponseError> {
         self.stream.set_read_timeout(Some(time)).expect("a time above 0");
         let mut bytes = Vec::new();
         loop {
-            if let Some(answer) = whole(&bytes) {
+            if let Some(answer) = parse_answer(&bytes) {
                 return Ok(answer);
             }
             let mut buffer = [0; 4_096];
             match self.stream.read(&mut buffer) {
-                Ok(0) if bytes.is_empty() => return Err(NoAnswer::Closed),
-                Ok(0) => return Err(NoAnswer::Partial),
+                Ok(0) if bytes.is_empty() => return Err(ResponseError::Closed),
+                Ok(0) => return Err(ResponseError::Partial),
                 Ok(count) => bytes.extend_from_slice(&buffer[..count]),
                 // This process was suspended for a moment: that says nothing of the connection.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Err(NoAnswer::Late),
-                Err(_) if bytes.is_empty() => return Err(NoAnswer::Closed),
-                Err(_) => return Err(NoAnswer::Partial),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    return Err(ResponseError::TimedOut);
+                }
+                Err(_) if bytes.is_empty() => return Err(ResponseError::Closed),
+                Err(_) => return Err(ResponseError::Partial),
             }
         }
     }
@@ -80,7 +82,7 @@
 }
 
 /// The answer, once it is whole.
-fn whole(bytes: &[u8]) -> Option<Answer> {
+fn parse_answer(bytes: &[u8]) -> Option<Answer> {
     let text = std::str::from_utf8(bytes).ok()?;
     let (head, body) = text.split_once("\r\n\r\n")?;
     let head = head.to_lowercase();
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -21,24 +21,24 @@
 
 use tempfile::TempDir;
 
-pub use fake_target::StandInTarget;
+pub use fake_target::FakeTarget;
 pub use http::{Answer, call};
 pub use process::Process;
 use proxy::Proxy;
 
 /// Longest wait for anything to come about.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const NODE_PORT: u16 = 7_101;
 /// A host without any process.
-const ABSENT_KEEPER: usize = 250;
+const ABSENT_KEEPER_HOST: usize = 250;
 /// The host of the first agent and its target; more follow it.
 const TARGET_HOST: usize = 10;
 /// Where the first agent finds its target by way of a proxy; up to 100 agents fit below it.
-const ORDERS_HOST: usize = 110;
+const COMMAND_PROXY_HOST: usize = 110;
 /// The host of the first entry, with two proxies after it; 13 entries fit below the absent keeper.
 const ENTRY_HOST: usize = 211;
 /// What comes before the version on a page of figures.
-const VERSION_LINE: &str = "dockpass_configuration_version ";
+const VERSION_METRIC: &str = "dockpass_configuration_version ";
 /// Names a folder for what a keeper keeps.
 const KEEPER_FOLDER_VARIABLE: &str = "DOCKPASS_KEEPER_FOLDER";
 /// A folder in memory.
@@ -46,7 +46,7 @@
 /// Names a folder that keeps the logs of all processes, also those of runs that pass.
 const LOGS_VARIABLE: &str = "DOCKPASS_SOAK_LOGS";
 /// Names how many entries each agent serves at least; without it, each serves each in a fleet of a test.
-const SETS_VARIABLE: &str = "DOCKPASS_SETS";
+const ENTRIES_SERVED_VARIABLE: &str = "DOCKPASS_SETS";
 
 /// The host of an entry; its proxies, if any, are the two after it.
 fn entry_host(number: usize) -> usize {
@@ -68,8 +68,8 @@
 }
 
 /// What agents' files say of sets: nothing, unless a variable asks for sets.
-fn set_settings() -> String {
-    let served = std::env::var(SETS_VARIABLE).ok();
+fn subset_settings() -> String {
+    let served = std::env::var(ENTRIES_SERVED_VARIABLE).ok();
     served.map_or_else(String::new, |served| {
         format!("entries_served = {served}\nagents_of_entry = 1\n")
     })
@@ -84,7 +84,7 @@
     agents: usize,
     entries: usize,
     /// Links between clients, entry, agents and targets; none where they connect directly.
-    links: Vec<Proxy>,
+    proxies: Vec<Proxy>,
     /// Where logs stay, also those of a run that passed.
     logs: Option<PathBuf>,
     /// What agents' files say besides.
@@ -94,17 +94,17 @@
 impl Fleet {
     /// Writes the files of a fleet with one entry and so many agents.
     pub fn new(agents: usize) -> Self {
-        Self::of(1, agents)
+        Self::with_entries(1, agents)
     }
 
     /// Writes the files of a fleet without proxies.
-    pub fn of(entries: usize, agents: usize) -> Self {
-        Self::with(entries, agents, false, temporary_folder())
+    pub fn with_entries(entries: usize, agents: usize) -> Self {
+        Self::create(entries, agents, false, temporary_folder())
     }
 
     /// The same, with more settings of its agents.
     pub fn with_agent_settings(entries: usize, agents: usize, settings: &str) -> Self {
-        let mut fleet = Self::of(entries, agents);
+        let mut fleet = Self::with_entries(entries, agents);
         fleet.agent_settings = settings.to_owned();
         fleet.write_files();
         fleet
@@ -112,19 +112,19 @@
 
     /// The same, with a keeper whose folder is in memory where the host has such, unless a variable
     /// names another: a host's disk may stand still for longer than a process has for its end.
-    pub fn without_disk(entries: usize, agents: usize) -> Self {
+    pub fn with_keeper_in_memory(entries: usize, agents: usize) -> Self {
         let named = std::env::var_os(KEEPER_FOLDER_VARIABLE);
         let folder = named.map_or_else(|| MEMORY_FOLDER.into(), PathBuf::from);
         let data = tempfile::tempdir_in(folder).unwrap_or_else(|_| temporary_folder());
-        Self::with(entries, agents, false, data)
+        Self::create(entries, agents, false, data)
     }
 
     /// The same, with proxies between clients and entries, agents and entries, agents and targets.
-    pub fn with_links(entries: usize, agents: usize) -> Self {
-        Self::with(entries, agents, true, temporary_folder())
+    pub fn with_proxies(entries: usize, agents: usize) -> Self {
+        Self::create(entries, agents, true, temporary_folder())
     }
 
-    fn with(entries: usize, agents: usize, links: bool, data: TempDir) -> Self {
+    fn create(entries: usize, agents: usize, proxies: bool, data: TempDir) -> Self {
         let number = FLEETS.fetch_add(1, Ordering::Relaxed) + 1;
         let pid = std::process::id();
         // A network of its own: no port is shared with anything else on this host.
@@ -137,12 +137,12 @@
             network,
             agents,
             entries,
-            links: Vec::new(),
+            proxies: Vec::new(),
             logs,
-            agent_settings: set_settings(),
+            agent_settings: subset_settings(),
         };
-        if links {
-            fleet.start_links();
+        if proxies {
+            fleet.start_proxies();
         }
         fleet.write_files();
         fleet
@@ -150,47 +150,47 @@
 
     /// Starts two proxies for each entry (clients, sessions of agents), then one for each agent's
     /// orders.
-    fn start_links(&mut self) {
+    fn start_proxies(&mut self) {
         for number in 0..self.entries {
             let host = entry_host(number);
             let to_entry = Proxy::start(self.address(host + 1, 7_300), self.address(host, 7_300));
             let sessions =
                 Proxy::start(self.address(host + 2, NODE_PORT), self.address(host, NODE_PORT));
-            self.links.extend([to_entry, sessions]);
+            self.proxies.extend([to_entry, sessions]);
         }
         for number in 0..self.agents {
-            let listen = self.address(ORDERS_HOST + number, 7_500);
-            let orders = Proxy::start(listen, self.target(number));
-            self.links.push(orders);
+            let listen = self.address(COMMAND_PROXY_HOST + number, 7_500);
+            let commands = Proxy::start(listen, self.target_address(number));
+            self.proxies.push(commands);
         }
     }
 
     /// The links that faults can strike.
-    pub fn links(&self) -> &[Proxy] {
-        &self.links
+    pub fn proxies(&self) -> &[Proxy] {
+        &self.proxies
     }
 
     /// The links between agents and each entry.
-    pub fn session_links(&self) -> impl Iterator<Item = &Proxy> {
-        self.links.iter().take(2 * self.entries).skip(1).step_by(2)
+    pub fn session_proxies(&self) -> impl Iterator<Item = &Proxy> {
+        self.proxies.iter().take(2 * self.entries).skip(1).step_by(2)
     }
 
     /// The links between each agent and its target.
-    pub fn order_links(&self) -> impl Iterator<Item = &Proxy> {
-        self.links.iter().skip(2 * self.entries)
+    pub fn command_proxies(&self) -> impl Iterator<Item = &Proxy> {
+        self.proxies.iter().skip(2 * self.entries)
     }
 
     fn address(&self, host: usize, port: u16) -> SocketAddr {
         format!("{}.{host}:{port}", self.network).parse().expect("an address")
     }
 
-    pub fn keeper(&self) -> SocketAddr {
+    pub fn keeper_address(&self) -> SocketAddr {
         self.address(1, 7_100)
     }
 
     /// Where a keeper would be at which nobody listens.
-    fn absent_keeper(&self) -> SocketAddr {
-        self.address(ABSENT_KEEPER, 7_100)
+    fn absent_keeper_address(&self) -> SocketAddr {
+        self.address(ABSENT_KEEPER_HOST, 7_100)
     }
 
     /// The names of all its processes.
@@ -206,43 +206,43 @@
     }
 
     /// How many entries it has.
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.entries
     }
 
     /// Where clients reach the first entry.
-    pub fn entry(&self) -> SocketAddr {
-        self.entry_number(0)
+    pub fn entry_address(&self) -> SocketAddr {
+        self.entry_address_of(0)
     }
 
     /// Where clients reach an entry.
-    pub fn entry_number(&self, number: usize) -> SocketAddr {
-        let by_proxy = usize::from(!self.links.is_empty());
-        self.address(entry_host(number) + by_proxy, 7_300)
+    pub fn entry_address_of(&self, number: usize) -> SocketAddr {
+        let host_offset = usize::from(!self.proxies.is_empty());
+        self.address(entry_host(number) + host_offset, 7_300)
     }
 
     /// Where agents reach an entry.
-    fn sessions(&self, number: usize) -> SocketAddr {
-        let by_proxy = if self.links.is_empty() { 0 } else { 2 };
-        self.address(entry_host(number) + by_proxy, NODE_PORT)
+    fn session_address(&self, number: usize) -> SocketAddr {
+        let host_offset = if self.proxies.is_empty() { 0 } else { 2 };
+        self.address(entry_host(number) + host_offset, NODE_PORT)
     }
 
     /// Where an agent reaches its target.
-    fn orders(&self, number: usize) -> SocketAddr {
-        let host = if self.links.is_empty() { TARGET_HOST } else { ORDERS_HOST };
+    fn command_address(&self, number: usize) -> SocketAddr {
+        let host = if self.proxies.is_empty() { TARGET_HOST } else { COMMAND_PROXY_HOST };
         self.address(host + number, 7_500)
     }
 
     /// Where the balancer asks an entry whether it is ready.
-    pub fn ready(&self, number: usize) -> SocketAddr {
+    pub fn readiness_address(&self, number: usize) -> SocketAddr {
         self.address(entry_host(number), 7_301)
     }
 
-    pub fn target(&self, number: usize) -> SocketAddr {
+    pub fn target_address(&self, number: usize) -> SocketAddr {
         self.address(TARGET_HOST + number, 7_500)
     }
 
-    pub fn agent(&self, number: usize) -> SocketAddr {
+    pub fn agent_address(&self, number: usize) -> SocketAddr {
         self.address(TARGET_HOST + number, 7_400)
     }
 
@@ -251,14 +251,14 @@
             format!(
                 "[node]\nname = {name}\nroles = {role}\nscheduling = room\n\
                  node_port = {NODE_PORT}\n{}",
-                keepers_line(&[self.keeper()])
+                keepers_line(&[self.keeper_address()])
             )
         };
         let keeper = format!(
             "{}[keeper]\nlisten = {}\nnode_listen = {}\ndata = {}\nfound = true\n\
              tolerated_losses = 0\n",
             common("k1", "keeper"),
-            self.keeper(),
+            self.keeper_address(),
             self.address(1, NODE_PORT),
             self.data.path().display()
         );
@@ -270,9 +270,9 @@
                 common(&format!("e{number}"), "entry"),
                 self.address(host, 7_900),
                 self.address(host, 7_300),
-                self.ready(number),
+                self.readiness_address(number),
                 self.address(host, NODE_PORT),
-                self.sessions(number)
+                self.session_address(number)
             );
             self.write(&entry_name(number), &entry);
         }
@@ -281,8 +281,8 @@
             let agent = format!(
                 "{}[agent]\nlisten = {}\ntarget = {}\nservice = work\n{}",
                 common(&format!("a{number}"), "agent"),
-                self.agent(number),
-                self.orders(number),
+                self.agent_address(number),
+                self.command_address(number),
                 self.agent_settings
             );
             self.write(&format!("agent{number}"), &agent);
@@ -305,34 +305,34 @@
 
     /// Where the logs of its processes are.
     fn logs(&self) -> PathBuf {
-        let Some(kept) = &self.logs else { return self.folder.path().to_owned() };
-        let folder = kept.join(&self.network);
+        let Some(root) = &self.logs else { return self.folder.path().to_owned() };
+        let folder = root.join(&self.network);
         fs::create_dir_all(&folder).expect("a folder for logs");
         folder
     }
 
     /// Changes the file of a process so that it names a further keeper, at which nobody listens, or
     /// no longer names it; the process is not told.
-    pub fn change_file(&self, name: &str) {
-        let one = keepers_line(&[self.keeper()]);
-        let two = keepers_line(&[self.keeper(), self.absent_keeper()]);
+    pub fn toggle_absent_keeper(&self, name: &str) {
+        let present = keepers_line(&[self.keeper_address()]);
+        let both = keepers_line(&[self.keeper_address(), self.absent_keeper_address()]);
         let text = fs::read_to_string(self.file(name)).expect("the file is there");
-        let changed = match text.contains(&two) {
-            true => text.replace(&two, &one),
-            false => text.replace(&one, &two),
+        let changed = match text.contains(&both) {
+            true => text.replace(&both, &present),
+            false => text.replace(&present, &both),
         };
         // In one move: the process also looks without a signal, and would find half a file.
-        let beside = self.file(&format!("{name}.new"));
-        fs::write(&beside, changed).expect("the file is written");
-        fs::rename(beside, self.file(name)).expect("the file is moved");
+        let new_file = self.file(&format!("{name}.new"));
+        fs::write(&new_file, changed).expect("the file is written");
+        fs::rename(new_file, self.file(name)).expect("the file is moved");
     }
 
     /// Changes the file of a process so that it names only a keeper at which nobody listens.
-    pub fn name_absent_keeper(&self, name: &str) {
-        let one = keepers_line(&[self.keeper()]);
-        let absent = keepers_line(&[self.absent_keeper()]);
+    pub fn name_only_absent_keeper(&self, name: &str) {
+        let present = keepers_line(&[self.keeper_address()]);
+        let absent = keepers_line(&[self.absent_keeper_address()]);
         let text = fs::read_to_string(self.file(name)).expect("the file is there");
-        fs::write(self.file(name), text.replace(&one, &absent)).expect("the file is written");
+        fs::write(self.file(name), text.replace(&present, &absent)).expect("the file is written");
     }
 
     /// What the keeper keeps in a file of its folder; none where there is no such file.
@@ -347,25 +347,26 @@
 
     /// How often its processes have noticed so far that they got no processor for long: the host held
     /// them up.
-    pub fn pauses(&self) -> usize {
-        let told = ["\"event\":\"paused\"", "\"why\":\"stood still\""];
+    pub fn logged_pauses(&self) -> usize {
+        let paused_lines = ["\"event\":\"paused\"", "\"why\":\"stood still\""];
         let names = self.names();
         let logs = names.iter().map(|name| self.log(name));
-        logs.map(|log| told.iter().map(|line| log.matches(line).count()).sum::<usize>()).sum()
+        logs.map(|log| paused_lines.iter().map(|line| log.matches(line).count()).sum::<usize>())
+            .sum()
     }
 
     /// Starts a process whose log goes into a pipe that nobody reads.
-    pub fn start_unread(&self, name: &str) -> Process {
-        Process::start_unread(&self.file(name))
+    pub fn start_with_unread_log(&self, name: &str) -> Process {
+        Process::start_with_unread_log(&self.file(name))
     }
 
     /// Where the entry tells its figures.
-    pub fn metrics(&self) -> SocketAddr {
-        self.metrics_of(0)
+    pub fn metrics_address(&self) -> SocketAddr {
+        self.metrics_address_of(0)
     }
 
     /// Where an entry tells its figures.
-    pub fn metrics_of(&self, entry: usize) -> SocketAddr {
+    pub fn metrics_address_of(&self, entry: usize) -> SocketAddr {
         self.address(entry_host(entry), 7_900)
     }
 
@@ -373,8 +374,14 @@
     pub fn configure(&self, version: u64) {
         let body = document(version);
         eventually("the configuration is acknowledged", || {
-            call(self.keeper(), "POST", "/configuration/replace", &body, Duration::from_secs(5))
-                .is_some_and(|answer| answer.status == 200)
+            call(
+                self.keeper_address(),
+                "POST",
+                "/configuration/replace",
+                &body,
+                Duration::from_secs(5),
+            )
+            .is_some_and(|answer| answer.status == 200)
         });
     }
 
@@ -382,41 +389,47 @@
     pub fn try_configure(&self, version: u64, padding: usize) -> bool {
         let body = document(version) + &" ".repeat(padding);
         let time = Duration::from_secs(1);
-        call(self.keeper(), "POST", "/configuration/replace", &body, time)
+        call(self.keeper_address(), "POST", "/configuration/replace", &body, time)
             .is_some_and(|answer| answer.status == 200)
     }
 
     /// Waits until every entry has a version of the configuration or a later one.
-    pub fn until_version(&self, version: u64) {
+    pub fn wait_for_version(&self, version: u64) {
         let in_force = |page: &Answer| {
-            let line = page.body.lines().find_map(|line| line.strip_prefix(VERSION_LINE));
+            let line = page.body.lines().find_map(|line| line.strip_prefix(VERSION_METRIC));
             line.and_then(|text| text.parse::<u64>().ok())
         };
         for number in 0..self.entries {
             eventually("the entry has the configuration", || {
-                call(self.metrics_of(number), "GET", "/metrics", "", Duration::from_secs(1))
+                call(self.metrics_address_of(number), "GET", "/metrics", "", Duration::from_secs(1))
                     .is_some_and(|page| in_force(&page) >= Some(version))
             });
         }
     }
 
     /// Waits until every entry says that it is ready.
-    pub fn until_ready(&self) {
+    pub fn wait_until_ready(&self) {
         for number in 0..self.entries {
             eventually("the entry is ready", || {
-                call(self.ready(number), "GET", "/readiness", "", Duration::from_secs(1))
-                    .is_some_and(|answer| answer.status == 200)
+                call(
+                    self.readiness_address(number),
+                    "GET",
+                    "/readiness",
+                    "",
+                    Duration::from_secs(1),
+                )
+                .is_some_and(|answer| answer.status == 200)
             });
         }
     }
 
     /// Hands in a job of equal tasks and waits for the answer.
-    pub fn job(&self, id: u64, count: u32, work_ms: u64) -> Option<Answer> {
-        self.job_within(0, id, count, work_ms, PATIENCE)
+    pub fn submit_job(&self, id: u64, count: u32, work_ms: u64) -> Option<Answer> {
+        self.submit_job_within(0, id, count, work_ms, TIMEOUT)
     }
 
     /// Hands in a job of equal tasks at an entry and waits so long for the answer.
-    pub fn job_within(
+    pub fn submit_job_within(
         &self,
         entry: usize,
         id: u64,
@@ -427,7 +440,7 @@
         let body = serde_json::json!({"spec": work_ms.to_string(), "best_effort": true,
             "steps": [{"count": count, "cpu": 1000, "mem_mb": 64, "estimated_ms": work_ms}]});
         let path = format!("/q/{id:016x}");
-        call(self.entry_number(entry), "POST", &path, &body.to_string(), time)
+        call(self.entry_address_of(entry), "POST", &path, &body.to_string(), time)
     }
 }
 
@@ -462,12 +475,12 @@
 }
 
 /// The seed of every run of the tests besides those that failed once.
-const SEED: u64 = 1;
+const DEFAULT_SEED: u64 = 1;
 
 /// The seeds that a variable names as `FIRST..END`, or the usual one with those that failed once.
-pub fn seeds(variable: &str, regressions: &[u64]) -> Vec<u64> {
+pub fn seeds_from_env(variable: &str, regressions: &[u64]) -> Vec<u64> {
     let Ok(text) = std::env::var(variable) else {
-        return [SEED].into_iter().chain(regressions.iter().copied()).collect();
+        return [DEFAULT_SEED].into_iter().chain(regressions.iter().copied()).collect();
     };
     let (first, end) = text.split_once("..").expect("FIRST..END");
     let first: u64 = first.parse().expect("a number");
@@ -475,15 +488,15 @@
 }
 
 /// A number that a variable names, or the usual one.
-pub fn number(variable: &str, usual: usize) -> usize {
-    std::env::var(variable).map_or(usual, |text| text.parse().expect("a number"))
+pub fn number_from_env(variable: &str, default: usize) -> usize {
+    std::env::var(variable).map_or(default, |text| text.parse().expect("a number"))
 }
 
 /// Waits until something is so.
-pub fn eventually(what: &str, mut is_so: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !is_so() {
-        assert!(began.elapsed() < PATIENCE, "not so in time: {what}");
+pub fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < TIMEOUT, "not so in time: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/daemon/tests/support/process.rs
+++ b/daemon/tests/support/process.rs
@@ -12,58 +12,58 @@
 /// One process; killed when dropped.
 pub struct Process {
     child: Child,
-    told_to_stop: Cell<bool>,
+    stop_requested: Cell<bool>,
     /// Its log and how much of it is of earlier lives; none where nobody reads the log.
     log: Option<(PathBuf, u64)>,
 }
 
 /// How much of a log holds the line of the start.
-const FIRST_LINES: u64 = 1_024;
+const LOG_HEAD_BYTES: u64 = 1_024;
 /// What a process writes once it listens for signals.
-const BEGUN: &str = "\"event\":\"start\"";
+const START_EVENT: &str = "\"event\":\"start\"";
 
 impl Process {
     /// Starts a process with this file, which adds to a log.
     pub(super) fn start(config: &Path, log: &Path) -> Self {
         let file = OpenOptions::new().create(true).append(true).open(log);
         let file = file.expect("a file for the log");
-        let earlier = file.metadata().expect("it is there").len();
+        let log_offset = file.metadata().expect("it is there").len();
         let child = spawn(config, file.into());
-        Self { child, told_to_stop: Cell::new(false), log: Some((log.to_owned(), earlier)) }
+        Self { child, stop_requested: Cell::new(false), log: Some((log.to_owned(), log_offset)) }
     }
 
     /// Starts a process whose log nobody reads.
-    pub(super) fn start_unread(config: &Path) -> Self {
+    pub(super) fn start_with_unread_log(config: &Path) -> Self {
         let child = spawn(config, Stdio::piped());
-        Self { child, told_to_stop: Cell::new(false), log: None }
+        Self { child, stop_requested: Cell::new(false), log: None }
     }
 
     /// Whether it has said that it begins; a signal before that ends it like any program.
-    pub fn has_begun(&self) -> bool {
-        let Some((path, earlier)) = &self.log else { return true };
+    pub fn has_started(&self) -> bool {
+        let Some((path, log_offset)) = &self.log else { return true };
         let mut text = String::new();
         let mut file = File::open(path).expect("the log is there");
-        file.seek(SeekFrom::Start(*earlier)).expect("it is as long");
-        file.take(FIRST_LINES).read_to_string(&mut text).expect("it is text");
-        text.contains(BEGUN)
+        file.seek(SeekFrom::Start(*log_offset)).expect("it is as long");
+        file.take(LOG_HEAD_BYTES).read_to_string(&mut text).expect("it is text");
+        text.contains(START_EVENT)
     }
 
     /// Sends a signal by name.
     pub fn signal(&self, name: &str) {
-        self.told_to_stop.set(self.told_to_stop.get() || name == "TERM");
+        self.stop_requested.set(self.stop_requested.get() || name == "TERM");
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([&format!("-{name}"), &pid]).status();
         assert!(sent.is_ok_and(|status| status.success()));
     }
 
     /// Whether it has not ended.
-    pub fn is_up(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
     /// Whether it was told to stop by plan.
-    pub fn was_told_to_stop(&self) -> bool {
-        self.told_to_stop.get()
+    pub fn was_stop_requested(&self) -> bool {
+        self.stop_requested.get()
     }
 
     /// Waits for its end; returns whether it ended well.
@@ -90,28 +90,28 @@
 }
 
 /// A process that faults strike, or that is away for a moment.
-pub struct Struck {
+pub struct FaultyProcess {
     pub name: String,
     pub process: Option<Process>,
-    pub back_at: Option<Instant>,
+    pub recover_at: Option<Instant>,
     paused: bool,
 }
 
-impl Struck {
+impl FaultyProcess {
     /// Starts the process of a name.
     pub fn start(fleet: &Fleet, name: String) -> Self {
         let process = Some(fleet.start(&name));
-        Self { name, process, back_at: None, paused: false }
+        Self { name, process, recover_at: None, paused: false }
     }
 
     /// Kills it, stops it by plan or pauses it until a time, unless it is away.
-    pub fn strike(&mut self, how: u32, back_at: Instant) {
-        if self.back_at.is_some() {
+    pub fn inject(&mut self, kind: u32, recover_at: Instant) {
+        if self.recover_at.is_some() {
             return;
         }
-        self.back_at = Some(back_at);
-        println!("{:.3}: {} struck: {how}", unix_seconds(), self.name);
-        match (how, &self.process) {
+        self.recover_at = Some(recover_at);
+        println!("{:.3}: {} struck: {kind}", unix_seconds(), self.name);
+        match (kind, &self.process) {
             (0, _) => self.process = None,
             (1, Some(process)) => process.signal("TERM"),
             (_, Some(process)) => {
@@ -123,11 +123,11 @@
     }
 
     /// Brings it back where its time has come.
-    pub fn come_back(&mut self, fleet: &Fleet, now: Instant) {
-        if self.back_at.is_none_or(|at| at > now) {
+    pub fn recover(&mut self, fleet: &Fleet, now: Instant) {
+        if self.recover_at.is_none_or(|at| at > now) {
             return;
         }
-        self.back_at = None;
+        self.recover_at = None;
         if std::mem::take(&mut self.paused) {
             if let Some(process) = &self.process {
                 process.signal("CONT");
@@ -135,10 +135,10 @@
             return;
         }
         if let Some(mut process) = self.process.take()
-            && process.is_up()
+            && process.is_running()
         {
             // It was told to stop, or never struck: it ends in its own time.
-            if process.was_told_to_stop() {
+            if process.was_stop_requested() {
                 process.wait();
             } else {
                 self.process = Some(process);
--- a/daemon/tests/support/proxy.rs
+++ b/daemon/tests/support/proxy.rs
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From who connects.
-    There,
+    ToServer,
     /// To who connects.
-    Back,
+    ToClient,
     Both,
 }
 
@@ -46,11 +46,11 @@
     /// They are taken and dropped: who sends sees no difference.
     Dropped,
     /// They are not even taken: who sends much is held up.
-    NotTaken,
+    NotRead,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Struck {
+struct ActiveFault {
     fault: Fault,
     direction: Direction,
     until: Instant,
@@ -58,10 +58,10 @@
 
 #[derive(Debug, Default)]
 struct State {
-    struck: Option<Struck>,
+    active_fault: Option<ActiveFault>,
     resets: u64,
     /// Connections so far.
-    taken: u64,
+    accepted: u64,
     /// The connections that are open, by their number.
     open: BTreeMap<u64, Option<Silence>>,
 }
@@ -91,41 +91,41 @@
     }
 
     /// Strikes the link until a time.
-    pub fn strike(&self, fault: Fault, direction: Direction, until: Instant) {
+    pub fn inject(&self, fault: Fault, direction: Direction, until: Instant) {
         let mut state = self.state.lock().expect("nobody panicked with it");
         match fault {
             Fault::Reset => state.resets += 1,
-            _ => state.struck = Some(Struck { fault, direction, until }),
+            _ => state.active_fault = Some(ActiveFault { fault, direction, until }),
         }
     }
 
     /// Silences one open connection for good, the one that `choose` takes of so many.
     pub fn silence_one(&self, silence: Silence, choose: impl FnOnce(usize) -> usize) {
         let mut state = self.state.lock().expect("nobody panicked with it");
-        let sound: Vec<&mut Option<Silence>> =
+        let active: Vec<&mut Option<Silence>> =
             state.open.values_mut().filter(|silent| silent.is_none()).collect();
-        if sound.is_empty() {
+        if active.is_empty() {
             return;
         }
-        let chosen = choose(sound.len());
-        *sound.into_iter().nth(chosen).expect("one of them") = Some(silence);
+        let chosen = choose(active.len());
+        *active.into_iter().nth(chosen).expect("one of them") = Some(silence);
     }
 
     /// Silences all open connections for good; returns how many.
     pub fn silence_all(&self, silence: Silence) -> u64 {
         let mut state = self.state.lock().expect("nobody panicked with it");
-        let sound = state.open.values_mut().filter(|silent| silent.is_none());
-        sound.map(|silent| *silent = Some(silence)).count() as u64
+        let active = state.open.values_mut().filter(|silent| silent.is_none());
+        active.map(|silent| *silent = Some(silence)).count() as u64
     }
 
     /// How many connections it has taken.
-    pub fn taken(&self) -> u64 {
-        self.state.lock().expect("nobody panicked with it").taken
+    pub fn accepted_count(&self) -> u64 {
+        self.state.lock().expect("nobody panicked with it").accepted
     }
 
     /// Ends all faults that have an end.
-    pub fn heal(&self) {
-        self.state.lock().expect("nobody panicked with it").struck = None;
+    pub fn clear_fault(&self) {
+        self.state.lock().expect("nobody panicked with it").active_fault = None;
     }
 }
 
@@ -146,33 +146,33 @@
     tasks: Spawner,
 ) {
     loop {
-        let Ok((near, _)) = listener.accept().await else {
+        let Ok((client, _)) = listener.accept().await else {
             Timer::after(POLL).await;
             continue;
         };
         let state = state.clone();
-        tasks.spawn(async move { lead(near, to, state).await });
+        tasks.spawn(async move { forward(client, to, state).await });
     }
 }
 
 /// Leads one connection until both sides have ended or it is reset.
-async fn lead(near: Async<TcpStream>, to: SocketAddr, state: Arc<Mutex<State>>) {
+async fn forward(client: Async<TcpStream>, to: SocketAddr, state: Arc<Mutex<State>>) {
     let resets = state.lock().expect("nobody panicked with it").resets;
-    let Ok(far) = Async::<TcpStream>::connect(to).await else { return };
+    let Ok(server) = Async::<TcpStream>::connect(to).await else { return };
     // Without the options the link is slower, or a reset is an end: faults all the same.
-    let _ = near.get_ref().set_nodelay(true);
-    let _ = far.get_ref().set_nodelay(true);
-    let link = Link::open(state);
-    let there = copy(&near, &far, Direction::There, &link);
-    let back = copy(&far, &near, Direction::Back, &link);
+    let _ = client.get_ref().set_nodelay(true);
+    let _ = server.get_ref().set_nodelay(true);
+    let connection = ConnectionGuard::open(state);
+    let to_server = copy(&client, &server, Direction::ToServer, &connection);
+    let to_client = copy(&server, &client, Direction::ToClient, &connection);
     let ended = async {
-        future::zip(there, back).await;
+        future::zip(to_server, to_client).await;
     };
     let reset = async {
-        while link.lock().resets == resets {
+        while connection.lock().resets == resets {
             Timer::after(POLL).await;
         }
-        for side in [&near, &far] {
+        for side in [&client, &server] {
             let _ = SockRef::from(side.get_ref()).set_linger(Some(Duration::ZERO));
         }
     };
@@ -180,16 +180,16 @@
 }
 
 /// One connection's share of the state; it is no longer open when dropped.
-struct Link {
+struct ConnectionGuard {
     state: Arc<Mutex<State>>,
     number: u64,
 }
 
-impl Link {
+impl ConnectionGuard {
     fn open(state: Arc<Mutex<State>>) -> Self {
         let mut locked = state.lock().expect("nobody panicked with it");
-        locked.taken += 1;
-        let number = locked.taken;
+        locked.accepted += 1;
+        let number = locked.accepted;
         locked.open.insert(number, None);
         drop(locked);
         Self { state, number }
@@ -204,23 +204,28 @@
     }
 }
 
-impl Drop for Link {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.lock().open.remove(&self.number);
     }
 }
 
-async fn copy(from: &Async<TcpStream>, to: &Async<TcpStream>, direction: Direction, link: &Link) {
+async fn copy(
+    from: &Async<TcpStream>,
+    to: &Async<TcpStream>,
+    direction: Direction,
+    connection: &ConnectionGuard,
+) {
     let (mut from, mut to) = (from, to);
     let mut chunk = vec![0; CHUNK];
     loop {
         let read = from.read(&mut chunk).await.unwrap_or(0);
-        wait(direction, read, link).await;
-        match link.silence() {
+        wait_for_link(direction, read, connection).await;
+        match connection.silence() {
             // The other side keeps its end of the connection until it closes it on its own.
             Some(Silence::Dropped) if read == 0 => return,
             Some(Silence::Dropped) => continue,
-            Some(Silence::NotTaken) => future::pending().await,
+            Some(Silence::NotRead) => future::pending().await,
             None => {}
         }
         if read == 0 {
@@ -235,27 +240,28 @@
 }
 
 /// How long bytes take at a rate a second.
-fn time_of(bytes: usize, per_s: u64) -> Duration {
-    Duration::from_micros(bytes as u64 * 1_000_000 / per_s)
+fn transfer_time(bytes: usize, bytes_per_s: u64) -> Duration {
+    Duration::from_micros(bytes as u64 * 1_000_000 / bytes_per_s)
 }
 
 /// Waits as long as the link holds so many bytes of a direction back.
-async fn wait(direction: Direction, bytes: usize, link: &Link) {
+async fn wait_for_link(direction: Direction, bytes: usize, connection: &ConnectionGuard) {
     let mut waited = Duration::ZERO;
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
-        let struck = link.lock().struck;
-        let concerned = |struck: &Struck| {
-            struck.until > Instant::now()
-                && (struck.direction == direction || struck.direction == Direction::Both)
+        let active_fault = connection.lock().active_fault;
+        let applies = |active_fault: &ActiveFault| {
+            active_fault.until > Instant::now()
+                && (active_fault.direction == direction
+                    || active_fault.direction == Direction::Both)
         };
-        match struck.filter(concerned).map(|struck| struck.fault) {
+        match active_fault.filter(applies).map(|active_fault| active_fault.fault) {
             Some(Fault::HeldBack) => {}
             Some(Fault::Delayed(time)) if waited < time => {}
-            Some(Fault::Slow(per_s)) if waited < time_of(bytes, per_s) => {}
+            Some(Fault::Slow(bytes_per_s)) if waited < transfer_time(bytes, bytes_per_s) => {}
             _ => return,
         }
         Timer::after(POLL).await;
-        waited = began.elapsed();
+        waited = started.elapsed();
     }
 }
--- a/daemon/tests/suspended_client.rs
+++ b/daemon/tests/suspended_client.rs
@@ -12,11 +12,11 @@
 use std::thread;
 use std::time::Duration;
 
-use support::keep_alive::{Kept, job_request};
+use support::keep_alive::{KeepAliveConnection, job_request};
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
 /// Longest wait for the answer, which comes right after the pause.
-const ANSWER_TIME: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Suspends this process and lets it go on.
 fn suspend() {
@@ -43,8 +43,9 @@
         // Open until the answer is read: the caller closes.
         stream
     });
-    let mut kept = Kept::open(address).expect("it listens");
-    let answer = kept.ask(&job_request(1, 1, 20, 20), ANSWER_TIME).expect("it is answered");
+    let mut connection = KeepAliveConnection::open(address).expect("it listens");
+    let answer =
+        connection.request(&job_request(1, 1, 20, 20), ANSWER_TIMEOUT).expect("it is answered");
     assert_eq!((answer.status, answer.body.as_str()), (200, "{}"));
     drop(server.join().expect("it has answered"));
 }
