--- a/daemon/tests/planned_stop_faults.rs
+++ b/daemon/tests/planned_stop_faults.rs
@@ -1,18 +1,11 @@
-//! Planned stops of real processes, in series and overlapping, with a restart after each, under load:
-//! what a process has read gets a whole answer, whatever it is told to do meanwhile.
+//! Runs with overlapping planned stops and restarts of real processes under load: every request
+//! that a process has read gets a complete answer.
 //!
-//! Clients keep their connections until the process ends them; some of these lie idle for long and
-//! are first used late in a stop. Tasks take up to four times what their clients think. Entries end
-//! by planned stops alone; agents are also killed; every process is told now and then that its file
-//! has changed. A second run stops a keeper while operators change the configuration and read it
-//! back.
-//!
-//! All runs are seeded: `DOCKPASS_STOP_SEEDS=FIRST..END` runs other seeds by hand,
-//! `DOCKPASS_STOP_ENTRIES`, `DOCKPASS_STOP_AGENTS` and `DOCKPASS_STOP_CALLERS` larger fleets;
-//! `DOCKPASS_KEEPER_STOP_SEEDS=FIRST..END` other seeds with operators, `DOCKPASS_KEEPER_FOLDER` a
-//! keeper whose folder is there and not in memory.
+//! All runs are seeded. `DOCKPASS_STOP_SEEDS` and `DOCKPASS_KEEPER_STOP_SEEDS` (`FIRST..END`)
+//! select other seeds, `DOCKPASS_STOP_ENTRIES`, `DOCKPASS_STOP_AGENTS` and `DOCKPASS_STOP_CALLERS`
+//! the size of the fleet, and `DOCKPASS_KEEPER_FOLDER` the parent of the keeper's data folder.
 
-// Spans that a test measures or waits.
+// Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
 
 mod stops;
@@ -30,20 +23,19 @@
 
 const ENTRIES: usize = 3;
 const AGENTS: usize = 6;
-/// Clients that send one request after the other.
+/// Clients that send requests continuously.
 const CALLERS: usize = 12;
-/// For each of them so many clients wait for a stop with a connection that lies idle.
+/// Clients per caller that wait for a stop with an idle connection.
 const WAITERS_PER_CALLER: u64 = 6;
 
-/// Seeds that failed once, as nearly every one did: an entry ended 5.4 s after it was told to stop, and
-/// jobs that its clients had handed in up to 2 s into the stop, with tasks of up to four times their
-/// estimate, were cut without an answer.
+/// Seeds that failed when a stopping entry exited before answering jobs with tasks longer than
+/// estimated.
 const REGRESSIONS: [u64; 2] = [6, 18];
 
-/// Operators of the run with keepers, each with one call after the other.
+/// Operators in the run that stops the keeper.
 const OPERATORS: u64 = 4;
 
-/// Planned stops of all roles; most often of entries, which are few.
+/// Actions on all roles; mostly stops of entries, which are few.
 const ACTIONS: Actions = &[
     ("entry", Action::Stop),
     ("entry", Action::Stop),
@@ -58,7 +50,7 @@
     ("agent", Action::Reload),
     (KEEPER, Action::Reload),
 ];
-/// Planned stops of a keeper.
+/// Actions on the keeper.
 const KEEPER_ACTIONS: Actions =
     &[(KEEPER, Action::Stop), (KEEPER, Action::Stop), (KEEPER, Action::Reload)];
 
@@ -86,7 +78,7 @@
     assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), faults.join("\n"));
 }
 
-/// How many clients of each kind a run has.
+/// Number of clients of each kind in a run.
 #[derive(Clone, Copy)]
 struct Clients {
     callers: u64,
@@ -94,7 +86,7 @@
     operators: u64,
 }
 
-/// One run; returns what was wrong.
+/// Runs one seed; returns the faults found.
 fn run(seed: u64, fleet: &Fleet, actions: Actions, clients: Clients) -> Vec<String> {
     let agents = fleet.names().iter().filter(|name| name.starts_with("agent")).count();
     let targets: Vec<FakeTarget> = (0..agents)
@@ -115,7 +107,7 @@
     thread::scope(|scope| {
         let test_run = &test_run;
         for entry in 0..fleet.entry_count() {
-            scope.spawn(move || test_run.balancer.probe_until_over(entry, &test_run.finished));
+            scope.spawn(move || test_run.balancer.probe_until_finished(entry, &test_run.finished));
         }
         let Clients { callers, waiters, operators } = clients;
         for client in 0..callers {
@@ -132,7 +124,7 @@
     });
     fleet.wait_until_ready();
     let mut id = 0xcafe_0000;
-    eventually("jobs are served after the stops", || {
+    eventually("jobs are completed after the stops", || {
         id += 1;
         fleet.submit_job(id, 3, 50).is_some_and(|answer| answer.status == 200)
     });
@@ -141,16 +133,16 @@
     faults.iter().map(|fault| format!("seed {seed}: {fault}")).collect()
 }
 
-/// What of the records is not as promised.
+/// Collects wrong answers and overlapping runs.
 fn collect_faults(records: &[Record], targets: &[FakeTarget]) -> Vec<String> {
     let observed_runs = ObservedRuns::of(targets);
     let mut faults: Vec<String> =
         records.iter().filter_map(|record| record.fault(&observed_runs)).collect();
     let overlapping = checks::overlapping_runs(targets);
-    faults.extend(overlapping.iter().map(|task| format!("{task} ran twice at once")));
+    faults.extend(overlapping.iter().map(|task| format!("{task} had overlapping runs")));
     print_summary(records);
     if !records.iter().any(|record| record.entry.is_some() && record.is_answered(200)) {
-        faults.push("nothing was served".to_owned());
+        faults.push("no job was completed".to_owned());
     }
     faults
 }
--- a/daemon/tests/silent_connection_faults.rs
+++ b/daemon/tests/silent_connection_faults.rs
@@ -1,14 +1,10 @@
-//! Open connections between processes that go silent for good, without a reset, while new ones work:
-//! they are noticed and replaced in time, no task runs twice, and nothing is answered wrongly.
+//! Seeded runs in which open connections between processes go silent permanently while new ones
+//! work. Silent connections must be replaced in time, without overlapping runs or wrong answers.
 //!
-//! The proxies silence all connections of sessions between agents and entries, of orders between
-//! agents and targets, or of both, while clients hand in jobs, or hand in nothing until the
-//! connections have to be replaced.
-//!
-//! All runs are seeded: `DOCKPASS_SILENCE_SEEDS=FIRST..END` runs other seeds by hand,
-//! `DOCKPASS_SILENCE_ENTRIES` and `DOCKPASS_SILENCE_AGENTS` larger fleets.
+//! `DOCKPASS_SILENCE_SEEDS=FIRST..END` selects other seeds, `DOCKPASS_SILENCE_ENTRIES` and
+//! `DOCKPASS_SILENCE_AGENTS` the size of the fleet.
 
-// Spans that a test measures or waits.
+// Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
 
 mod support;
@@ -21,7 +17,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use support::balancer::sleep_unless_over;
+use support::balancer::sleep_unless_finished;
 use support::checks::{self, ObservedRuns};
 use support::exchange::{self, Connection, Exchange, Job, Request};
 use support::proxy::{Proxy, Silence};
@@ -29,47 +25,46 @@
 
 const ENTRIES: usize = 2;
 const AGENTS: usize = 3;
-/// How often connections go silent in a run.
+/// Rounds per run; connections go silent once in each.
 const ROUNDS: usize = 4;
-/// Time between them, in milliseconds.
+/// Time between rounds in milliseconds.
 const GAP_MS: std::ops::Range<u64> = 100..900;
-/// A silent connection is noticed and replaced within this time, and jobs are served again.
+/// Time in which a silent connection is replaced.
 const REPLACE_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// How often new connections are looked for.
+/// Interval at which new connections are checked.
 const POLL: Duration = Duration::from_millis(5);
-/// In so many of the rounds clients hand in nothing while connections are silent: what lies idle then
-/// is first used once it has to be replaced.
+/// Probability that clients pause during a round, so that idle connections are first used once they
+/// have to be replaced.
 const QUIET_PROBABILITY: f64 = 0.5;
-/// Slots of a target, each of which may have had a connection of its own.
+/// Task slots of a target, each of which may use its own connection.
 const SLOTS: u32 = 8;
-/// Clients, and how long each waits for an answer: longer than any deadline.
+/// Number of clients, and their timeout, which is longer than any deadline.
 const CLIENTS: u64 = 4;
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long after a broken try a client sends again.
+/// Delay before a client retries a request.
 const RETRY_DELAY: Duration = Duration::from_millis(1_300);
-/// The longest task of a client.
+/// Run time of the longest task of a client.
 const LONGEST_TASK: Duration = Duration::from_millis(200);
-/// Most tries of a client.
+/// Maximum number of tries per job.
 const MAX_TRIES: u32 = 3;
-/// Jobs that are handed in at each entry once silent connections have to be replaced; their tasks
-/// find room beside those of the clients.
+/// Jobs submitted to each entry after the replacement time; their tasks fit beside those of the
+/// clients.
 const PROBES: u64 = 3;
 const PROBE_TASKS: u32 = 4;
 const PROBE_MS: u64 = 40;
-/// A probe is handed in at most so often where the host holds up the fleet.
+/// Maximum number of tries of a probe while the host stalls processes.
 const MAX_PROBES: u32 = 5;
-/// How long a line takes to its log, and a held-up target to take note of it.
+/// Time until a log line is written and a stalled target records the stall.
 const LOG_DELAY: Duration = Duration::from_millis(100);
-/// The client number of the probes.
+/// Client number of the prober.
 const PROBER: u64 = 0xfff;
 
-/// Seeds that failed once, for one cause: an agent sends orders over connections that it keeps, and went
-/// on to take these after the connection of its hold had gone silent and was replaced; a start that
-/// was sent three times, over three of them, was given up.
+/// Seeds that failed when an agent kept using silent connections for commands after replacing the
+/// connection of its hold.
 const REGRESSIONS: [u64; 1] = [4];
 
 #[test]
-fn silent_connections_are_replaced_in_time_and_nothing_is_answered_wrongly() {
+fn silent_connections_are_replaced_in_time_and_answers_are_correct() {
     let entries = number_from_env("DOCKPASS_SILENCE_ENTRIES", ENTRIES);
     let agents = number_from_env("DOCKPASS_SILENCE_AGENTS", AGENTS);
     let mut faults = Vec::new();
@@ -80,7 +75,7 @@
     assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), faults.join("\n"));
 }
 
-/// One run; returns what was wrong.
+/// Runs one seed; returns the faults found.
 fn run(seed: u64, fleet: &Fleet, agents: usize) -> Vec<String> {
     let targets: Vec<FakeTarget> = (0..agents)
         .map(|number| {
@@ -122,27 +117,27 @@
     let observed_runs = ObservedRuns::of(&targets);
     faults.extend(records.iter().filter_map(|record| record.fault(&observed_runs)));
     let overlapping = checks::overlapping_runs(&targets);
-    faults.extend(overlapping.iter().map(|task| format!("{task} ran twice at once")));
+    faults.extend(overlapping.iter().map(|task| format!("{task} had overlapping runs")));
     print_summary(&records);
     faults
 }
 
-/// Which connections go silent at once.
+/// The connections that go silent together.
 #[derive(Clone, Copy, Debug)]
 enum SilencedLinks {
-    /// The sessions of one entry,
+    /// Agent sessions of one entry.
     Sessions,
-    /// of all entries,
+    /// Agent sessions of all entries.
     AllSessions,
-    /// the orders of one agent,
+    /// Command connections of one agent.
     Commands,
-    /// of all agents,
+    /// Command connections of all agents.
     AllCommands,
-    /// all of them.
+    /// All of these connections.
     All,
 }
 
-/// Each as often as it stands here.
+/// The choices, each with the same probability.
 const SILENCED: [SilencedLinks; 5] = [
     SilencedLinks::Sessions,
     SilencedLinks::AllSessions,
@@ -151,12 +146,12 @@
     SilencedLinks::All,
 ];
 
-/// Silences connections, and waits as long as they may take to be replaced; returns those links whose
-/// connections were not.
+/// Silences connections and waits for the replacement time; returns the links whose connections
+/// were not replaced.
 fn silence_and_wait(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Vec<String> {
     let sessions: Vec<&Proxy> = fleet.session_proxies().collect();
     let commands: Vec<&Proxy> = fleet.command_proxies().collect();
-    let silenced = *SILENCED.choose(rng).expect("there are some");
+    let silenced = *SILENCED.choose(rng).expect("the list is not empty");
     let silence_kind = if rng.random_bool(0.5) { Silence::Dropped } else { Silence::NotRead };
     let (session, command) =
         (rng.random_range(0..sessions.len()), rng.random_range(0..commands.len()));
@@ -169,7 +164,7 @@
     };
     println!("{:.3}: silent: {silenced:?} ({session}, {command}) {silence_kind:?}", unix_seconds());
     let started = Instant::now();
-    // Every session is replaced; of connections for orders only those that are needed.
+    // Every session must be replaced, but only as many command connections as are needed.
     let silence = |link: &Proxy| (link.accepted_count(), link.silence_all(silence_kind));
     let mut waiting: Vec<(&Proxy, u64, String)> = Vec::new();
     for (number, link) in sessions.iter().enumerate() {
@@ -203,18 +198,18 @@
     waiting.iter().map(missing).collect()
 }
 
-/// One try of a request.
+/// One try of a request: where and when it was sent, and its outcome.
 struct Record {
     job: Job,
     attempt: u32,
     entry: usize,
-    /// The time as the logs show it.
+    /// Wall-clock time of sending, as in the process logs.
     unix_seconds: f64,
     ended_at: Instant,
     exchange: Exchange,
 }
 
-/// A client that hands in one job after the other.
+/// A client that submits jobs one after the other.
 struct Client<'a> {
     seed: u64,
     number: u64,
@@ -245,16 +240,16 @@
                 if matches!(self.send(job, attempt, entry), Some(status) if status != 504) {
                     break;
                 }
-                if !sleep_unless_over(RETRY_DELAY, finished) {
+                if !sleep_unless_finished(RETRY_DELAY, finished) {
                     return;
                 }
             }
-            sleep_unless_over(Duration::from_millis(self.rng.random_range(0..60)), finished);
+            sleep_unless_finished(Duration::from_millis(self.rng.random_range(0..60)), finished);
         }
     }
 
-    /// Hands in a job that fills all targets, once what the clients left there has ended: orders are
-    /// sent at once over as many connections as they need.
+    /// Submits a job that fills all targets, after the clients' tasks have ended, so that commands
+    /// are sent over as many connections as possible.
     fn fill_targets(&mut self, targets: &[FakeTarget]) -> Option<String> {
         thread::sleep(LONGEST_TASK);
         self.submit_expecting_success(
@@ -265,7 +260,7 @@
         )
     }
 
-    /// Hands in jobs at every entry, all of which are to be served; returns those that were not.
+    /// Submits jobs to every entry; returns those that were not completed.
     fn probe(&mut self, targets: &[FakeTarget]) -> Vec<String> {
         let mut faults = Vec::new();
         for entry in 0..self.fleet.entry_count() {
@@ -276,9 +271,8 @@
         faults
     }
 
-    /// Hands in a job that is to be served; returns what became of it if it was not. Where the host held
-    /// up a target or a process meanwhile, it is handed in anew: an order that a target had no processor
-    /// to answer looks as one on a silent connection does.
+    /// Submits a job that must be completed; returns a fault otherwise. The job is retried if the
+    /// host stalled a target or a process, as a stalled target looks like a silent connection.
     fn submit_expecting_success(
         &mut self,
         what: &str,
@@ -301,7 +295,7 @@
             if !stalled && self.fleet.logged_pauses() == pauses {
                 return fault;
             }
-            println!("{at:.3}: the host held up the fleet: the {what} is handed in anew");
+            println!("{at:.3}: the host stalled a process; the {what} is retried");
         }
         fault
     }
@@ -312,11 +306,11 @@
         Job { id, count, work_ms, estimated_ms, fails: false, deadline: None }
     }
 
-    /// Hands in a job; returns the status of its answer.
+    /// Submits a job; returns the status of the answer.
     fn send(&self, job: Job, attempt: u32, entry: usize) -> Option<u16> {
         let unix_seconds = unix_seconds();
         let connection = Connection::open(Some(entry), self.fleet.entry_address_of(entry));
-        let mut connection = connection.expect("entries are up, and their clients' links well");
+        let mut connection = connection.expect("the entry accepts connections");
         let exchange = connection.exchange(&Request::Job(job), Duration::ZERO, CLIENT_TIMEOUT);
         let status = match &exchange {
             Exchange::Answered(answer) => Some(answer.status),
@@ -329,14 +323,14 @@
     }
 }
 
-/// Whether a target was held up since a time.
+/// Whether the host stalled a target since a time.
 fn was_stalled_since(target: &FakeTarget, since: Instant) -> bool {
-    let observed = target.observed.lock().expect("nobody panicked with it");
+    let observed = target.observed.lock().expect("the mutex is not poisoned");
     observed.stalled_at.is_some_and(|at| at >= since)
 }
 
 impl Record {
-    /// What of it is not as promised.
+    /// Returns the fault of a wrong or missing answer.
     fn fault(&self, observed_runs: &ObservedRuns) -> Option<String> {
         let problem = match &self.exchange {
             Exchange::Answered(answer) => {
@@ -356,11 +350,11 @@
         ))
     }
 
-    /// What was refused at the first try never runs: the client does not send it again.
+    /// A job refused at its first try must never run, as the client does not retry it.
     fn ran_despite_refusal(&self, status: u16, observed_runs: &ObservedRuns) -> Option<String> {
         let starts = observed_runs.starts_of(&self.job.name());
         let refused = self.attempt == 0 && status == 503;
-        (refused && starts > 0).then(|| format!("said not to have run, with {starts} starts"))
+        (refused && starts > 0).then(|| format!("refused, but {starts} task runs were started"))
     }
 }
 
--- a/daemon/tests/stops/client.rs
+++ b/daemon/tests/stops/client.rs
@@ -1,4 +1,5 @@
-//! The clients of a run: they send on, wait for stops, or operate.
+//! Clients of a run: some send requests continuously, some send during stops, some act as
+//! operators.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -8,42 +9,41 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{FIRST_VERSION, GRACE, POLL, Record, TestRun};
-use crate::support::balancer::sleep_unless_over;
+use crate::support::balancer::sleep_unless_finished;
 use crate::support::exchange::{Connection, Exchange, Job, Request};
 use crate::support::unix_seconds;
 
-/// How long after a broken try a client sends again.
+/// Delay before a client retries a request.
 const RETRY_DELAY: Duration = Duration::from_millis(1_300);
-/// Most tries of a client.
+/// Maximum number of tries per request.
 const MAX_TRIES: u32 = 3;
-/// How long a client waits for an answer: longer than any stop, so that none is missed.
+/// Timeout of a client, longer than any stop, so that no answer is missed.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(12);
-/// What clients say of how long they wait; without it the entry takes four objectives.
+/// Deadlines that clients send; without one the entry uses its default.
 const DEADLINES: [Option<Duration>; 4] = [
     None,
     Some(Duration::from_millis(1_500)),
     Some(Duration::from_secs(8)),
     Some(Duration::from_secs(8)),
 ];
-/// What clients think that a task takes, and the most tasks of such a job.
+/// Estimated run times of a task, and the maximum number of tasks of such a job.
 const ESTIMATES: [(u64, u32); 3] = [(60, 8), (200, 4), (900, 3)];
-/// What a task takes, in parts of its estimate: one job in three takes much longer than its client
-/// thinks.
+/// Run time of a task relative to its estimate; some tasks far exceed it.
 const WORK_PER_ESTIMATE: [std::ops::Range<f64>; 3] = [0.5..1.5, 0.5..1.5, 3.0..4.0];
-/// Some clients send so many milliseconds after an answer that may be the last of a stop.
+/// Delay after an answer that may be the last one of a stop, in milliseconds.
 const AFTER_ANSWER_MS: std::ops::Range<u64> = 0..60;
-/// Time between changes of the configuration, in milliseconds.
+/// Time between changes of the configuration in milliseconds.
 const CHANGE_GAP_MS: std::ops::Range<u64> = 0..200;
 
-/// A client of a run.
+/// A client with its own random choices and at most one open connection.
 pub struct Client<'a> {
     test_run: &'a TestRun<'a>,
     number: u64,
     rng: ChaCha8Rng,
-    /// Requests so far.
+    /// Number of requests so far.
     requests: u64,
     connection: Option<Connection>,
-    /// It speaks to the keeper.
+    /// Whether the client is an operator, who talks to the keeper.
     is_operator: bool,
 }
 
@@ -53,7 +53,7 @@
         Self { test_run, number, rng, requests: 0, connection: None, is_operator: false }
     }
 
-    /// Sends one request after the other over a connection that it keeps.
+    /// Sends requests one after the other over a keep-alive connection.
     pub fn run_requests(mut self) {
         while !self.test_run.is_finished() {
             let request = self.request();
@@ -62,12 +62,12 @@
                 true => self.rng.random_range(1_000..4_000),
                 false => self.rng.random_range(0..300),
             };
-            sleep_unless_over(Duration::from_millis(pause_ms), &self.test_run.finished);
+            sleep_unless_finished(Duration::from_millis(pause_ms), &self.test_run.finished);
         }
     }
 
-    /// Connects, waits until the entry is told to stop, and sends into the stop: at any time of it, or
-    /// as it may be about to end.
+    /// Connects, waits until the entry is asked to stop, and sends a request during the stop or
+    /// right before its end.
     pub fn wait_for_stops(mut self) {
         while !self.test_run.is_finished() {
             self.connection = None;
@@ -80,8 +80,8 @@
             let min_elapsed =
                 Duration::from_millis(self.rng.random_range(0..GRACE.as_millis() as u64));
             let delay = Duration::from_millis(self.rng.random_range(AFTER_ANSWER_MS));
-            // At any time of a stop, or a moment after an answer: an entry that has closed its
-            // listener ends once it has given its last.
+            // Either any time during a stop, or shortly after an answer: an entry that has closed
+            // its listener exits after its last answer.
             let due = match self.rng.random_bool(0.5) {
                 true => {
                     self.wait_until(|stop_requested, _| stop_requested.elapsed() >= min_elapsed)
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Waits until it is so, by when the entry was told to stop and when it answered last; whether
-    /// the connection is still open.
+    /// Waits until a condition on the time of the stop request and the time of the last answer
+    /// holds; returns false if the connection is closed first.
     fn wait_until(&self, condition: impl Fn(Instant, Instant) -> bool) -> bool {
         while let Some(connection) = &self.connection {
             if connection.is_closed() || self.test_run.is_finished() {
@@ -116,7 +116,7 @@
         false
     }
 
-    /// Changes the configuration and reads it back, over a connection to the keeper that it keeps.
+    /// Changes the configuration and reads it back over a keep-alive connection to the keeper.
     pub fn run_operator(mut self) {
         self.is_operator = true;
         let mut version = FIRST_VERSION;
@@ -128,7 +128,7 @@
             }
             self.send(&Request::FetchConfiguration(acknowledged), 0);
             let gap = Duration::from_millis(self.rng.random_range(CHANGE_GAP_MS));
-            sleep_unless_over(gap, &self.test_run.finished);
+            sleep_unless_finished(gap, &self.test_run.finished);
         }
     }
 
@@ -136,19 +136,19 @@
         for attempt in 0..MAX_TRIES {
             let status = self.send(request, attempt);
             let is_answered = status.is_some_and(|status| status != 504);
-            if is_answered || !sleep_unless_over(RETRY_DELAY, &self.test_run.finished) {
+            if is_answered || !sleep_unless_finished(RETRY_DELAY, &self.test_run.finished) {
                 return;
             }
         }
     }
 
-    /// Sends a request once it is connected; returns the status of its answer.
+    /// Connects if necessary and sends a request; returns the status of the answer.
     fn send(&mut self, request: &Request, attempt: u32) -> Option<u16> {
         if !self.connect() {
             return None;
         }
-        let connection = self.connection.as_mut().expect("it is connected");
-        // Some bodies come a moment after their heads.
+        let connection = self.connection.as_mut().expect("the client is connected");
+        // Some bodies are sent a moment after their heads.
         let body_delay = self.rng.random_bool(0.1).then(|| self.rng.random_range(10..150));
         let body_delay = Duration::from_millis(body_delay.unwrap_or_default());
         let stop_requested = self
@@ -171,7 +171,7 @@
         if matches!(exchange, Exchange::Answered(_)) {
             *self.test_run.answered[self.test_run.index_of(entry)]
                 .lock()
-                .expect("nobody panicked with it") = ended_at;
+                .expect("the mutex is not poisoned") = ended_at;
         }
         let record = Record {
             request,
@@ -189,7 +189,8 @@
         status
     }
 
-    /// Keeps its connection, or has a new one from the balancer; false once the run is over.
+    /// Keeps the open connection or opens one to an entry chosen by the balancer; returns false
+    /// once the run has finished.
     fn connect(&mut self) -> bool {
         if self.connection.as_ref().is_some_and(|connection| !connection.is_closed()) {
             return true;
@@ -199,7 +200,7 @@
             if self.connection.is_some() {
                 return true;
             }
-            if !sleep_unless_over(POLL * 5, &self.test_run.finished) {
+            if !sleep_unless_finished(POLL * 5, &self.test_run.finished) {
                 return false;
             }
         }
@@ -227,13 +228,14 @@
     }
 
     fn job(&mut self, id: u64) -> Job {
-        let (estimated_ms, most) = *ESTIMATES.choose(&mut self.rng).expect("there are some");
-        let factor = WORK_PER_ESTIMATE.choose(&mut self.rng).expect("there are some").clone();
+        let (estimated_ms, most) = *ESTIMATES.choose(&mut self.rng).expect("the list is not empty");
+        let factor =
+            WORK_PER_ESTIMATE.choose(&mut self.rng).expect("the list is not empty").clone();
         let work_ms = (estimated_ms as f64 * self.rng.random_range(factor)) as u64;
-        // A few: a target whose tasks fail one after the other is left out.
+        // Rarely: targets with repeated failures are excluded from placement.
         let fails = estimated_ms < 900 && self.rng.random_bool(0.03);
         let count = if fails { 1 } else { self.rng.random_range(1..=most) };
-        let deadline = *DEADLINES.choose(&mut self.rng).expect("there are some");
+        let deadline = *DEADLINES.choose(&mut self.rng).expect("the list is not empty");
         Job { id, count, work_ms, estimated_ms, fails, deadline }
     }
 }
--- a/daemon/tests/stops/mod.rs
+++ b/daemon/tests/stops/mod.rs
@@ -1,4 +1,4 @@
-//! A run with planned stops: its clients, its processes, and what the clients recorded.
+//! State of a test run with planned stops, shared by its clients and processes.
 
 mod client;
 mod node;
@@ -15,24 +15,24 @@
 use crate::support::Fleet;
 use crate::support::balancer::Balancer;
 
-/// When the platform kills a process that it told to stop.
+/// Grace period after which the platform kills a stopping process.
 pub const GRACE: Duration = Duration::from_secs(6);
-/// How often the ends of processes are looked for.
+/// Interval at which processes and connections are checked.
 const POLL: Duration = Duration::from_millis(10);
-/// The version of the configuration that the fleet begins with.
+/// Version of the initial configuration.
 pub const FIRST_VERSION: u64 = 7;
 
-/// One run while it goes on.
+/// Shared state of a test run.
 pub struct TestRun<'a> {
     pub seed: u64,
     pub fleet: &'a Fleet,
-    /// What processes are told.
+    /// Actions applied to processes.
     pub actions: Actions,
     pub balancer: Balancer,
     pub finished: AtomicBool,
-    /// By entry, and the keeper after them: when it was told to stop, until it is back.
+    /// When each entry, and last the keeper, was asked to stop; `None` once it is back.
     pub stop_requested: Vec<Mutex<Option<Instant>>>,
-    /// In the same order: when it answered last.
+    /// When each entry, and last the keeper, last answered.
     pub answered: Vec<Mutex<Instant>>,
     pub records: Mutex<Vec<Record>>,
 }
@@ -52,15 +52,15 @@
     }
 
     pub fn stop_requested(&self, entry: Option<usize>) -> Option<Instant> {
-        *self.stop_requested[self.index_of(entry)].lock().expect("nobody panicked with it")
+        *self.stop_requested[self.index_of(entry)].lock().expect("the mutex is not poisoned")
     }
 
-    /// When an entry answered last.
+    /// When an entry, or the keeper, last answered.
     pub fn answered(&self, entry: Option<usize>) -> Instant {
-        *self.answered[self.index_of(entry)].lock().expect("nobody panicked with it")
+        *self.answered[self.index_of(entry)].lock().expect("the mutex is not poisoned")
     }
 
-    /// The place of an entry, or of the keeper, in lists.
+    /// Index of an entry, or of the keeper, in the per-process lists.
     pub fn index_of(&self, entry: Option<usize>) -> usize {
         entry.unwrap_or(self.fleet.entry_count())
     }
--- a/daemon/tests/stops/node.rs
+++ b/daemon/tests/stops/node.rs
@@ -1,4 +1,4 @@
-//! The processes of a run, which are told to stop and come back.
+//! The processes of a run, which are stopped, killed or reloaded and then restarted.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -10,14 +10,14 @@
 use super::{GRACE, POLL, TestRun};
 use crate::support::{Fleet, Process, unix_seconds};
 
-/// How long processes are told to stop; the last stops take a while longer.
+/// Time during which actions are applied; the last stops end later.
 const ACTIONS_TIME: Duration = Duration::from_secs(12);
-/// Time between two orders to processes, in milliseconds: stops of up to 6 s overlap.
+/// Time between two actions in milliseconds. It is shorter than a stop, so that stops overlap.
 const GAP_MS: std::ops::Range<u64> = 50..900;
-/// How long a process that ended is away, in milliseconds.
+/// Time between the exit of a process and its restart, in milliseconds.
 const DOWNTIME_MS: std::ops::Range<u64> = 0..800;
 
-/// What is done to a process from outside.
+/// An action applied to a process.
 #[derive(Clone, Copy)]
 pub enum Action {
     Stop,
@@ -25,19 +25,19 @@
     Reload,
 }
 
-/// What is done from outside, by role; each as often as it stands there.
+/// Actions by role, each as likely as it is listed.
 pub type Actions = &'static [(&'static str, Action)];
 
-/// A process that is told to stop and comes back.
+/// A process that actions are applied to.
 pub struct Node {
     name: String,
-    /// Which entry it is.
+    /// Number of the entry; `None` for other roles.
     entry: Option<usize>,
     process: Option<Process>,
     stop_requested: Option<Instant>,
-    /// How long it is away once it ends,
+    /// Time from the exit of the process to its restart.
     downtime: Duration,
-    /// and since when it is.
+    /// When the process was last seen to have exited.
     down_since: Instant,
 }
 
@@ -49,14 +49,14 @@
         Self { name, entry, process, stop_requested: None, downtime: Duration::ZERO, down_since }
     }
 
-    /// Whether it listens for signals and was not told to stop.
+    /// Whether the process handles signals and has not been asked to stop.
     fn accepts_actions(&self) -> bool {
         self.stop_requested.is_none() && self.process.as_ref().is_some_and(Process::has_started)
     }
 
     fn request_stop(&mut self, test_run: &TestRun) {
         let Some(process) = &self.process else { return };
-        println!("{:.3}: {} is told to stop", unix_seconds(), self.name);
+        println!("{:.3}: {} is asked to stop", unix_seconds(), self.name);
         self.stop_requested = Some(Instant::now());
         self.publish_stop(test_run);
         process.signal("TERM");
@@ -69,14 +69,14 @@
 
     fn reload(&self, fleet: &Fleet) {
         let Some(process) = &self.process else { return };
-        println!("{:.3}: {} is told of a changed file", unix_seconds(), self.name);
+        println!("{:.3}: {} is asked to reload its file", unix_seconds(), self.name);
         if self.name != KEEPER {
             fleet.toggle_absent_keeper(&self.name);
         }
         process.signal("HUP");
     }
 
-    /// Looks whether it has ended as it was told, and brings it back in time; returns what is wrong.
+    /// Checks whether the process has exited, and restarts it when due. Returns what went wrong.
     fn poll(&mut self, test_run: &TestRun) -> Option<String> {
         let Some(process) = &mut self.process else {
             if self.down_since.elapsed() >= self.downtime {
@@ -86,19 +86,19 @@
         };
         let problem = match (process.is_running(), self.stop_requested) {
             (true, Some(stop_requested)) if stop_requested.elapsed() > GRACE => {
-                Some("was not gone within the grace")
+                Some("did not exit within the grace period")
             }
             (true, _) => return None,
-            (false, None) => Some("ended by itself"),
-            (false, Some(_)) if !process.wait() => Some("ended with a failure"),
+            (false, None) => Some("exited without being asked to stop"),
+            (false, Some(_)) if !process.wait() => Some("exited with a failure"),
             (false, Some(_)) => None,
         };
-        println!("{:.3}: {} is gone", unix_seconds(), self.name);
+        println!("{:.3}: {} has exited", unix_seconds(), self.name);
         self.mark_down(test_run);
         problem.map(|problem| format!("{} {problem}", self.name))
     }
 
-    /// Its process, if it is not gone yet, is killed; it is away from now on.
+    /// Kills the process if it still runs, and records that it is down.
     fn mark_down(&mut self, test_run: &TestRun) {
         self.process = None;
         self.stop_requested = None;
@@ -106,21 +106,21 @@
         self.publish_stop(test_run);
     }
 
-    /// Lets clients know whether it was told to stop.
+    /// Publishes to clients when the process was asked to stop.
     fn publish_stop(&self, test_run: &TestRun) {
         if self.entry.is_some() || self.name == KEEPER {
             let index = test_run.index_of(self.entry);
-            *test_run.stop_requested[index].lock().expect("nobody panicked with it") =
+            *test_run.stop_requested[index].lock().expect("the mutex is not poisoned") =
                 self.stop_requested;
         }
     }
 }
 
-/// The name of the keeper's process.
+/// Name of the keeper process.
 pub const KEEPER: &str = "keeper";
 
-/// Tells processes to stop, one after the other and before the last has ended, and brings each back;
-/// returns once all are back, with what was wrong.
+/// Applies actions to processes without waiting for earlier ones to end, and restarts each process.
+/// Returns the faults found once all processes are back.
 pub fn run_actions(test_run: &TestRun, nodes: &mut [Node]) -> Vec<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(test_run.seed);
     let started = Instant::now();
@@ -140,9 +140,9 @@
     }
 }
 
-/// Tells one process something; the roles are told to stop about as often as there are few of them.
+/// Applies a random action to a random process of its role.
 fn apply_random_action(test_run: &TestRun, nodes: &mut [Node], rng: &mut ChaCha8Rng) {
-    let (role, action) = *test_run.actions.choose(rng).expect("there are some");
+    let (role, action) = *test_run.actions.choose(rng).expect("the list is not empty");
     let downtime = Duration::from_millis(rng.random_range(DOWNTIME_MS));
     let of_role = |node: &&mut Node| node.name.starts_with(role) && node.accepts_actions();
     let mut nodes: Vec<&mut Node> = nodes.iter_mut().filter(of_role).collect();
--- a/daemon/tests/stops/record.rs
+++ b/daemon/tests/stops/record.rs
@@ -1,4 +1,4 @@
-//! What clients recorded of their requests, held against what was promised.
+//! Records of requests, and checks of their outcomes.
 
 use std::time::{Duration, Instant};
 
@@ -6,30 +6,30 @@
 use crate::support::checks::ObservedRuns;
 use crate::support::exchange::{self, Exchange, Request};
 
-/// A connection that is used first within this time of its opening did not lie idle.
+/// A connection first used within this time after it was opened was never idle.
 const IDLE_AFTER: Duration = Duration::from_millis(500);
 
-/// One try of a request.
+/// One try of a request: where and when it was sent, and its outcome.
 pub struct Record {
     pub request: Request,
-    /// The first is 0.
+    /// Number of the try, from 0.
     pub attempt: u32,
-    /// None where it went to a keeper.
+    /// Number of the entry; `None` for a keeper.
     pub entry: Option<usize>,
-    /// The time as the logs show it.
+    /// Wall-clock time of sending, as in the process logs.
     pub unix_seconds: f64,
     pub sent: Instant,
     pub ended_at: Instant,
-    /// How long the connection had been open.
+    /// Age of the connection when the request was sent.
     pub age: Duration,
-    /// Requests that were answered over the connection before.
+    /// Requests answered over the connection before.
     pub answered: u32,
-    /// How long before the entry or keeper had been told to stop.
+    /// Time since the entry or keeper was asked to stop, if it was.
     pub stop_requested: Option<Duration>,
     pub exchange: Exchange,
 }
 
-/// Prints how many tries came to what.
+/// Prints the number of tries by outcome.
 pub fn print_summary(records: &[Record]) {
     let (requests, operator_calls): (Vec<&Record>, Vec<&Record>) =
         records.iter().partition(|record| record.entry.is_some());
@@ -45,7 +45,7 @@
         [200, 503, 504].map(|status| count(&|record| record.is_answered(status)));
     println!(
         "{} tries, {in_stops} in stops, {late} of them late: {served} with 200, {refused} with 503, \
-         {open} with 504, {unread} unread on a connection that was closed, {not_sent} not sent whole",
+         {open} with 504, {unread} reset unread, {not_sent} not sent completely",
         requests.len()
     );
     let unread =
@@ -58,7 +58,7 @@
         matches!(&self.exchange, Exchange::Answered(answer) if answer.status == status)
     }
 
-    /// What of it is not as promised.
+    /// Returns the fault of a wrong or missing answer.
     pub fn fault(&self, observed_runs: &ObservedRuns) -> Option<String> {
         let problem = match &self.exchange {
             Exchange::Answered(answer) => {
@@ -68,30 +68,32 @@
             }
             Exchange::NotSent => return None,
             Exchange::ResetUnread => self.reset_fault(observed_runs)?,
-            Exchange::Truncated(0) => "read, and no answer".to_owned(),
-            Exchange::Truncated(bytes) => format!("read, and only {bytes} bytes of an answer"),
-            Exchange::TimedOut(bytes) => format!("no end of the answer, {bytes} bytes of it"),
+            Exchange::Truncated(0) => "request read, but no answer sent".to_owned(),
+            Exchange::Truncated(bytes) => {
+                format!("request read, but only {bytes} bytes of an answer sent")
+            }
+            Exchange::TimedOut(bytes) => format!("timed out after {bytes} bytes of an answer"),
         };
         Some(format!("{problem}: {self}"))
     }
 
-    /// What was refused at the first try never runs: the client does not send it again.
+    /// A job refused at its first try must never run, as the client does not retry it.
     fn ran_despite_refusal(&self, observed_runs: &ObservedRuns) -> Option<String> {
         let Request::Job(job) = &self.request else { return None };
         let starts = observed_runs.starts_of(&job.name());
         let refused = self.attempt == 0 && self.is_answered(503);
-        (refused && starts > 0).then(|| format!("said not to have run, with {starts} starts"))
+        (refused && starts > 0).then(|| format!("refused, but {starts} task runs were started"))
     }
 
-    /// The process may close an idle connection while a request is on its way to it.
+    /// A process may close an idle connection while a request is in transit.
     fn reset_fault(&self, observed_runs: &ObservedRuns) -> Option<String> {
         if self.answered == 0 && self.age < IDLE_AFTER {
-            return Some("a connection was taken and never read".to_owned());
+            return Some("a new connection was accepted but never read".to_owned());
         }
         let Request::Job(job) = &self.request else { return None };
         let starts = observed_runs.starts_by(&job.name(), self.ended_at);
         let has_run = self.attempt == 0 && starts > 0;
-        has_run.then(|| format!("unread, with {starts} starts"))
+        has_run.then(|| format!("reset unread, but {starts} task runs were started"))
     }
 }
 
@@ -104,8 +106,8 @@
         }
         write!(f, ", try {}", self.attempt + 1)?;
         match self.stop_requested {
-            Some(stop_requested) => write!(f, ", {stop_requested:.3?} after it was told to stop")?,
-            None => write!(f, ", not told to stop")?,
+            Some(stop_requested) => write!(f, ", {stop_requested:.3?} after the stop request")?,
+            None => write!(f, ", no stop requested")?,
         }
         write!(f, ", took {took:.3?}, connection {:.3?} old", self.age)?;
         write!(f, " with {} answers: ", self.answered)?;
--- a/daemon/tests/support/balancer.rs
+++ b/daemon/tests/support/balancer.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's balancer: it asks each entry whether it is ready, and gives new
-//! connections only to those that are.
+//! A fake load balancer: it probes the readiness of each entry and assigns new connections to ready
+//! entries only.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -8,43 +8,43 @@
 
 use super::{Fleet, call};
 
-/// How often each entry is asked; the platform's pages say each second.
+/// Interval between readiness probes, as on the platform.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// An entry that misses so many questions in a row gets no new connections, as those pages say.
+/// Consecutive failed probes after which an entry gets no new connections, as on the platform.
 const MAX_MISSES: u32 = 2;
-/// An entry that has not answered by then has missed.
+/// Timeout of a readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often the end of the run is looked for.
+/// Interval at which the end of the run is checked.
 const POLL: Duration = Duration::from_millis(10);
 
-/// What the balancer knows of the entries of a fleet.
+/// Readiness of the entries of a fleet.
 pub struct Balancer {
-    /// By entry: where it is asked, and how many questions in a row it has missed.
+    /// Readiness address and consecutive failed probes by entry.
     entries: Vec<(SocketAddr, AtomicU32)>,
 }
 
 impl Balancer {
-    /// A balancer that takes all entries for ready until it has asked.
+    /// Creates a balancer that treats all entries as ready until the first probes.
     pub fn new(fleet: &Fleet) -> Self {
         let unprobed = |number| (fleet.readiness_address(number), AtomicU32::new(0));
         Self { entries: (0..fleet.entry_count()).map(unprobed).collect() }
     }
 
-    /// Asks one entry until the run is over.
-    pub fn probe_until_over(&self, entry: usize, over: &AtomicBool) {
+    /// Probes one entry until the run has finished.
+    pub fn probe_until_finished(&self, entry: usize, finished: &AtomicBool) {
         let (address, misses) = &self.entries[entry];
-        while !over.load(Ordering::Relaxed) {
+        while !finished.load(Ordering::Relaxed) {
             let answer = call(*address, "GET", "/readiness", "", PROBE_TIMEOUT);
             if answer.is_some_and(|answer| answer.status == 200) {
                 misses.store(0, Ordering::Relaxed);
             } else {
                 misses.fetch_add(1, Ordering::Relaxed);
             }
-            sleep_unless_over(PROBE_INTERVAL, over);
+            sleep_unless_finished(PROBE_INTERVAL, finished);
         }
     }
 
-    /// The entry that a new connection goes to, by a hash of its client; none while none is ready.
+    /// Picks a ready entry by a hash of the client; `None` if no entry is ready.
     pub fn entry_for(&self, hash: u64) -> Option<usize> {
         let is_ready = |entry: &usize| self.entries[*entry].1.load(Ordering::Relaxed) < MAX_MISSES;
         let ready: Vec<usize> = (0..self.entries.len()).filter(is_ready).collect();
@@ -55,13 +55,13 @@
     }
 }
 
-/// Waits a time, or until the run is over; whether it goes on.
-pub fn sleep_unless_over(time: Duration, over: &AtomicBool) -> bool {
+/// Sleeps until the time has passed or the run has finished; returns whether the run goes on.
+pub fn sleep_unless_finished(time: Duration, finished: &AtomicBool) -> bool {
     let mut left = time;
-    while !over.load(Ordering::Relaxed) && !left.is_zero() {
+    while !finished.load(Ordering::Relaxed) && !left.is_zero() {
         let step = left.min(POLL);
         thread::sleep(step);
         left -= step;
     }
-    !over.load(Ordering::Relaxed)
+    !finished.load(Ordering::Relaxed)
 }
--- a/daemon/tests/support/checks.rs
+++ b/daemon/tests/support/checks.rs
@@ -1,4 +1,4 @@
-//! What targets saw, held against what callers were told.
+//! Checks of task runs that the fake targets observed.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -6,17 +6,17 @@
 use super::FakeTarget;
 use super::fake_target::TaskRun;
 
-/// The runs that targets saw, by job.
+/// Observed task runs by job.
 pub struct ObservedRuns {
     runs: BTreeMap<String, Vec<TaskRun>>,
 }
 
 impl ObservedRuns {
-    /// What these targets have seen so far.
+    /// Collects the runs observed so far.
     pub fn of(targets: &[FakeTarget]) -> Self {
         let mut runs: BTreeMap<String, Vec<TaskRun>> = BTreeMap::new();
         for target in targets {
-            let observed = target.observed.lock().expect("nobody panicked with it");
+            let observed = target.observed.lock().expect("the mutex is not poisoned");
             for run in &observed.runs {
                 runs.entry(job_of(&run.task).to_owned()).or_default().push(run.clone());
             }
@@ -28,27 +28,27 @@
         self.runs.get(job).map_or(&[], Vec::as_slice)
     }
 
-    /// How many runs of a job began.
+    /// Number of runs of a job that started.
     pub fn starts_of(&self, job: &str) -> usize {
         self.runs_of(job).len()
     }
 
-    /// How many runs of a job began by a time.
+    /// Number of runs of a job that started by a time.
     pub fn starts_by(&self, job: &str, time: Instant) -> usize {
         self.runs_of(job).iter().filter(|run| run.started <= time).count()
     }
 
-    /// Tasks of a job of which a run was done by a time.
+    /// Number of tasks of a job that had completed by a time.
     pub fn done_by(&self, job: &str, time: Instant) -> usize {
         self.outcomes_by(job, "done", time).len()
     }
 
-    /// Most runs of one task of a job that failed by a time.
+    /// Largest number of failed runs of a single task of a job by a time.
     pub fn failures_by(&self, job: &str, time: Instant) -> usize {
         self.outcomes_by(job, "failed", time).into_values().max().unwrap_or_default()
     }
 
-    /// How many runs of each task of a job ended in a way by a time.
+    /// Number of runs per task of a job that ended with an outcome by a time.
     fn outcomes_by(&self, job: &str, outcome: &str, time: Instant) -> BTreeMap<&str, usize> {
         let mut ends = BTreeMap::new();
         for run in self.runs_of(job) {
@@ -60,17 +60,17 @@
     }
 }
 
-/// The job of a task, by its name.
+/// Job identifier in a task name.
 fn job_of(task: &str) -> &str {
     task.split('.').next().unwrap_or_default()
 }
 
-/// Tasks of which two runs went on at once, at any targets.
+/// Returns tasks with two runs at the same time, on any targets.
 pub fn overlapping_runs(targets: &[FakeTarget]) -> Vec<String> {
     let mut intervals: BTreeMap<String, Vec<(Instant, Instant)>> = BTreeMap::new();
     let now = Instant::now();
     for target in targets {
-        let observed = target.observed.lock().expect("nobody panicked with it");
+        let observed = target.observed.lock().expect("the mutex is not poisoned");
         for TaskRun { task, started, ended } in &observed.runs {
             let ended = ended.map_or(now, |(at, _)| at);
             intervals.entry(task.clone()).or_default().push((*started, ended));
--- a/daemon/tests/support/exchange.rs
+++ b/daemon/tests/support/exchange.rs
@@ -1,5 +1,5 @@
-//! Clients that keep their connections: what a request came to, as the client saw it on its socket,
-//! and whether that is true.
+//! Clients with keep-alive connections, and checks of the answers against what the targets
+//! observed.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,58 +12,58 @@
 use super::fake_target::FAILS_PREFIX;
 use super::{Answer, document};
 
-/// How long a client waits to be connected.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most bytes read at once.
+/// Size of the read buffer.
 const READ_CHUNK: usize = 16 * 1024;
-/// Names how long the client waits for the answer.
+/// Request header with the client's deadline.
 const DEADLINE_HEADER: &str = "X-Dockpass-Deadline-Milliseconds";
-/// Most attempts of a task in the fleet's configuration.
+/// Attempts of a task in the fleet's configuration.
 const MAX_ATTEMPTS: usize = 2;
 
-/// A request.
+/// A request of a client or an operator.
 #[derive(Clone, Debug)]
 pub enum Request {
-    /// A job of equal tasks.
+    /// Submission of a job.
     Job(Job),
-    /// For the state of a job that nobody handed in.
+    /// Query for the state of a job that was never submitted.
     JobState(u64),
-    /// For how many jobs wait.
+    /// Query for the number of waiting jobs.
     WaitingCount,
-    /// For a queue that there is not.
+    /// Job for a route that does not exist.
     UnknownRoute,
-    /// A job that can't be read.
+    /// Job with a malformed body.
     MalformedJob(u64),
-    /// Of an operator, for a configuration of this version.
+    /// An operator sets a configuration with this version.
     ReplaceConfiguration(u64),
-    /// Of an operator, for the configuration in force; this version was acknowledged before.
+    /// An operator reads the configuration, which must have this version or a later one.
     FetchConfiguration(u64),
 }
 
-/// A job of equal tasks.
+/// A job of equal tasks, as submitted by a client.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     pub id: u64,
     pub count: u32,
-    /// How long each task takes.
+    /// Run time of each task.
     pub work_ms: u64,
-    /// How long its client thinks that each task takes.
+    /// Run time that the client estimates for each task.
     pub estimated_ms: u64,
-    /// Each task fails at its end.
+    /// Whether each task fails at its end.
     pub fails: bool,
-    /// How long the client says that it waits.
+    /// Deadline that the client sends, if any.
     pub deadline: Option<Duration>,
 }
 
 impl Job {
-    /// Its name, as the path and tasks show it.
+    /// Job identifier as used in paths and task names.
     pub fn name(&self) -> String {
         format!("{:016x}", self.id)
     }
 }
 
 impl Request {
-    /// The head and the body, as sent over a kept connection.
+    /// Returns the head and the body of the HTTP request.
     fn serialize(&self) -> (String, String) {
         let (method, path, body) = match self {
             Self::Job(job) => ("POST", format!("/q/{}", job.name()), job_document(job)),
@@ -101,54 +101,53 @@
     .to_string()
 }
 
-/// What a request came to.
+/// Outcome of a request as seen on the client's socket.
 #[derive(Debug)]
 pub enum Exchange {
-    /// A whole answer.
+    /// A complete answer.
     Answered(Answer),
-    /// The connection had ended before the request was sent whole.
+    /// The connection was closed before the request was sent completely.
     NotSent,
-    /// The connection was reset without a byte of an answer: the process closed it and had not read
-    /// the request. Its kernel says so: what is closed with all bytes read ends without a reset.
+    /// The connection was reset before any byte of an answer: the process closed it with unread
+    /// data. Closing a connection after reading all data causes no reset.
     ResetUnread,
-    /// The connection ended after the process had read the request, with so many bytes of an answer.
+    /// The connection was closed after the request was read, with this many bytes of an answer.
     Truncated(usize),
-    /// No whole answer came in the client's time; so many bytes of one did.
+    /// No complete answer arrived in time, only this many bytes.
     TimedOut(usize),
 }
 
-/// A connection that is used until either side ends it.
+/// A connection that is reused until either side closes it.
 pub struct Connection {
     stream: TcpStream,
-    /// Which entry it leads to; none where it is a keeper.
+    /// Number of the entry; `None` for a keeper.
     pub entry: Option<usize>,
     pub opened: Instant,
-    /// Requests that were answered over it.
+    /// Number of requests answered so far.
     pub answered: u32,
 }
 
 impl Connection {
-    /// Connects to an entry, or to a keeper.
+    /// Connects to an entry or a keeper; `None` if that fails.
     pub fn open(entry: Option<usize>, to: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(Self { stream, entry, opened: Instant::now(), answered: 0 })
     }
 
-    /// Whether the other side has ended it, with all that it sent before read.
+    /// Whether the peer has closed the connection and everything it sent has been read.
     pub fn is_closed(&self) -> bool {
         let mut byte = [0];
-        self.stream.set_nonblocking(true).expect("a socket");
+        self.stream.set_nonblocking(true).expect("the socket accepts the option");
         let peeked = self.stream.peek(&mut byte);
-        self.stream.set_nonblocking(false).expect("a socket");
+        self.stream.set_nonblocking(false).expect("the socket accepts the option");
         match peeked {
             Ok(bytes) => bytes == 0,
             Err(error) => error.kind() != ErrorKind::WouldBlock,
         }
     }
 
-    /// Sends a request, with a pause before its body if there is one, and waits so long for the whole
-    /// answer.
+    /// Sends a request, pausing before its body, and waits for the complete answer.
     pub fn exchange(&mut self, request: &Request, pause: Duration, time: Duration) -> Exchange {
         let (head, body) = request.serialize();
         if !self.send(&head, &body, pause) {
@@ -165,7 +164,7 @@
             return false;
         }
         thread::sleep(pause);
-        // The answer may come before the body; it counts all the same.
+        // An early answer also counts as the answer of the request.
         !self.is_closed() && self.stream.write_all(body.as_bytes()).is_ok()
     }
 
@@ -182,7 +181,7 @@
             if left.is_zero() {
                 return Exchange::TimedOut(bytes.len());
             }
-            self.stream.set_read_timeout(Some(left)).expect("a time above zero");
+            self.stream.set_read_timeout(Some(left)).expect("the timeout is not zero");
             match self.stream.read(&mut chunk) {
                 Ok(0) => return self.connection_end(bytes.len(), false),
                 Ok(read) => bytes.extend_from_slice(&chunk[..read]),
@@ -194,8 +193,8 @@
         }
     }
 
-    /// The connection ended after so many bytes, by a reset or not. One that was closed before the
-    /// request came shows its end first, and the reset behind it.
+    /// Classifies a closed connection. A connection that was closed before the request arrived
+    /// reports the end of the stream first and the reset afterwards.
     fn connection_end(&self, bytes: usize, reset: bool) -> Exchange {
         let reset = reset || self.stream.take_error().is_ok_and(|error| error.is_some());
         match (bytes, reset) {
@@ -205,45 +204,45 @@
     }
 }
 
-/// An answer whose body is as long as its head says; none before it is whole.
+/// Parses an answer once its body has the announced length; `None` before that.
 fn parse_answer(bytes: &[u8]) -> Option<Answer> {
-    let text = std::str::from_utf8(bytes).expect("answers are text");
+    let text = std::str::from_utf8(bytes).expect("the answer is UTF-8");
     let (head, body) = text.split_once("\r\n\r\n")?;
     let head = head.to_lowercase();
-    let status = head.split_whitespace().nth(1)?.parse().expect("a status");
-    let length = header(&head, "content-length").expect("answers say how long they are");
-    let length: usize = length.parse().expect("a number");
-    assert!(body.len() <= length, "more than one answer: {text}");
+    let status = head.split_whitespace().nth(1)?.parse().expect("the answer has a status");
+    let length = header(&head, "content-length").expect("the answer has a content length");
+    let length: usize = length.parse().expect("the value is a number");
+    assert!(body.len() <= length, "the body is longer than announced: {text}");
     (body.len() == length).then(|| Answer { status, head: head.clone(), body: body.to_owned() })
 }
 
-/// A header of an answer's head, which is in lower case.
+/// Finds a header in a lower-case head.
 fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().filter_map(|line| line.split_once(':'));
     lines.find(|(key, _)| *key == name).map(|(_, value)| value.trim())
 }
 
 impl Answer {
-    /// Whether it says that the connection ends with it.
+    /// Whether the answer announces the end of the connection.
     pub fn closes(&self) -> bool {
         header(&self.head, "connection").is_some_and(|value| value.contains("close"))
     }
 
-    /// Whether it says when to come back.
+    /// Whether the answer has a valid `Retry-After` header.
     pub fn has_retry_after(&self) -> bool {
         let after = header(&self.head, "retry-after");
         after.is_some_and(|text| text.parse::<u32>().is_ok_and(|seconds| seconds >= 1))
     }
 }
 
-/// The version of the configuration that an answer shows.
+/// Version of the configuration in an answer.
 fn version(answer: &Answer) -> Option<u64> {
     let document: serde_json::Value = serde_json::from_str(&answer.body).ok()?;
     document["version"].as_u64().filter(|_| answer.status == 200)
 }
 
-/// Why an answer that came at a time can't be the true one of a request, if so. Answers name no job:
-/// that one belongs to its request shows in what it says of the job's own tasks.
+/// Checks an answer against what the targets had observed at that time; returns the reason if it is
+/// wrong. Answers carry no job id, so a mix-up shows in the state of the job's tasks.
 pub fn find_fault(
     request: &Request,
     answer: &Answer,
@@ -287,5 +286,5 @@
             version(answer).is_some_and(|version| version >= *acknowledged)
         }
     };
-    (!is_valid).then(|| "it can't be the answer to this".to_owned())
+    (!is_valid).then(|| "the answer does not match the request".to_owned())
 }
--- a/daemon/tests/support/fake_target.rs
+++ b/daemon/tests/support/fake_target.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a target: it takes orders over HTTP, runs tasks for as long as their spec says,
-//! and reports of itself to its agent. It can crash and begin a new life at the same address, and a
-//! heartbeat of an earlier life can arrive late.
+//! A fake target: it accepts commands over HTTP, runs tasks for the time in their spec, and sends
+//! heartbeats to its agent. It can crash and restart as a new instance at the same address, and
+//! replay a late heartbeat of an earlier instance.
 //!
-//! A spec is the time that a task takes in milliseconds; with `FAILS` before it, the task fails then.
+//! A spec is the run time in milliseconds; with the prefix `FAILS_PREFIX` the task then fails.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,49 +20,50 @@
 
 use super::call;
 
-/// How often it reports of itself.
+/// Interval between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a hold that waits looks for an end.
+/// Interval at which a waiting hold checks for ended runs.
 const POLL: Duration = Duration::from_millis(5);
 const CPU_MILLI: u64 = 8_000;
-/// Comes before the time of a task that fails.
+/// Spec prefix of a task that fails.
 pub const FAILS_PREFIX: &str = "fails ";
-/// A target that got no processor for so long may have left an order unanswered: an agent waits 40 ms.
+/// A poll that is delayed by more than this may have left a command unanswered within the agent's
+/// timeout.
 const STALL: Duration = Duration::from_millis(25);
-/// Names the life that an order is for.
+/// Request header with the instance that a command is for.
 const EXPECTED_INSTANCE_HEADER: &str = "x-dockpass-expected-instance";
-/// The answer to an order for another life.
+/// Status of the answer to a command for another instance.
 const MISDIRECTED: u16 = 421;
-/// How long a report may take.
+/// Timeout of a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One run of a task.
+/// One run of a task as observed by a target.
 #[derive(Clone, Debug)]
 pub struct TaskRun {
     pub task: String,
     pub started: Instant,
-    /// When it ended, and how.
+    /// Time and outcome of the end.
     pub ended: Option<(Instant, &'static str)>,
 }
 
-/// What a stand-in saw, over all its lives.
+/// Observations of a target over all its instances.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// Starts by task.
+    /// Number of starts by task.
     pub starts: BTreeMap<String, u32>,
     /// Most tasks that ran at the same time.
     pub max_running: usize,
-    /// The runs, in the order of their starts.
+    /// The runs in the order of their starts.
     pub runs: Vec<TaskRun>,
-    /// When orders came for a life that is over, and for which.
+    /// Commands for earlier instances: time of arrival and instance.
     pub misdirected: Vec<(Instant, String)>,
-    /// When its present life was first acknowledged by its agent.
+    /// When the agent first acknowledged a heartbeat of the present instance.
     pub acknowledged: Option<Instant>,
-    /// When the host last held it up for so long that agents take its orders for unanswered.
+    /// When the host last stalled this process long enough for commands to time out.
     pub stalled_at: Option<Instant>,
 }
 
-/// A running stand-in; it ends when dropped.
+/// A running fake target; stops when dropped.
 pub struct FakeTarget {
     pub observed: Arc<Mutex<Observations>>,
     address: SocketAddr,
@@ -76,7 +77,7 @@
 struct ActiveRun {
     number: u64,
     ends_at: Instant,
-    /// How it ends, unless something else ends it before.
+    /// Outcome unless the run is ended earlier.
     outcome: &'static str,
     leased_until: Instant,
 }
@@ -91,12 +92,12 @@
 }
 
 impl FakeTarget {
-    /// Starts a target that reports to its agent.
+    /// Starts a target that sends heartbeats to its agent.
     pub fn start(address: SocketAddr, agent: SocketAddr, id: &str) -> Self {
         Self::start_in(address, agent, id, "hall")
     }
 
-    /// Starts a target in a data hall.
+    /// Starts a target in a given data hall.
     pub fn start_in(address: SocketAddr, agent: SocketAddr, id: &str, hall: &'static str) -> Self {
         let observed = Arc::new(Mutex::new(Observations::default()));
         let mut target = Self {
@@ -112,11 +113,11 @@
         target
     }
 
-    /// Begins a life.
+    /// Starts the server and the heartbeats of a new instance.
     fn start_instance(&mut self, id: &str) {
         let (stop, stopped) = async_channel::bounded::<()>(1);
         self.started = Instant::now();
-        self.observed.lock().expect("nobody panicked with it").acknowledged = None;
+        self.observed.lock().expect("the mutex is not poisoned").acknowledged = None;
         let (address, started) = (self.address, self.started);
         let instance = Instance { id: id.to_owned(), started, observed: self.observed.clone() };
         let server_stopped = stopped.clone();
@@ -125,9 +126,9 @@
         let (observed, id) = (self.observed.clone(), id.to_owned());
         let heartbeats = std::thread::spawn(move || {
             while !stopped.is_closed() {
-                // An agent that is down hears of it later.
+                // The agent may be down; the next heartbeat retries.
                 if send_heartbeat(agent, hall, &id, clock_ms(started)) {
-                    let mut observed = observed.lock().expect("nobody panicked with it");
+                    let mut observed = observed.lock().expect("the mutex is not poisoned");
                     observed.acknowledged.get_or_insert_with(Instant::now);
                 }
                 std::thread::sleep(HEARTBEAT_INTERVAL);
@@ -137,8 +138,8 @@
         self.threads = vec![serve, heartbeats];
     }
 
-    /// Crashes, and begins a new life at the same address; nothing of the old one runs on. Returns
-    /// the clock of the life that is over.
+    /// Crashes and restarts as a new instance at the same address, ending all runs. Returns the
+    /// clock of the previous instance.
     pub fn restart(&mut self, id: &str) -> u64 {
         let clock_ms = clock_ms(self.started);
         self.shut_down();
@@ -146,7 +147,7 @@
         clock_ms
     }
 
-    /// A heartbeat of an earlier life arrives now; returns whether it was acknowledged.
+    /// Sends a heartbeat of an earlier instance; returns whether the agent acknowledged it.
     pub fn send_late_heartbeat(&self, id: &str, clock_ms: u64) -> bool {
         send_heartbeat(self.agent, self.hall, id, clock_ms)
     }
@@ -154,7 +155,7 @@
     fn shut_down(&mut self) {
         self.stop.take();
         for thread in self.threads.drain(..) {
-            // One that panicked has failed its test already.
+            // A panic in the thread has already failed the test.
             let _ = thread.join();
         }
     }
@@ -166,19 +167,19 @@
     }
 }
 
-/// One life of a target.
+/// An instance of a target.
 struct Instance {
     id: String,
     started: Instant,
     observed: Arc<Mutex<Observations>>,
 }
 
-/// The clock of a life that began then.
+/// Clock of an instance that started at the given time.
 fn clock_ms(started: Instant) -> u64 {
     1_000 + started.elapsed().as_millis() as u64
 }
 
-/// Reports of a life to an agent; returns whether it was acknowledged.
+/// Sends a heartbeat to an agent; returns whether it was acknowledged.
 fn send_heartbeat(agent: SocketAddr, hall: &str, id: &str, clock_ms: u64) -> bool {
     let body = json!({"service": "work", "zone": hall, "state": "ready", "labels": ["a"],
         "capacity": {"cpu": CPU_MILLI, "mem_mb": 32_768, "gpu": 0},
@@ -213,7 +214,7 @@
         };
         tasks.spawn(net::serve(listener, tasks.clone(), move || limits, handler));
         tasks.spawn(async move {
-            // Runs end and leases run out whether or not anyone asks.
+            // End due runs and expired leases even without incoming commands.
             loop {
                 let polled_at = Instant::now();
                 polled_state.borrow_mut().end_due_runs();
@@ -221,7 +222,7 @@
                 polled_state.borrow().note_stall(polled_at);
             }
         });
-        // Ends when the handle is dropped.
+        // Returns when the sender is dropped.
         let _ = stopped.recv().await;
         crashed_state.borrow_mut().crash();
     });
@@ -255,7 +256,7 @@
 async fn hold(state: &Rc<RefCell<State>>, command: &Value) -> Response<Body> {
     let number = |name: &str| command[name].as_u64().unwrap_or_default();
     let until = Instant::now() + Duration::from_millis(number("wait_ms"));
-    // A lease that has run out can't be renewed.
+    // An expired lease cannot be renewed.
     state.borrow_mut().end_due_runs();
     state.borrow_mut().renew_leases(number("deadline_ms"));
     let last_seen = number("last_seen");
@@ -270,10 +271,10 @@
 }
 
 impl State {
-    /// Takes note of a long time between two looks.
+    /// Records a stall if the last poll was too long ago.
     fn note_stall(&self, polled_at: Instant) {
         if polled_at.elapsed() > POLL + STALL {
-            let mut observed = self.instance.observed.lock().expect("nobody panicked with it");
+            let mut observed = self.instance.observed.lock().expect("the mutex is not poisoned");
             observed.stalled_at = Some(Instant::now());
         }
     }
@@ -283,16 +284,16 @@
     }
 
     fn observed(&self) -> MutexGuard<'_, Observations> {
-        self.instance.observed.lock().expect("nobody panicked with it")
+        self.instance.observed.lock().expect("the mutex is not poisoned")
     }
 
-    /// An order for another life changes nothing.
+    /// Rejects a command for another instance without executing it.
     fn misdirected_response(&self, id: &str) -> Response<Body> {
         self.observed().misdirected.push((Instant::now(), id.to_owned()));
         respond(MISDIRECTED, &json!({"clock_ms": self.clock_ms()}))
     }
 
-    /// All that runs ends with its life.
+    /// Ends all runs as crashed.
     fn crash(&mut self) {
         self.end_due_runs();
         let tasks: Vec<String> = self.runs.keys().cloned().collect();
@@ -396,6 +397,6 @@
 
 fn respond(status: u16, body: &Value) -> Response<Body> {
     let mut response = Response::new(Body::from(body.to_string()));
-    *response.status_mut() = StatusCode::from_u16(status).expect("statuses are constants");
+    *response.status_mut() = StatusCode::from_u16(status).expect("the status is valid");
     response
 }
--- a/daemon/tests/support/http.rs
+++ b/daemon/tests/support/http.rs
@@ -1,10 +1,10 @@
-//! A client of one request a connection.
+//! An HTTP client that opens one connection per request.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// An answer.
+/// Status, lower-case head and body of an HTTP answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -12,7 +12,7 @@
     pub body: String,
 }
 
-/// Sends one request over a connection of its own; `None` without a whole answer.
+/// Sends one request over a new connection; `None` without a complete answer.
 pub fn call(
     to: SocketAddr,
     method: &str,
--- a/daemon/tests/support/keep_alive.rs
+++ b/daemon/tests/support/keep_alive.rs
@@ -1,4 +1,4 @@
-//! A client's connection that stays open between requests.
+//! A client connection that stays open between requests.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,36 +6,36 @@
 
 use super::Answer;
 
-/// Why a request has no answer.
+/// Reason for a missing answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseError {
-    /// The connection ended before a byte of the answer.
+    /// The connection was closed before the first byte of the answer.
     Closed,
-    /// The connection ended within the answer.
+    /// The connection was closed within the answer.
     Partial,
-    /// Nothing came in time.
+    /// No answer within the timeout.
     TimedOut,
 }
 
-/// An open connection.
+/// An open keep-alive connection.
 pub struct KeepAliveConnection {
     stream: TcpStream,
 }
 
 impl KeepAliveConnection {
-    /// Connects; `None` where nobody listens.
+    /// Connects; `None` if nothing listens.
     pub fn open(to: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(Self { stream })
     }
 
-    /// Sends bytes; false where the connection is gone.
+    /// Sends bytes; returns false if the connection is closed.
     pub fn send(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// Sends a whole request and waits for its answer.
+    /// Sends a complete request and waits for its answer.
     pub fn request(&mut self, request: &str, time: Duration) -> Result<Answer, ResponseError> {
         if !self.send(request.as_bytes()) {
             return Err(ResponseError::Closed);
@@ -43,9 +43,9 @@
         self.read_answer(time)
     }
 
-    /// Reads one answer, which says how long its body is.
+    /// Reads one answer with a content length.
     pub fn read_answer(&mut self, time: Duration) -> Result<Answer, ResponseError> {
-        self.stream.set_read_timeout(Some(time)).expect("a time above 0");
+        self.stream.set_read_timeout(Some(time)).expect("the timeout is not zero");
         let mut bytes = Vec::new();
         loop {
             if let Some(answer) = parse_answer(&bytes) {
@@ -56,7 +56,8 @@
                 Ok(0) if bytes.is_empty() => return Err(ResponseError::Closed),
                 Ok(0) => return Err(ResponseError::Partial),
                 Ok(count) => bytes.extend_from_slice(&buffer[..count]),
-                // This process was suspended for a moment: that says nothing of the connection.
+                // The read was interrupted because this process was suspended; the connection is
+                // still open.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     return Err(ResponseError::TimedOut);
@@ -68,8 +69,7 @@
     }
 }
 
-/// A request for a job of equal tasks, over a connection that stays open, of a client that waits for
-/// long.
+/// Formats a keep-alive request that submits a job of equal tasks with a long deadline.
 pub fn job_request(id: u64, count: u32, work_ms: u64, estimated_ms: u64) -> String {
     let body = serde_json::json!({"spec": work_ms.to_string(), "best_effort": true,
         "steps": [{"count": count, "cpu": 1000, "mem_mb": 64, "estimated_ms": estimated_ms}]})
@@ -81,7 +81,7 @@
     )
 }
 
-/// The answer, once it is whole.
+/// Parses the answer once it is complete.
 fn parse_answer(bytes: &[u8]) -> Option<Answer> {
     let text = std::str::from_utf8(bytes).ok()?;
     let (head, body) = text.split_once("\r\n\r\n")?;
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -1,7 +1,6 @@
-//! Real processes of a fleet whose targets have room, on loopback addresses of their own, with a
-//! stand-in for a target that takes orders.
+//! Starts fleets of real processes on loopback addresses, with fake targets.
 
-// Each test file uses a part of it.
+// Each test binary uses only some of these items.
 #![allow(dead_code)]
 
 pub mod balancer;
@@ -26,48 +25,49 @@
 pub use process::Process;
 use proxy::Proxy;
 
-/// Longest wait for anything to come about.
+/// Longest wait for a condition or an answer.
 const TIMEOUT: Duration = Duration::from_secs(20);
 const NODE_PORT: u16 = 7_101;
-/// A host without any process.
+/// Host number of a keeper address where nothing listens.
 const ABSENT_KEEPER_HOST: usize = 250;
-/// The host of the first agent and its target; more follow it.
+/// Host number of the first agent and its target; the other agents follow.
 const TARGET_HOST: usize = 10;
-/// Where the first agent finds its target by way of a proxy; up to 100 agents fit below it.
+/// Host number of the first proxy between an agent and its target; the others follow.
 const COMMAND_PROXY_HOST: usize = 110;
-/// The host of the first entry, with two proxies after it; 13 entries fit below the absent keeper.
+/// Host number of the first entry; each entry is followed by its two proxies.
 const ENTRY_HOST: usize = 211;
-/// What comes before the version on a page of figures.
+/// Prefix of the metrics line with the configuration version.
 const VERSION_METRIC: &str = "dockpass_configuration_version ";
-/// Names a folder for what a keeper keeps.
+/// Environment variable with the parent of the keeper's data folder.
 const KEEPER_FOLDER_VARIABLE: &str = "DOCKPASS_KEEPER_FOLDER";
-/// A folder in memory.
+/// A file system in memory.
 const MEMORY_FOLDER: &str = "/dev/shm";
-/// Names a folder that keeps the logs of all processes, also those of runs that pass.
+/// Environment variable with the folder in which process logs are kept, also when a test passes.
 const LOGS_VARIABLE: &str = "DOCKPASS_SOAK_LOGS";
-/// Names how many entries each agent serves at least; without it, each serves each in a fleet of a test.
+/// Environment variable with the number of entries that each agent serves. Agents serve all entries
+/// by default.
 const ENTRIES_SERVED_VARIABLE: &str = "DOCKPASS_SETS";
 
-/// The host of an entry; its proxies, if any, are the two after it.
+/// Host number of an entry; its proxies use the next two.
 fn entry_host(number: usize) -> usize {
     ENTRY_HOST + 3 * number
 }
 
-/// The name of an entry's process.
+/// Process name of an entry.
 fn entry_name(number: usize) -> String {
     if number == 0 { "entry".to_owned() } else { format!("entry{number}") }
 }
 
-/// Tells the fleets of one test run apart.
+/// Number of fleets created by this process; gives each its own network.
 static FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// The line of a process's file that names keepers.
+/// The `keepers` line of a configuration file.
 fn keepers_line(keepers: &[SocketAddr]) -> String {
     let keepers: Vec<String> = keepers.iter().map(SocketAddr::to_string).collect();
     format!("keepers = {}\n", keepers.join(" "))
 }
 
-/// What agents' files say of sets: nothing, unless a variable asks for sets.
+/// Agent settings that limit the entries served, if the environment asks for it.
 fn subset_settings() -> String {
     let served = std::env::var(ENTRIES_SERVED_VARIABLE).ok();
     served.map_or_else(String::new, |served| {
@@ -75,34 +75,34 @@
     })
 }
 
-/// A keeper, an entry, agents and their targets.
+/// Configuration files and addresses of one keeper, its entries and agents, and the targets.
 pub struct Fleet {
     folder: TempDir,
-    /// Where the keeper keeps what lasts.
+    /// Data folder of the keeper.
     data: TempDir,
     network: String,
     agents: usize,
     entries: usize,
-    /// Links between clients, entry, agents and targets; none where they connect directly.
+    /// Proxies between clients, entries, agents and targets; empty if processes connect directly.
     proxies: Vec<Proxy>,
-    /// Where logs stay, also those of a run that passed.
+    /// Folder in which logs are kept, also when the test passes.
     logs: Option<PathBuf>,
-    /// What agents' files say besides.
+    /// Additional settings in the agents' configuration files.
     agent_settings: String,
 }
 
 impl Fleet {
-    /// Writes the files of a fleet with one entry and so many agents.
+    /// Creates a fleet with one entry and the given number of agents.
     pub fn new(agents: usize) -> Self {
         Self::with_entries(1, agents)
     }
 
-    /// Writes the files of a fleet without proxies.
+    /// Creates a fleet whose processes connect directly.
     pub fn with_entries(entries: usize, agents: usize) -> Self {
         Self::create(entries, agents, false, temporary_folder())
     }
 
-    /// The same, with more settings of its agents.
+    /// Creates a fleet with additional settings for its agents.
     pub fn with_agent_settings(entries: usize, agents: usize, settings: &str) -> Self {
         let mut fleet = Self::with_entries(entries, agents);
         fleet.agent_settings = settings.to_owned();
@@ -110,16 +110,17 @@
         fleet
     }
 
-    /// The same, with a keeper whose folder is in memory where the host has such, unless a variable
-    /// names another: a host's disk may stand still for longer than a process has for its end.
+    /// Creates a fleet whose keeper stores its data in memory where possible, so that a slow disk
+    /// does not delay its shutdown. `DOCKPASS_KEEPER_FOLDER` overrides the location.
     pub fn with_keeper_in_memory(entries: usize, agents: usize) -> Self {
-        let named = std::env::var_os(KEEPER_FOLDER_VARIABLE);
-        let folder = named.map_or_else(|| MEMORY_FOLDER.into(), PathBuf::from);
+        let configured = std::env::var_os(KEEPER_FOLDER_VARIABLE);
+        let folder = configured.map_or_else(|| MEMORY_FOLDER.into(), PathBuf::from);
         let data = tempfile::tempdir_in(folder).unwrap_or_else(|_| temporary_folder());
         Self::create(entries, agents, false, data)
     }
 
-    /// The same, with proxies between clients and entries, agents and entries, agents and targets.
+    /// Creates a fleet with proxies between clients and entries, agents and entries, and agents and
+    /// targets.
     pub fn with_proxies(entries: usize, agents: usize) -> Self {
         Self::create(entries, agents, true, temporary_folder())
     }
@@ -127,7 +128,7 @@
     fn create(entries: usize, agents: usize, proxies: bool, data: TempDir) -> Self {
         let number = FLEETS.fetch_add(1, Ordering::Relaxed) + 1;
         let pid = std::process::id();
-        // A network of its own: no port is shared with anything else on this host.
+        // Each fleet uses its own loopback network, so that ports never collide.
         let network = format!("127.{}.{}", 1 + pid % 250, 1 + (pid / 250 + number * 31) % 250);
         let folder = temporary_folder();
         let logs = std::env::var_os(LOGS_VARIABLE).map(PathBuf::from);
@@ -148,8 +149,8 @@
         fleet
     }
 
-    /// Starts two proxies for each entry (clients, sessions of agents), then one for each agent's
-    /// orders.
+    /// Starts two proxies for each entry, one for clients and one for agent sessions, then one for
+    /// the commands of each agent.
     fn start_proxies(&mut self) {
         for number in 0..self.entries {
             let host = entry_host(number);
@@ -165,75 +166,75 @@
         }
     }
 
-    /// The links that faults can strike.
+    /// All proxies, for fault injection.
     pub fn proxies(&self) -> &[Proxy] {
         &self.proxies
     }
 
-    /// The links between agents and each entry.
+    /// The proxies between the agents and each entry.
     pub fn session_proxies(&self) -> impl Iterator<Item = &Proxy> {
         self.proxies.iter().take(2 * self.entries).skip(1).step_by(2)
     }
 
-    /// The links between each agent and its target.
+    /// The proxies between each agent and its target.
     pub fn command_proxies(&self) -> impl Iterator<Item = &Proxy> {
         self.proxies.iter().skip(2 * self.entries)
     }
 
     fn address(&self, host: usize, port: u16) -> SocketAddr {
-        format!("{}.{host}:{port}", self.network).parse().expect("an address")
+        format!("{}.{host}:{port}", self.network).parse().expect("the address is valid")
     }
 
     pub fn keeper_address(&self) -> SocketAddr {
         self.address(1, 7_100)
     }
 
-    /// Where a keeper would be at which nobody listens.
+    /// Address of a keeper that does not exist.
     fn absent_keeper_address(&self) -> SocketAddr {
         self.address(ABSENT_KEEPER_HOST, 7_100)
     }
 
-    /// The names of all its processes.
+    /// The names of all processes of the fleet.
     pub fn names(&self) -> Vec<String> {
         let entries = (0..self.entries).map(entry_name);
         let agents = (0..self.agents).map(|number| format!("agent{number}"));
         entries.chain(agents).chain(["keeper".to_owned()]).collect()
     }
 
-    /// Which entry has a process's name, if one has.
+    /// The number of the entry with the given process name, if it is an entry.
     pub fn entry_named(&self, name: &str) -> Option<usize> {
         (0..self.entries).find(|number| entry_name(*number) == name)
     }
 
-    /// How many entries it has.
+    /// Number of entries.
     pub fn entry_count(&self) -> usize {
         self.entries
     }
 
-    /// Where clients reach the first entry.
+    /// Address at which clients reach the first entry.
     pub fn entry_address(&self) -> SocketAddr {
         self.entry_address_of(0)
     }
 
-    /// Where clients reach an entry.
+    /// Address at which clients reach an entry, through its proxy if there is one.
     pub fn entry_address_of(&self, number: usize) -> SocketAddr {
         let host_offset = usize::from(!self.proxies.is_empty());
         self.address(entry_host(number) + host_offset, 7_300)
     }
 
-    /// Where agents reach an entry.
+    /// Address at which agents reach an entry, through its proxy if there is one.
     fn session_address(&self, number: usize) -> SocketAddr {
         let host_offset = if self.proxies.is_empty() { 0 } else { 2 };
         self.address(entry_host(number) + host_offset, NODE_PORT)
     }
 
-    /// Where an agent reaches its target.
+    /// Address at which an agent reaches its target, through its proxy if there is one.
     fn command_address(&self, number: usize) -> SocketAddr {
         let host = if self.proxies.is_empty() { TARGET_HOST } else { COMMAND_PROXY_HOST };
         self.address(host + number, 7_500)
     }
 
-    /// Where the balancer asks an entry whether it is ready.
+    /// Address of the readiness check of an entry.
     pub fn readiness_address(&self, number: usize) -> SocketAddr {
         self.address(entry_host(number), 7_301)
     }
@@ -290,63 +291,63 @@
     }
 
     fn write(&self, name: &str, text: &str) {
-        fs::write(self.file(name), text).expect("the file is written");
+        fs::write(self.file(name), text).expect("the configuration file is written");
     }
 
     fn file(&self, name: &str) -> PathBuf {
         self.folder.path().join(format!("{name}.ini"))
     }
 
-    /// Starts the process of a name: `keeper`, `entry`, `agent0` and so on. Its log is kept where the
+    /// Starts the process with a name such as `keeper`, `entry` or `agent0`. Its log is kept if the
     /// test fails.
     pub fn start(&self, name: &str) -> Process {
         Process::start(&self.file(name), &self.logs().join(format!("{name}.log")))
     }
 
-    /// Where the logs of its processes are.
+    /// The folder of the process logs.
     fn logs(&self) -> PathBuf {
         let Some(root) = &self.logs else { return self.folder.path().to_owned() };
         let folder = root.join(&self.network);
-        fs::create_dir_all(&folder).expect("a folder for logs");
+        fs::create_dir_all(&folder).expect("the log folder is created");
         folder
     }
 
-    /// Changes the file of a process so that it names a further keeper, at which nobody listens, or
-    /// no longer names it; the process is not told.
+    /// Adds the absent keeper to the configuration file of a process, or removes it again. The
+    /// process gets no signal.
     pub fn toggle_absent_keeper(&self, name: &str) {
         let present = keepers_line(&[self.keeper_address()]);
         let both = keepers_line(&[self.keeper_address(), self.absent_keeper_address()]);
-        let text = fs::read_to_string(self.file(name)).expect("the file is there");
+        let text = fs::read_to_string(self.file(name)).expect("the configuration file exists");
         let changed = match text.contains(&both) {
             true => text.replace(&both, &present),
             false => text.replace(&present, &both),
         };
-        // In one move: the process also looks without a signal, and would find half a file.
+        // Rename atomically: the process also polls the file and must not read a partial one.
         let new_file = self.file(&format!("{name}.new"));
-        fs::write(&new_file, changed).expect("the file is written");
-        fs::rename(new_file, self.file(name)).expect("the file is moved");
+        fs::write(&new_file, changed).expect("the configuration file is written");
+        fs::rename(new_file, self.file(name)).expect("the configuration file is replaced");
     }
 
-    /// Changes the file of a process so that it names only a keeper at which nobody listens.
+    /// Replaces the keepers in the configuration file of a process by the absent one.
     pub fn name_only_absent_keeper(&self, name: &str) {
         let present = keepers_line(&[self.keeper_address()]);
         let absent = keepers_line(&[self.absent_keeper_address()]);
-        let text = fs::read_to_string(self.file(name)).expect("the file is there");
-        fs::write(self.file(name), text.replace(&present, &absent)).expect("the file is written");
+        let text = fs::read_to_string(self.file(name)).expect("the configuration file exists");
+        fs::write(self.file(name), text.replace(&present, &absent))
+            .expect("the configuration file is written");
     }
 
-    /// What the keeper keeps in a file of its folder; none where there is no such file.
+    /// Content of a file in the keeper's data folder; `None` if the file does not exist.
     pub fn keeper_file(&self, name: &str) -> Option<String> {
         fs::read_to_string(self.data.path().join(name)).ok()
     }
 
-    /// What the processes of a name have logged so far.
+    /// Log of all processes started under a name.
     pub fn log(&self, name: &str) -> String {
         fs::read_to_string(self.folder.path().join(format!("{name}.log"))).unwrap_or_default()
     }
 
-    /// How often its processes have noticed so far that they got no processor for long: the host held
-    /// them up.
+    /// Number of pauses that the processes have logged because the host did not schedule them.
     pub fn logged_pauses(&self) -> usize {
         let paused_lines = ["\"event\":\"paused\"", "\"why\":\"stood still\""];
         let names = self.names();
@@ -355,22 +356,22 @@
             .sum()
     }
 
-    /// Starts a process whose log goes into a pipe that nobody reads.
+    /// Starts a process whose log goes to a pipe that is never read.
     pub fn start_with_unread_log(&self, name: &str) -> Process {
         Process::start_with_unread_log(&self.file(name))
     }
 
-    /// Where the entry tells its figures.
+    /// Address of the metrics page of the first entry.
     pub fn metrics_address(&self) -> SocketAddr {
         self.metrics_address_of(0)
     }
 
-    /// Where an entry tells its figures.
+    /// Address of the metrics page of an entry.
     pub fn metrics_address_of(&self, entry: usize) -> SocketAddr {
         self.address(entry_host(entry), 7_900)
     }
 
-    /// Sends a configuration until it is acknowledged.
+    /// Sends a configuration until the keeper acknowledges it.
     pub fn configure(&self, version: u64) {
         let body = document(version);
         eventually("the configuration is acknowledged", || {
@@ -385,7 +386,7 @@
         });
     }
 
-    /// Sends a configuration once, with so many blanks after it; returns whether it was acknowledged.
+    /// Sends a configuration once, padded with spaces; returns whether the keeper acknowledged it.
     pub fn try_configure(&self, version: u64, padding: usize) -> bool {
         let body = document(version) + &" ".repeat(padding);
         let time = Duration::from_secs(1);
@@ -393,21 +394,21 @@
             .is_some_and(|answer| answer.status == 200)
     }
 
-    /// Waits until every entry has a version of the configuration or a later one.
+    /// Waits until every entry uses the given configuration version or a later one.
     pub fn wait_for_version(&self, version: u64) {
-        let in_force = |page: &Answer| {
+        let version_of = |page: &Answer| {
             let line = page.body.lines().find_map(|line| line.strip_prefix(VERSION_METRIC));
             line.and_then(|text| text.parse::<u64>().ok())
         };
         for number in 0..self.entries {
             eventually("the entry has the configuration", || {
                 call(self.metrics_address_of(number), "GET", "/metrics", "", Duration::from_secs(1))
-                    .is_some_and(|page| in_force(&page) >= Some(version))
+                    .is_some_and(|page| version_of(&page) >= Some(version))
             });
         }
     }
 
-    /// Waits until every entry says that it is ready.
+    /// Waits until every entry reports that it is ready.
     pub fn wait_until_ready(&self) {
         for number in 0..self.entries {
             eventually("the entry is ready", || {
@@ -423,12 +424,12 @@
         }
     }
 
-    /// Hands in a job of equal tasks and waits for the answer.
+    /// Submits a job of equal tasks to the first entry and waits for the answer.
     pub fn submit_job(&self, id: u64, count: u32, work_ms: u64) -> Option<Answer> {
         self.submit_job_within(0, id, count, work_ms, TIMEOUT)
     }
 
-    /// Hands in a job of equal tasks at an entry and waits so long for the answer.
+    /// Submits a job of equal tasks to an entry and waits for the answer for at most `time`.
     pub fn submit_job_within(
         &self,
         entry: usize,
@@ -448,16 +449,16 @@
     fn drop(&mut self) {
         if std::thread::panicking() {
             self.folder.disable_cleanup(true);
-            println!("the logs of the fleet are in {}", self.logs().display());
+            println!("fleet logs: {}", self.logs().display());
         }
     }
 }
 
 fn temporary_folder() -> TempDir {
-    tempfile::tempdir().expect("a folder")
+    tempfile::tempdir().expect("the folder is created")
 }
 
-/// A configuration with one queue; versions differ in their number alone.
+/// A configuration document with one queue. Documents of different versions are otherwise equal.
 pub fn document(version: u64) -> String {
     serde_json::json!({"version": version,
         "routes": [{"name": "q", "host": "queue.example", "path_prefix": "/q/",
@@ -468,35 +469,36 @@
     .to_string()
 }
 
-/// The time as the logs of the processes show it.
+/// Wall-clock time in seconds since the Unix epoch, as in the process logs.
 pub fn unix_seconds() -> f64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0.0, |time| time.as_secs_f64())
 }
 
-/// The seed of every run of the tests besides those that failed once.
+/// The default seed.
 const DEFAULT_SEED: u64 = 1;
 
-/// The seeds that a variable names as `FIRST..END`, or the usual one with those that failed once.
+/// Reads seeds from an environment variable as `FIRST..END`; defaults to one seed and the given
+/// regressions.
 pub fn seeds_from_env(variable: &str, regressions: &[u64]) -> Vec<u64> {
     let Ok(text) = std::env::var(variable) else {
         return [DEFAULT_SEED].into_iter().chain(regressions.iter().copied()).collect();
     };
     let (first, end) = text.split_once("..").expect("FIRST..END");
-    let first: u64 = first.parse().expect("a number");
-    (first..end.parse().expect("a number")).collect()
+    let first: u64 = first.parse().expect("the value is a number");
+    (first..end.parse().expect("the value is a number")).collect()
 }
 
-/// A number that a variable names, or the usual one.
+/// Reads a number from an environment variable, or returns the default.
 pub fn number_from_env(variable: &str, default: usize) -> usize {
-    std::env::var(variable).map_or(default, |text| text.parse().expect("a number"))
+    std::env::var(variable).map_or(default, |text| text.parse().expect("the value is a number"))
 }
 
-/// Waits until something is so.
+/// Polls a condition until it holds; panics with its description after a timeout.
 pub fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < TIMEOUT, "not so in time: {what}");
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/daemon/tests/support/process.rs
+++ b/daemon/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! Processes of a fleet, and what strikes them from outside.
+//! Processes of a fleet, and faults injected by signals.
 
 use std::cell::Cell;
 use std::fs::{File, OpenOptions};
@@ -9,46 +9,46 @@
 
 use super::{Fleet, unix_seconds};
 
-/// One process; killed when dropped.
+/// A daemon process; killed when dropped.
 pub struct Process {
     child: Child,
     stop_requested: Cell<bool>,
-    /// Its log and how much of it is of earlier lives; none where nobody reads the log.
+    /// Path of the log and its length before this start; `None` if the log is not read.
     log: Option<(PathBuf, u64)>,
 }
 
-/// How much of a log holds the line of the start.
+/// Length of the log prefix that contains the start event.
 const LOG_HEAD_BYTES: u64 = 1_024;
-/// What a process writes once it listens for signals.
+/// Logged once the process handles signals.
 const START_EVENT: &str = "\"event\":\"start\"";
 
 impl Process {
-    /// Starts a process with this file, which adds to a log.
+    /// Starts a process that appends to a log.
     pub(super) fn start(config: &Path, log: &Path) -> Self {
         let file = OpenOptions::new().create(true).append(true).open(log);
-        let file = file.expect("a file for the log");
-        let log_offset = file.metadata().expect("it is there").len();
+        let file = file.expect("the log is opened");
+        let log_offset = file.metadata().expect("the log exists").len();
         let child = spawn(config, file.into());
         Self { child, stop_requested: Cell::new(false), log: Some((log.to_owned(), log_offset)) }
     }
 
-    /// Starts a process whose log nobody reads.
+    /// Starts a process whose log is not read.
     pub(super) fn start_with_unread_log(config: &Path) -> Self {
         let child = spawn(config, Stdio::piped());
         Self { child, stop_requested: Cell::new(false), log: None }
     }
 
-    /// Whether it has said that it begins; a signal before that ends it like any program.
+    /// Whether the process handles signals; before that, a signal ends it without cleanup.
     pub fn has_started(&self) -> bool {
         let Some((path, log_offset)) = &self.log else { return true };
         let mut text = String::new();
-        let mut file = File::open(path).expect("the log is there");
-        file.seek(SeekFrom::Start(*log_offset)).expect("it is as long");
-        file.take(LOG_HEAD_BYTES).read_to_string(&mut text).expect("it is text");
+        let mut file = File::open(path).expect("the log exists");
+        file.seek(SeekFrom::Start(*log_offset)).expect("the offset is within the log");
+        file.take(LOG_HEAD_BYTES).read_to_string(&mut text).expect("the log is UTF-8");
         text.contains(START_EVENT)
     }
 
-    /// Sends a signal by name.
+    /// Sends a signal by name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         self.stop_requested.set(self.stop_requested.get() || name == "TERM");
         let pid = self.child.id().to_string();
@@ -56,19 +56,19 @@
         assert!(sent.is_ok_and(|status| status.success()));
     }
 
-    /// Whether it has not ended.
+    /// Whether the process is running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Whether it was told to stop by plan.
+    /// Whether the process was sent `TERM`.
     pub fn was_stop_requested(&self) -> bool {
         self.stop_requested.get()
     }
 
-    /// Waits for its end; returns whether it ended well.
+    /// Waits for the process to exit; returns whether it exited successfully.
     pub fn wait(&mut self) -> bool {
-        self.child.wait().expect("it ends").success()
+        self.child.wait().expect("the process is waited for").success()
     }
 }
 
@@ -83,13 +83,13 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A process that faults strike, or that is away for a moment.
+/// A process that faults are injected into, with its pending recovery.
 pub struct FaultyProcess {
     pub name: String,
     pub process: Option<Process>,
@@ -98,19 +98,20 @@
 }
 
 impl FaultyProcess {
-    /// Starts the process of a name.
+    /// Starts the process with the given name.
     pub fn start(fleet: &Fleet, name: String) -> Self {
         let process = Some(fleet.start(&name));
         Self { name, process, recover_at: None, paused: false }
     }
 
-    /// Kills it, stops it by plan or pauses it until a time, unless it is away.
+    /// Kills (0), terminates (1) or suspends (other values) the process until a time, unless a
+    /// fault is pending.
     pub fn inject(&mut self, kind: u32, recover_at: Instant) {
         if self.recover_at.is_some() {
             return;
         }
         self.recover_at = Some(recover_at);
-        println!("{:.3}: {} struck: {kind}", unix_seconds(), self.name);
+        println!("{:.3}: {}: injected fault {kind}", unix_seconds(), self.name);
         match (kind, &self.process) {
             (0, _) => self.process = None,
             (1, Some(process)) => process.signal("TERM"),
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Brings it back where its time has come.
+    /// Restarts or resumes the process once its recovery time has come.
     pub fn recover(&mut self, fleet: &Fleet, now: Instant) {
         if self.recover_at.is_none_or(|at| at > now) {
             return;
@@ -137,7 +138,7 @@
         if let Some(mut process) = self.process.take()
             && process.is_running()
         {
-            // It was told to stop, or never struck: it ends in its own time.
+            // A terminated process exits on its own; a running one needs no restart.
             if process.was_stop_requested() {
                 process.wait();
             } else {
--- a/daemon/tests/support/proxy.rs
+++ b/daemon/tests/support/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy on loopback that stands for a link: it delays, holds back, or resets what goes over it, or
-//! silences single connections for good while new ones work.
+//! A loopback proxy that simulates link faults: it delays, blocks, slows down or resets
+//! connections, or silences single connections permanently while new ones work.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,40 +12,40 @@
 use net::Spawner;
 use socket2::SockRef;
 
-/// How often what waits looks whether the link is well again.
+/// Interval at which a blocked copy checks whether the fault is over.
 const POLL: Duration = Duration::from_millis(2);
 const CHUNK: usize = 16 * 1024;
 
-/// Which bytes a fault of a link concerns.
+/// The direction that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From who connects.
+    /// From the connecting side.
     ToServer,
-    /// To who connects.
+    /// To the connecting side.
     ToClient,
     Both,
 }
 
-/// What happens to bytes on a link.
+/// A temporary fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// They come later by so much.
+    /// Data is delayed by a duration.
     Delayed(Duration),
-    /// They come once the fault is over, also where who sent them has gone away meanwhile.
+    /// Data is delivered after the fault, even if its sender has closed the connection.
     HeldBack,
-    /// Each connection carries so many bytes a second.
+    /// Each connection is limited to this many bytes per second.
     Slow(u64),
-    /// Every connection is reset once; new ones are taken.
+    /// All open connections are reset; new ones are accepted.
     Reset,
 }
 
-/// What becomes of the bytes of a connection that is silent for good. Neither side hears anything of
-/// the other any more, not even its end.
+/// How the data of a permanently silenced connection is treated. Neither side receives anything any
+/// more, including the end of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Silence {
-    /// They are taken and dropped: who sends sees no difference.
+    /// Data is read and discarded, so the sender notices nothing.
     Dropped,
-    /// They are not even taken: who sends much is held up.
+    /// Data is not read, so the sender blocks once the buffers are full.
     NotRead,
 }
 
@@ -60,13 +60,13 @@
 struct State {
     active_fault: Option<ActiveFault>,
     resets: u64,
-    /// Connections so far.
+    /// Number of connections accepted.
     accepted: u64,
-    /// The connections that are open, by their number.
+    /// Open connections by number, with their silence if any.
     open: BTreeMap<u64, Option<Silence>>,
 }
 
-/// A link; it ends when dropped.
+/// A proxied link; stops when dropped.
 pub struct Proxy {
     state: Arc<Mutex<State>>,
     stop: Option<async_channel::Sender<()>>,
@@ -74,7 +74,7 @@
 }
 
 impl Proxy {
-    /// Takes connections at an address and leads them to another.
+    /// Accepts connections at an address and forwards them to another.
     pub fn start(listen: SocketAddr, to: SocketAddr) -> Self {
         let state = Arc::new(Mutex::new(State::default()));
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -83,49 +83,50 @@
             net::block_on(|tasks| async move {
                 let listener = Async::<TcpListener>::bind(listen).expect("the address is free");
                 tasks.spawn(accept(listener, to, shared, tasks.clone()));
-                // Ends when the handle is dropped.
+                // Returns when the sender is dropped.
                 let _ = stopped.recv().await;
             });
         });
         Self { state, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// Strikes the link until a time.
+    /// Injects a fault until a time.
     pub fn inject(&self, fault: Fault, direction: Direction, until: Instant) {
-        let mut state = self.state.lock().expect("nobody panicked with it");
+        let mut state = self.state.lock().expect("the mutex is not poisoned");
         match fault {
             Fault::Reset => state.resets += 1,
             _ => state.active_fault = Some(ActiveFault { fault, direction, until }),
         }
     }
 
-    /// Silences one open connection for good, the one that `choose` takes of so many.
+    /// Silences one open connection permanently; `choose` picks it from the number of candidates.
     pub fn silence_one(&self, silence: Silence, choose: impl FnOnce(usize) -> usize) {
-        let mut state = self.state.lock().expect("nobody panicked with it");
+        let mut state = self.state.lock().expect("the mutex is not poisoned");
         let active: Vec<&mut Option<Silence>> =
             state.open.values_mut().filter(|silent| silent.is_none()).collect();
         if active.is_empty() {
             return;
         }
         let chosen = choose(active.len());
-        *active.into_iter().nth(chosen).expect("one of them") = Some(silence);
+        *active.into_iter().nth(chosen).expect("the choice is within the candidates") =
+            Some(silence);
     }
 
-    /// Silences all open connections for good; returns how many.
+    /// Silences all open connections permanently; returns their number.
     pub fn silence_all(&self, silence: Silence) -> u64 {
-        let mut state = self.state.lock().expect("nobody panicked with it");
+        let mut state = self.state.lock().expect("the mutex is not poisoned");
         let active = state.open.values_mut().filter(|silent| silent.is_none());
         active.map(|silent| *silent = Some(silence)).count() as u64
     }
 
-    /// How many connections it has taken.
+    /// Number of connections accepted.
     pub fn accepted_count(&self) -> u64 {
-        self.state.lock().expect("nobody panicked with it").accepted
+        self.state.lock().expect("the mutex is not poisoned").accepted
     }
 
-    /// Ends all faults that have an end.
+    /// Ends a temporary fault.
     pub fn clear_fault(&self) {
-        self.state.lock().expect("nobody panicked with it").active_fault = None;
+        self.state.lock().expect("the mutex is not poisoned").active_fault = None;
     }
 }
 
@@ -133,7 +134,7 @@
     fn drop(&mut self) {
         self.stop.take();
         if let Some(thread) = self.thread.take() {
-            // One that panicked has failed its test already.
+            // A panic in the thread has already failed the test.
             let _ = thread.join();
         }
     }
@@ -155,11 +156,11 @@
     }
 }
 
-/// Leads one connection until both sides have ended or it is reset.
+/// Forwards one connection until both sides have closed it or it is reset.
 async fn forward(client: Async<TcpStream>, to: SocketAddr, state: Arc<Mutex<State>>) {
-    let resets = state.lock().expect("nobody panicked with it").resets;
+    let resets = state.lock().expect("the mutex is not poisoned").resets;
     let Ok(server) = Async::<TcpStream>::connect(to).await else { return };
-    // Without the options the link is slower, or a reset is an end: faults all the same.
+    // Best effort: without the option the link is slower, which is also a valid fault.
     let _ = client.get_ref().set_nodelay(true);
     let _ = server.get_ref().set_nodelay(true);
     let connection = ConnectionGuard::open(state);
@@ -179,7 +180,7 @@
     future::or(ended, reset).await;
 }
 
-/// One connection's share of the state; it is no longer open when dropped.
+/// Entry of an open connection in the shared state; removed when dropped.
 struct ConnectionGuard {
     state: Arc<Mutex<State>>,
     number: u64,
@@ -187,7 +188,7 @@
 
 impl ConnectionGuard {
     fn open(state: Arc<Mutex<State>>) -> Self {
-        let mut locked = state.lock().expect("nobody panicked with it");
+        let mut locked = state.lock().expect("the mutex is not poisoned");
         locked.accepted += 1;
         let number = locked.accepted;
         locked.open.insert(number, None);
@@ -196,7 +197,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("nobody panicked with it")
+        self.state.lock().expect("the mutex is not poisoned")
     }
 
     fn silence(&self) -> Option<Silence> {
@@ -222,14 +223,14 @@
         let read = from.read(&mut chunk).await.unwrap_or(0);
         wait_for_link(direction, read, connection).await;
         match connection.silence() {
-            // The other side keeps its end of the connection until it closes it on its own.
+            // The peer keeps its end open until it closes it by itself.
             Some(Silence::Dropped) if read == 0 => return,
             Some(Silence::Dropped) => continue,
             Some(Silence::NotRead) => future::pending().await,
             None => {}
         }
         if read == 0 {
-            // The other side reads to its end.
+            // The peer reads the remaining data until the end of the stream.
             let _ = to.get_ref().shutdown(std::net::Shutdown::Write);
             return;
         }
@@ -239,12 +240,12 @@
     }
 }
 
-/// How long bytes take at a rate a second.
+/// Transfer time of bytes at a rate.
 fn transfer_time(bytes: usize, bytes_per_s: u64) -> Duration {
     Duration::from_micros(bytes as u64 * 1_000_000 / bytes_per_s)
 }
 
-/// Waits as long as the link holds so many bytes of a direction back.
+/// Waits while a fault blocks or delays data in a direction.
 async fn wait_for_link(direction: Direction, bytes: usize, connection: &ConnectionGuard) {
     let mut waited = Duration::ZERO;
     let started = Instant::now();
