--- a/daemon/tests/keeper_cluster/mod.rs
+++ b/daemon/tests/keeper_cluster/mod.rs
@@ -1,6 +1,6 @@
-//! Keepers as real processes, each with a folder that lasts.
+//! Starts clusters of keepers as real processes with persistent data folders.
 
-// Each test file uses a part of it.
+// Each test binary uses only some of these items.
 #![allow(dead_code)]
 
 use std::fs::{self, OpenOptions};
@@ -16,25 +16,27 @@
 
 use crate::support::{Answer, call, eventually};
 
-/// Where keepers listen for operators, and for nodes and each other.
+/// Ports for operators, and for nodes and other keepers.
 const PORTS: [u16; 2] = [7_100, 7_101];
-/// Longest wait for one answer.
+/// Timeout of a call.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Keepers that begin a cluster.
+/// Number of keepers listed as seeds.
 const SEED_KEEPERS: usize = 3;
 
-/// Where files are kept in memory. How long a sync takes on a busy host's disk is not what is measured.
+/// A file system in memory, so that tests do not depend on the speed of a disk.
 const MEMORY_FOLDER: &str = "/dev/shm";
 
-/// A folder for the keepers' files; what a loss of power leaves of them the test decides.
+/// Creates the folder of a cluster, in memory where possible.
 fn create_folder() -> TempDir {
-    tempfile::tempdir_in(MEMORY_FOLDER).or_else(|_| tempfile::tempdir()).expect("a folder")
+    tempfile::tempdir_in(MEMORY_FOLDER)
+        .or_else(|_| tempfile::tempdir())
+        .expect("the folder is created")
 }
 
-/// Tells the clusters of one test run apart.
+/// Number of clusters created by this process; gives each its own network.
 static CLUSTERS: AtomicU32 = AtomicU32::new(0);
 
-/// Keepers of one cluster, each with a folder that lasts.
+/// Keepers of one cluster, with their processes and data folders.
 pub struct Keepers {
     folder: TempDir,
     network: String,
@@ -45,24 +47,24 @@
 impl Keepers {
     pub fn start(count: usize, tolerated_losses: usize) -> Self {
         let folder = create_folder();
-        // A network of its own: no port is shared with anything else on this host.
+        // Each cluster uses its own loopback network, so that ports never collide.
         let (pid, cluster) = (std::process::id(), CLUSTERS.fetch_add(1, Ordering::Relaxed));
         let network = format!("127.{}.{}", 1 + pid % 250, 1 + (pid / 250 + 97 * cluster) % 250);
         let processes = (0..count).map(|_| None).collect();
         let mut keepers = Self { folder, network, tolerated_losses, processes };
         for number in 0..count {
-            fs::create_dir(keepers.data_folder(number)).expect("a folder");
+            fs::create_dir(keepers.data_folder(number)).expect("the folder is created");
             keepers.write_config(number, true);
         }
         (0..count).for_each(|number| keepers.start_keeper(number));
-        eventually("all have caught up", || keepers.all_have_caught_up());
-        // Every keeper has read its file by now.
+        eventually("all keepers have caught up", || keepers.all_have_caught_up());
+        // Every keeper has read its file; a restart must not found a new cluster.
         (0..count).for_each(|number| keepers.write_config(number, false));
         keepers
     }
 
     pub fn address(&self, number: usize, port: u16) -> SocketAddr {
-        format!("{}.{}:{port}", self.network, number + 1).parse().expect("an address")
+        format!("{}.{}:{port}", self.network, number + 1).parse().expect("the address is valid")
     }
 
     pub fn data_folder(&self, number: usize) -> PathBuf {
@@ -73,7 +75,7 @@
         self.folder.path().join(format!("k{number}.ini"))
     }
 
-    /// The settings of a keeper; `found` at the very first start alone.
+    /// Writes the configuration file of a keeper; `found` is true only for the first start.
     fn write_config(&self, number: usize, found: bool) {
         let seeds: Vec<String> =
             (0..SEED_KEEPERS).map(|seed| self.address(seed, PORTS[0]).to_string()).collect();
@@ -88,13 +90,15 @@
             self.data_folder(number).display(),
             self.tolerated_losses
         );
-        fs::write(self.config_path(number), text).expect("the file is written");
+        fs::write(self.config_path(number), text).expect("the configuration file is written");
     }
 
     pub fn start_keeper(&mut self, number: usize) {
         let path = self.folder.path().join(format!("k{number}.log"));
-        let mut log = OpenOptions::new().create(true).append(true).open(path).expect("a log");
-        // A write beyond a limit of files is then refused, where it would end the process else.
+        let mut log =
+            OpenOptions::new().create(true).append(true).open(path).expect("the log is opened");
+        // Ignoring SIGXFSZ makes writes beyond the file size limit fail instead of killing the
+        // process.
         let child = Command::new("sh")
             .args([
                 "-c",
@@ -105,8 +109,8 @@
             .stdout(Stdio::piped())
             .spawn();
         let mut child = child.expect("the daemon starts");
-        let mut lines = child.stdout.take().expect("it is piped");
-        // The process writes no file but its journal, so that a limit meets that alone.
+        let mut lines = child.stdout.take().expect("the output is piped");
+        // The log is piped, so that the file size limit affects only the journal.
         std::thread::spawn(move || io::copy(&mut lines, &mut log));
         self.processes[number] = Some(child);
     }
@@ -115,7 +119,7 @@
         self.processes.len()
     }
 
-    /// Whether every keeper has caught up, and knows as many voters as there are to be.
+    /// Whether every keeper has caught up and the set of voters is complete.
     pub fn all_have_caught_up(&self) -> bool {
         (0..self.count()).all(|number| {
             let Some(status) = self.status(number) else { return false };
@@ -124,7 +128,7 @@
         })
     }
 
-    /// Sends a configuration until it is acknowledged; returns who did so.
+    /// Sends a configuration until a keeper acknowledges it; returns the number of that keeper.
     pub fn configure(&self, version: u64) -> usize {
         let body = serde_json::json!({"version": version, "routes": [], "services": [],
             "limits": {"max_body_bytes": 10_000}})
@@ -138,10 +142,10 @@
             });
             acknowledged.is_some()
         });
-        acknowledged.expect("one did")
+        acknowledged.expect("a keeper acknowledged")
     }
 
-    /// The answer of any keeper that is sure.
+    /// Reads the configuration from any keeper that can confirm it.
     pub fn read_configuration(&self) -> Option<String> {
         let answers = (0..self.count()).filter_map(|number| {
             call(self.address(number, PORTS[0]), "GET", "/configuration/fetch", "", ANSWER_TIMEOUT)
@@ -149,61 +153,62 @@
         answers.into_iter().find(|answer| answer.status == 200).map(|answer| answer.body)
     }
 
-    /// What a keeper tells of itself.
+    /// Status document of a keeper.
     pub fn status(&self, number: usize) -> Option<serde_json::Value> {
         let answer = self.call(number, "GET", "/v1/status", "")?;
-        Some(serde_json::from_str(&answer.body).expect("JSON"))
+        Some(serde_json::from_str(&answer.body).expect("the status is JSON"))
     }
 
-    /// One call of an operator, sent nowhere else.
+    /// Sends one operator call to a keeper without retries.
     pub fn call(&self, number: usize, method: &str, path: &str, body: &str) -> Option<Answer> {
         call(self.address(number, PORTS[0]), method, path, body, ANSWER_TIMEOUT)
     }
 
-    /// From now on a keeper's files can't grow: its disk takes no more bytes.
+    /// Simulates a full disk: files of the keeper can no longer grow.
     pub fn fill_disk(&self, number: usize) {
         let journal = fs::metadata(self.data_folder(number).join("settings.journal"));
         self.limit_file_size(number, Some(journal.map_or(0, |journal| journal.len())));
     }
 
-    /// A full disk has room again.
+    /// Removes the limit set by `fill_disk`.
     pub fn free_disk(&self, number: usize) {
         self.limit_file_size(number, None);
     }
 
     fn limit_file_size(&self, number: usize, bytes: Option<u64>) {
-        let process = self.processes[number].as_ref().expect("it runs");
+        let process = self.processes[number].as_ref().expect("the keeper is running");
         let limit = Rlimit { current: bytes, maximum: None };
         let pid = Pid::from_raw(process.id().cast_signed());
-        prlimit(pid, Resource::Fsize, limit).expect("the limit of a process of our own");
+        prlimit(pid, Resource::Fsize, limit).expect("the file size limit is set");
     }
 
-    /// Whether a keeper's process has not ended.
+    /// Whether the process of a keeper is running.
     pub fn is_running(&mut self, number: usize) -> bool {
         let process = self.processes[number].as_mut();
-        process.is_some_and(|process| process.try_wait().expect("its state").is_none())
+        process
+            .is_some_and(|process| process.try_wait().expect("the process state is read").is_none())
     }
 
     pub fn kill_all(&mut self) {
         let mut killed: Vec<Child> = self.processes.iter_mut().filter_map(Option::take).collect();
-        // All at once, and only then their ends are waited for.
-        killed.iter_mut().for_each(|child| child.kill().expect("it is killed"));
+        // Kill all processes before waiting for any of them.
+        killed.iter_mut().for_each(|child| child.kill().expect("the process is killed"));
         killed.iter_mut().for_each(|child| {
-            child.wait().expect("it ends");
+            child.wait().expect("the process is waited for");
         });
     }
 
     pub fn lose_disk(&self, number: usize) {
         fs::remove_dir_all(self.data_folder(number)).expect("the folder is removed");
-        fs::create_dir(self.data_folder(number)).expect("a folder");
+        fs::create_dir(self.data_folder(number)).expect("the folder is created");
     }
 
-    /// A write that was under way as power failed: its first bytes are missing, its last are there.
+    /// Appends a torn write to the journal: its first bytes are missing, its last are present.
     pub fn tear_last_write(&self, number: usize) {
         let path = self.data_folder(number).join("settings.journal");
-        let mut file = OpenOptions::new().append(true).open(path).expect("there is a journal");
+        let mut file = OpenOptions::new().append(true).open(path).expect("the journal exists");
         let torn = [[0; 24], [0xA5; 24]].concat();
-        file.write_all(&torn).expect("it is written");
+        file.write_all(&torn).expect("the torn write is appended");
     }
 }
 
@@ -212,7 +217,7 @@
         self.kill_all();
         if std::thread::panicking() {
             self.folder.disable_cleanup(true);
-            println!("the logs of the keepers are in {}", self.folder.path().display());
+            println!("keeper logs: {}", self.folder.path().display());
         }
     }
 }
--- a/daemon/tests/keeper_stops.rs
+++ b/daemon/tests/keeper_stops.rs
@@ -1,6 +1,6 @@
-//! A planned stop of a keeper while an operator's call is under way.
+//! Planned stops of a keeper while operators' calls are pending.
 
-// Spans that a test measures or pending.
+// Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
 
 use std::fs;
@@ -42,14 +42,14 @@
 
 fn read_status(stream: TcpStream) -> Option<u16> {
     let mut line = String::new();
-    // Unlike a single read it goes on where this process was suspended meanwhile.
+    // Unlike a single read, `read_line` retries after an interruption by a suspension.
     BufReader::new(stream).read_line(&mut line).ok()?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
 impl Drop for Keeper {
     fn drop(&mut self) {
-        // One that has ended takes no signal; one that is held up ends by the kill.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -83,7 +83,7 @@
         .collect()
 }
 
-/// Which keeper leads, once one does.
+/// Waits for a leader; returns its number.
 fn leader_of(keepers: &[Keeper]) -> usize {
     let started = Instant::now();
     loop {
@@ -96,8 +96,8 @@
     }
 }
 
-/// An operator's connection ended with no answer: a keeper that stopped dropped the calls under way before
-/// they were told that it had ended. Here the leader can't reach a majority as it stops.
+/// Guards against a stopping leader that drops pending calls without an answer. The leader cannot
+/// reach a majority here.
 #[test]
 fn a_pending_change_is_answered_when_the_leader_stops() {
     let folder = tempfile::tempdir().unwrap();
@@ -115,9 +115,8 @@
     assert!(status.is_some(), "the connection ended with no answer, {:?}", stopped.elapsed());
 }
 
-/// The same where nothing is wrong with the cluster: changes are sent one after the other while the leader
-/// stops. The very last may cross the closing of the listener, when the kernel has opened its connection
-/// and the keeper has not accepted it.
+/// Guards against changes left unanswered while a leader of a healthy cluster stops. Only the last
+/// one may be, if its connection was opened but not accepted before the listener closed.
 #[test]
 fn changes_sent_while_the_leader_stops_are_answered() {
     let folder = tempfile::tempdir().unwrap();
