--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -1,4 +1,4 @@
-//! The daemon's file: what is refused, and with which line.
+//! Validation of the daemon's configuration file and its error messages.
 
 use std::path::Path;
 
@@ -8,12 +8,12 @@
                      [agent]\nlisten = 127.0.0.1:7400\ntarget = 127.0.0.1:7500\n\
                      service = booking\n";
 
-fn refusal(text: &str) -> String {
-    Config::from_ini(text).expect_err("it is refused").to_string()
+fn error_of(text: &str) -> String {
+    Config::from_ini(text).expect_err("the configuration is rejected").to_string()
 }
 
 #[test]
-fn a_checked_file_shows_what_is_in_force() {
+fn a_loaded_file_shows_its_effective_settings() {
     let config = Config::from_ini(AGENT).unwrap();
     let text = config.in_force();
     assert!(text.contains("slots = 8\n") && text.contains("service = booking\n"), "{text}");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn mistakes_name_section_key_and_reason() {
+fn errors_name_section_key_and_reason() {
     let with = |from: &str, to: &str| AGENT.replace(from, to);
     let cases = [
         (with("service", "speed"), "[agent] speed: unknown key"),
@@ -38,13 +38,13 @@
         (with("name = a1", "name = a1\nlogs = /no/such/folder"), "[node] logs: can't write in"),
     ];
     for (text, expected) in cases {
-        let refusal = refusal(&text);
-        assert!(refusal.starts_with(expected), "{refusal:?} is not {expected:?}");
+        let error = error_of(&text);
+        assert!(error.starts_with(expected), "{error:?} does not start with {expected:?}");
     }
 }
 
 #[test]
-fn a_cluster_of_keepers_is_odd_and_names_this_one() {
+fn keeper_peers_are_odd_in_number_and_include_this_node() {
     let keeper = |peers: &str| {
         let data = std::env::temp_dir();
         format!(
@@ -55,16 +55,17 @@
     };
     let all = "k1@127.0.0.1:1 k2@127.0.0.1:2 k3@127.0.0.1:3";
     assert!(Config::from_ini(&keeper(all)).is_ok());
-    let two = refusal(&keeper("k1@127.0.0.1:1 k2@127.0.0.1:2"));
+    let two = error_of(&keeper("k1@127.0.0.1:1 k2@127.0.0.1:2"));
     assert_eq!(two, "[keeper] peers: 1, 3 or 5 keepers");
-    let foreign = refusal(&keeper("k4@127.0.0.1:1 k2@127.0.0.1:2 k3@127.0.0.1:3"));
+    let foreign = error_of(&keeper("k4@127.0.0.1:1 k2@127.0.0.1:2 k3@127.0.0.1:3"));
     assert_eq!(foreign, "[keeper] peers: this node is not among them");
-    assert!(refusal(&keeper("k1@here")).contains("'k1@here' is not NAME@IP:PORT"));
+    assert!(error_of(&keeper("k1@here")).contains("'k1@here' is not NAME@IP:PORT"));
 }
 
 #[test]
-fn an_unreadable_file_is_named() {
-    let error = Config::load(Path::new("/no/such/file.ini")).expect_err("it is refused");
+fn an_unreadable_file_is_named_in_the_error() {
+    let error =
+        Config::load(Path::new("/no/such/file.ini")).expect_err("the configuration is rejected");
     assert!(error.to_string().starts_with("/no/such/file.ini: "), "{error}");
 }
 
--- a/daemon/tests/emptied_halls.rs
+++ b/daemon/tests/emptied_halls.rs
@@ -1,8 +1,8 @@
-//! Orders to empty and refill data halls, as real processes carry them out.
+//! Commands to empty and refill data halls, executed by real processes.
 //!
-//! `DOCKPASS_HALL_SEEDS=FIRST..END` runs other seeds under signals by hand.
+//! `DOCKPASS_HALL_SEEDS=FIRST..END` selects other seeds of the run under faults.
 
-// Spans that a test measures or waits.
+// Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
 
 mod support;
@@ -19,8 +19,7 @@
 
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Users allow 5 s from the acknowledgement until nothing starts any more; a keeper's news takes some
-/// milliseconds on a host with time to spare.
+/// Time after an acknowledgement in which a command takes effect everywhere.
 const EFFECT_TIME: Duration = Duration::from_millis(1_500);
 
 fn target_in(fleet: &Fleet, number: usize, hall: &'static str) -> FakeTarget {
@@ -33,16 +32,16 @@
 }
 
 fn send_until_acknowledged(fleet: &Fleet, path: &str) {
-    eventually("the order is acknowledged", || {
+    eventually("the command is acknowledged", || {
         send_hall_command(fleet, path).is_some_and(|answer| answer.status == 200)
     });
 }
 
 fn starts(target: &FakeTarget) -> usize {
-    target.observed.lock().expect("no panic").starts.len()
+    target.observed.lock().expect("the mutex is not poisoned").starts.len()
 }
 
-/// Hands in jobs for a while; returns how many were completed, by the first entry.
+/// Submits jobs to the first entry for a while; returns the number completed.
 fn submit_jobs(fleet: &Fleet, first_id: u64, time: Duration) -> usize {
     let started = Instant::now();
     let mut completed = 0;
@@ -50,7 +49,7 @@
         if started.elapsed() > time {
             break;
         }
-        let answer = fleet.submit_job(id, 2, 30).expect("it is answered");
+        let answer = fleet.submit_job(id, 2, 30).expect("the request is answered");
         completed += usize::from(answer.body == COMPLETED);
     }
     completed
@@ -75,8 +74,11 @@
     send_until_acknowledged(&fleet, "/evacuations/north/start");
     std::thread::sleep(EFFECT_TIME);
     let before = starts(&north);
-    assert!(submit_jobs(&fleet, 2_000, Duration::from_millis(500)) > 0, "the other hall serves");
-    // Each in turn comes back and hears of the order from those who know it.
+    assert!(
+        submit_jobs(&fleet, 2_000, Duration::from_millis(500)) > 0,
+        "the other hall completes jobs"
+    );
+    // Each restarted process learns of the command from the others.
     for name in ["keeper", "entry", "agent0"] {
         let process = match name {
             "keeper" => &mut keeper,
@@ -88,9 +90,9 @@
         fleet.wait_until_ready();
         submit_jobs(&fleet, 3_000, Duration::from_millis(700));
     }
-    assert_eq!(starts(&north), before, "nothing started in the emptied hall");
+    assert_eq!(starts(&north), before, "no task started in the emptied hall");
 
-    // The keeper, which has restarted, still has the order; the product's own interface shows it.
+    // The restarted keeper still knows the command, which the operator API shows.
     eventually("the keeper leads", || {
         call(fleet.keeper_address(), "GET", "/v1/halls", "", ANSWER_TIMEOUT)
             .is_some_and(|answer| answer.status == 200 && answer.body.contains("\"north\""))
@@ -109,13 +111,15 @@
     let _processes = ["keeper", "entry", "agent0"].map(|name| fleet.start(name));
     fleet.configure(7);
     fleet.wait_until_ready();
-    eventually("it serves", || submit_jobs(&fleet, 1, Duration::from_millis(100)) > 0);
+    eventually("the entry completes jobs", || {
+        submit_jobs(&fleet, 1, Duration::from_millis(100)) > 0
+    });
     send_until_acknowledged(&fleet, "/v1/halls/north/empty");
-    // An entry that has just started takes two seconds to be sure that no other agent comes.
+    // A newly started entry waits for further agents before it refuses jobs for good.
     std::thread::sleep(EFFECT_TIME + Duration::from_secs(1));
     let before = starts(&target);
     let started = Instant::now();
-    let answer = fleet.submit_job(9_000, 2, 400).expect("it is answered");
+    let answer = fleet.submit_job(9_000, 2, 400).expect("the request is answered");
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.body.contains("not run: halls-emptied"), "{answer:?}");
     assert!(answer.head.contains("retry-after: 8"), "{answer:?}");
@@ -128,42 +132,44 @@
     let fleet = Fleet::new(1);
     let _keeper = fleet.start("keeper");
     fleet.configure(7);
-    let status = |path: &str| send_hall_command(&fleet, path).expect("it is answered").status;
+    let status =
+        |path: &str| send_hall_command(&fleet, path).expect("the request is answered").status;
     assert_eq!(status("/evacuations/a%20b/start"), 400);
     assert_eq!(status("/v1/halls/a%20b/empty"), 400);
     assert_eq!(status("/v1/halls/north/close"), 404);
     assert_eq!(status("/evacuations/north"), 404);
-    // Where no node is yet, an order holds for those that come.
+    // A command for an unknown hall applies to nodes that join later.
     assert_eq!(status("/evacuations/nobody-there/start"), 200);
-    assert_eq!(status("/evacuations/nobody-there/start"), 200, "sent again");
+    assert_eq!(status("/evacuations/nobody-there/start"), 200, "a repeated command is accepted");
     assert_eq!(status("/evacuations/nobody-there/finish"), 200);
 }
 
-/// How long faults strike in a run.
+/// Time during which faults are injected.
 const FAULTS_TIME: Duration = Duration::from_secs(6);
-/// A process that was struck is back after so long at most, in milliseconds.
+/// Time until a process recovers from a fault, in milliseconds.
 const DOWNTIME_MS: std::ops::Range<u64> = 100..900;
-/// From one fault to the next, and from one order to the next, in milliseconds.
+/// Time between faults, and between commands, in milliseconds.
 const FAULT_EVERY_MS: std::ops::Range<u64> = 200..900;
 const COMMAND_EVERY_MS: std::ops::Range<u64> = 300..1_800;
-/// Users allow 5 s from an acknowledgement until nothing starts any more. Here all that has to come back does
-/// within 0.9 s, finds a keeper or an entry within 1.7 s, and a start is under way for 0.3 s.
+/// Time after an acknowledgement in which a command takes effect despite faults: recovery,
+/// reconnection, and pending starts.
 const EFFECT_TIME_UNDER_FAULTS: Duration = Duration::from_millis(3_500);
-/// How long a client of a run waits.
+/// Timeout of a client.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Orders for one hall, as its operator knows them.
+/// Commands for one hall, as known to its operator.
 #[derive(Default)]
 struct HallCommands {
-    /// When the hall was last said to be emptied, while no refill has been sent since.
+    /// Time of the acknowledgement that the hall is emptied; `None` once a refill was sent.
     emptied_since: Option<Instant>,
-    /// Times in which the hall was surely emptied and long enough for everyone to know.
+    /// Periods in which no task may start in the hall.
     closed_periods: Vec<(Instant, Instant)>,
     acknowledged: u32,
 }
 
 impl HallCommands {
-    /// Sends one order until it is acknowledged or the run is over; copies follow lost answers.
+    /// Sends one command until it is acknowledged or the run is over; repeats it after a lost
+    /// answer.
     fn send(&mut self, fleet: &Fleet, takes_work: bool, until: Instant) {
         if takes_work {
             self.reopen(Instant::now());
@@ -182,7 +188,7 @@
         }
     }
 
-    /// The hall may take work from now on.
+    /// Ends the period in which the hall is closed.
     fn reopen(&mut self, now: Instant) {
         if let Some(since) = self.emptied_since.take()
             && now > since + EFFECT_TIME_UNDER_FAULTS
@@ -192,8 +198,8 @@
     }
 }
 
-/// A run of a seed: processes are killed, stopped and paused while orders for a hall come and callers press. The last
-/// order empties the hall, and stands while faults go on.
+/// Runs one seed: injects faults into processes while clients submit jobs and an operator sends
+/// commands. The last command empties the hall and stays in effect while faults go on.
 fn run(seed: u64) -> (Vec<String>, u32) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let fleet = Fleet::with_keeper_in_memory(2, 4);
@@ -216,7 +222,7 @@
                 while Instant::now() < end {
                     id += 1;
                     let entry = (id % 2) as usize;
-                    // Whatever it is told; an entry may be away.
+                    // The answer does not matter; the entry may be down.
                     drop(fleet.submit_job_within(entry, id, 3, 60, CLIENT_TIMEOUT));
                     std::thread::sleep(Duration::from_millis(10));
                 }
@@ -246,7 +252,7 @@
     commands.reopen(Instant::now());
     let mut faults = Vec::new();
     for (target, _) in targets.iter().zip(halls).filter(|(_, hall)| *hall == "north") {
-        let observed = target.observed.lock().expect("no panic");
+        let observed = target.observed.lock().expect("the mutex is not poisoned");
         for task_run in &observed.runs {
             let inside = |(from, to): &(Instant, Instant)| {
                 task_run.started > *from && task_run.started < *to
@@ -269,14 +275,13 @@
         acknowledged += commands;
         faults.extend(found.iter().map(|fault| format!("seed {seed}: {fault}")));
     }
-    println!("{acknowledged} orders acknowledged");
+    println!("{acknowledged} commands acknowledged");
     assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), faults.join("\n"));
-    assert!(acknowledged > 0, "no order was acknowledged");
+    assert!(acknowledged > 0, "no command was acknowledged");
 }
 
-/// An operator gives up an order that is held up on its way, closes the connection, and has the opposite one acknowledged;
-/// then the first arrives, with the end of its connection behind it. Orders have no version by which a late copy could be
-/// known, but what a sender that has left has sent is not carried out. The soak of keepers takes it for so.
+/// Guards against a delayed command that is executed after its operator has closed the connection
+/// and sent the opposite one.
 #[test]
 fn a_command_from_a_disconnected_operator_is_not_executed() {
     let fleet = Fleet::new(1);
@@ -284,16 +289,17 @@
     fleet.configure(7);
     for path in ["/evacuations/north/start", "/v1/halls/north/empty"] {
         send_until_acknowledged(&fleet, "/evacuations/north/finish");
-        let mut late = TcpStream::connect(fleet.keeper_address()).expect("it listens");
-        // The end of the connection arrives with the order, as after a delay on its way.
-        SockRef::from(&late).set_tcp_cork(true).expect("it is a TCP socket");
+        let mut late =
+            TcpStream::connect(fleet.keeper_address()).expect("the address accepts connections");
+        // Corking sends the command together with the end of the connection, as after a delay.
+        SockRef::from(&late).set_tcp_cork(true).expect("the socket option is set");
         let request = format!("POST {path} HTTP/1.1\r\nHost: k\r\nContent-Length: 0\r\n\r\n");
-        late.write_all(request.as_bytes()).expect("it is sent");
+        late.write_all(request.as_bytes()).expect("the command is sent");
         drop(late);
-        // A later order shows that whatever came before it has been carried out.
+        // The acknowledgement of a later command shows that earlier ones have been processed.
         send_until_acknowledged(&fleet, "/evacuations/south/start");
         let halls = call(fleet.keeper_address(), "GET", "/v1/halls", "", ANSWER_TIMEOUT)
-            .expect("it is answered");
+            .expect("the request is answered");
         assert!(halls.body.contains("\"south\"") && !halls.body.contains("\"north\""), "{halls:?}");
         send_until_acknowledged(&fleet, "/evacuations/south/finish");
     }
--- a/daemon/tests/fault_injection.rs
+++ b/daemon/tests/fault_injection.rs
@@ -1,16 +1,12 @@
-//! Short seeded runs of real processes under faults from outside, in series that overlap, while
-//! clients hand in jobs and send again what broke. Processes are killed, stopped by plan, paused and
-//! started again by signals; links between them are delayed, held back one way or both, and reset by
-//! a proxy, or single connections between agents and entries, agents and targets go silent for good,
-//! or configurations of megabytes follow each other while links are slow.
+//! Seeded runs of real processes under overlapping faults: signals to processes, link faults,
+//! silent connections, and large configurations over slow links.
 //!
-//! `DOCKPASS_FAULT_SEEDS=FIRST..END` (signals alone), `DOCKPASS_LINK_SEEDS=FIRST..END` (signals and
-//! links), `DOCKPASS_SILENT_SEEDS=FIRST..END` (signals and silent connections) and
-//! `DOCKPASS_LARGE_SEEDS=FIRST..END` (signals and large configurations) run other seeds by
-//! hand; `DOCKPASS_LINK_ENTRIES`, `DOCKPASS_LINK_AGENTS` and `DOCKPASS_LINK_CLIENTS` larger fleets
-//! with links.
+//! `DOCKPASS_FAULT_SEEDS` (signals only), `DOCKPASS_LINK_SEEDS` (with link faults),
+//! `DOCKPASS_SILENT_SEEDS` (with silent connections) and `DOCKPASS_LARGE_SEEDS` (with large
+//! configurations) select other seeds as `FIRST..END`; `DOCKPASS_LINK_ENTRIES`,
+//! `DOCKPASS_LINK_AGENTS` and `DOCKPASS_LINK_CLIENTS` set the size of fleets with proxies.
 
-// Spans that a test measures or waits.
+// Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
 
 mod support;
@@ -29,36 +25,35 @@
 
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 const AGENTS: usize = 3;
-/// Entries of a fleet with links.
+/// Entries of a fleet with proxies.
 const ENTRIES: usize = 2;
-/// How long faults strike.
+/// Time during which faults are injected.
 const FAULTS_TIME: Duration = Duration::from_secs(4);
-/// How long after a broken try a client sends again.
+/// Delay before a client retries a request.
 const RETRY_DELAY: Duration = Duration::from_millis(1_300);
 const CLIENTS: u64 = 6;
-/// How long a client waits for an answer.
+/// Timeout of a client.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Most tries of a client.
+/// Maximum number of tries per job.
 const MAX_TRIES: u32 = 3;
 
-/// Seeds that failed once, all three for one cause in the stand-in: it let a lease run out only when
-/// it was asked, so that what had lapsed while its agent was away seemed to run on.
+/// Seeds that failed when the fake target expired leases only on incoming commands.
 const REGRESSIONS: [u64; 3] = [128, 137, 149];
-/// Seeds that failed once with links.
+/// Seeds that failed with link faults.
 const LINK_REGRESSIONS: [u64; 0] = [];
-/// Seeds that failed once with silent connections.
+/// Seeds that failed with silent connections.
 const SILENT_REGRESSIONS: [u64; 0] = [];
-/// Seeds that failed once with large configurations.
+/// Seeds that failed with large configurations.
 const LARGE_REGRESSIONS: [u64; 0] = [];
 
-/// What happens to the links of a fleet.
+/// Kind of faults injected into the links of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkFaults {
     None,
     Mixed,
-    /// Connections go silent for good.
+    /// Connections go silent permanently.
     Silent,
-    /// They are slow, and large configurations come.
+    /// Links are slow while large configurations are sent.
     Slow,
 }
 
@@ -127,35 +122,38 @@
     fleet.wait_until_ready();
     fleet.wait_for_version(configurations.acknowledged);
     let mut id = 0xcafe_0000;
-    eventually("jobs are served after the faults", || {
+    eventually("jobs are completed after the faults", || {
         id += 1;
         fleet.submit_job(id, 3, 50).is_some_and(|answer| answer.body == COMPLETED)
     });
     let observed_runs = ObservedRuns::of(&targets);
     let completed = answers.completed.into_inner().expect("no client panicked");
-    assert!(!completed.is_empty(), "seed {seed}: nothing was served");
+    assert!(!completed.is_empty(), "seed {seed}: no job was completed");
     for (id, count, at) in completed {
         let done = observed_runs.done_by(&id, at);
-        assert!(done >= count, "seed {seed}: job {id} was completed with {done} of {count} done");
+        assert!(
+            done >= count,
+            "seed {seed}: job {id} reported completed with {done} of {count} tasks done"
+        );
     }
     for id in answers.not_run.lock().expect("no client panicked").iter() {
         let starts = observed_runs.starts_of(id);
-        assert_eq!(starts, 0, "seed {seed}: job {id} was said not to have run");
+        assert_eq!(starts, 0, "seed {seed}: job {id} was refused but its tasks were started");
     }
     let overlapping = checks::overlapping_runs(&targets);
-    assert!(overlapping.is_empty(), "seed {seed}: run twice at once: {overlapping:?}");
+    assert!(overlapping.is_empty(), "seed {seed}: tasks with overlapping runs: {overlapping:?}");
 }
 
-/// What clients were answered.
+/// Answers that clients received.
 #[derive(Default)]
 struct Answers {
-    /// Jobs that were completed, their tasks, and when the answer came.
+    /// Completed jobs: identifier, number of tasks, and time of the answer.
     completed: Mutex<Vec<(String, usize, Instant)>>,
-    /// Jobs that every try was told of that they did not run.
+    /// Jobs refused at their first try, which must never run.
     not_run: Mutex<Vec<String>>,
 }
 
-/// Hands in one job after the other; sends again what broke off or may have run.
+/// Submits jobs one after the other; retries those without an answer or that may have run.
 fn submit_jobs(fleet: &Fleet, seed: u64, client: u64, finished: &AtomicBool, answers: &Answers) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed * 1_000 + client);
     let mut number = 0;
@@ -168,7 +166,7 @@
             let answer = fleet.submit_job_within(entry, id, count, work_ms, CLIENT_TIMEOUT);
             match answer.map(|answer| (answer.status, answer.body)) {
                 Some((200, body)) => {
-                    // The stand-ins fail nothing, so that nothing else is true.
+                    // No task fails here, so no other body is correct.
                     assert_eq!(body, COMPLETED, "seed {seed}, job {id:016x}");
                     let mut completed = answers.completed.lock().expect("no client panicked");
                     completed.push((format!("{id:016x}"), count as usize, Instant::now()));
@@ -188,7 +186,7 @@
     }
 }
 
-/// Strikes one process after the other, without waiting for the last to be back.
+/// Injects faults one after the other, without waiting for recovery.
 fn inject_faults(
     fleet: &Fleet,
     processes: &mut [FaultyProcess],
@@ -220,29 +218,29 @@
     }
 }
 
-/// The version that a fleet begins with.
+/// Version of the initial configuration.
 const FIRST_VERSION: u64 = 7;
 
-/// The configurations that operators have sent.
+/// Versions of the configurations sent.
 struct Configurations {
     sent: u64,
-    /// The highest version that was acknowledged: it is to be in force everywhere.
+    /// Highest acknowledged version, which must reach every entry.
     acknowledged: u64,
 }
 
 impl Configurations {
-    /// Sends the next version, so many bytes longer than it need be.
+    /// Sends the next version with padding.
     fn send_large(&mut self, fleet: &Fleet, padding: usize) {
         self.sent += 1;
         let acknowledged = fleet.try_configure(self.sent, padding);
-        println!("{:.3}: version {}, {acknowledged}", unix_seconds(), self.sent);
+        println!("{:.3}: version {}, acknowledged: {acknowledged}", unix_seconds(), self.sent);
         if acknowledged {
             self.acknowledged = self.sent;
         }
     }
 }
 
-/// A link carries so little for a while that a configuration takes a second and more.
+/// Limits a link so that a large configuration takes seconds.
 fn slow_link(fleet: &Fleet, rng: &mut ChaCha8Rng, until: Instant) {
     let number = rng.random_range(0..fleet.proxies().len());
     let bytes_per_s = rng.random_range(250_000..4_000_000);
@@ -250,7 +248,7 @@
     fleet.proxies()[number].inject(Fault::Slow(bytes_per_s), Direction::Both, until);
 }
 
-/// How many of the faults strike links, where there are any.
+/// Share of link faults among all faults.
 const LINK_FAULT_PROBABILITY: f64 = 0.6;
 
 fn inject_link_fault(fleet: &Fleet, rng: &mut ChaCha8Rng, until: Instant) {
@@ -270,7 +268,7 @@
     link.inject(fault, direction, until);
 }
 
-/// Silences one connection or all between agents and an entry, or between an agent and its target.
+/// Silences one or all connections between agents and an entry, or between an agent and its target.
 fn silence_connections(fleet: &Fleet, rng: &mut ChaCha8Rng) {
     let of_sessions = rng.random_bool(0.5);
     let proxies: Vec<&Proxy> = match of_sessions {
@@ -280,7 +278,7 @@
     let number = rng.random_range(0..proxies.len());
     let silence = if rng.random_bool(0.5) { Silence::Dropped } else { Silence::NotRead };
     let all = rng.random_bool(0.5);
-    let kind = if of_sessions { "sessions" } else { "orders" };
+    let kind = if of_sessions { "sessions" } else { "commands" };
     println!("{:.3}: {kind} {number}: {silence:?}, all: {all}", unix_seconds());
     match all {
         true => {
--- a/daemon/tests/large_documents.rs
+++ b/daemon/tests/large_documents.rs
@@ -1,6 +1,6 @@
-//! Large configurations over slow links, between real processes.
+//! Large configurations over slow links between real processes.
 
-// Spans that a test measures or waits.
+// Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
 
 use std::net::{SocketAddr, TcpListener};
@@ -24,12 +24,12 @@
 
 mod support;
 
-/// The port at which the processes of a fleet reach each other.
+/// Port for connections between the processes of a fleet.
 const NODE_PORT: u16 = 7_101;
-/// How long a keeper lets a node wait for news.
+/// Time after which a watch without changes is answered.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A keeper that has one configuration at a time.
+/// A fake keeper that serves one configuration.
 #[derive(Clone)]
 struct FakeKeeper(Arc<Mutex<Document>>);
 
@@ -39,11 +39,11 @@
     }
 
     fn current(&self) -> Document {
-        self.0.lock().expect("nobody panicked with it").clone()
+        self.0.lock().expect("the mutex is not poisoned").clone()
     }
 
     fn replace(&self, version: u64, body: String) {
-        *self.0.lock().expect("nobody panicked with it") = Document::new(version, body);
+        *self.0.lock().expect("the mutex is not poisoned") = Document::new(version, body);
     }
 }
 
@@ -72,18 +72,18 @@
     }
 }
 
-/// Serves nodes on a port of its own for as long as the test runs.
+/// Serves nodes on a free port until the process exits.
 fn start_keeper(keeper: FakeKeeper) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let address = listener.local_addr().expect("the listener is bound");
     thread::spawn(move || net::block_on(|tasks| serve_nodes(listener, keeper, tasks)));
     address
 }
 
 async fn serve_nodes(listener: TcpListener, keeper: FakeKeeper, tasks: Spawner) {
-    let listener = Async::new(listener).expect("it can be waited for");
+    let listener = Async::new(listener).expect("the socket is registered with the reactor");
     loop {
-        let (stream, _) = listener.accept().await.expect("a connection");
+        let (stream, _) = listener.accept().await.expect("a connection is established");
         let channel = BaseChannel::with_defaults(net::framed_transport(stream));
         let (keeper, runner) = (keeper.clone(), tasks.clone());
         tasks.spawn_rpc(async move {
@@ -95,27 +95,23 @@
     }
 }
 
-/// What one connection carries, and a configuration that takes four seconds by it.
+/// Rate of a slow link, at which a large configuration takes seconds.
 const SLOW_LINK_BYTES_PER_S: u64 = 512 * 1024;
 const LARGE_DOCUMENT_BYTES: usize = 2 * 1024 * 1024;
 
-/// A configuration that is as long on its way, where it is packed: with a field that nobody reads.
+/// Creates a configuration that stays large when compressed, by a random field that is ignored.
 fn large_document(version: u64) -> String {
     let mut rng = ChaCha8Rng::seed_from_u64(version);
-    // Less than six bits of each letter are left when it is packed.
+    // Each letter compresses to less than six bits.
     let filler: String =
         (0..LARGE_DOCUMENT_BYTES * 11 / 8).map(|_| rng.random_range('#'..='[')).collect();
     let body = document(version);
-    let body = body.strip_suffix('}').expect("an object");
+    let body = body.strip_suffix('}').expect("the document is an object");
     format!(r#"{body},"filler":"{filler}"}}"#)
 }
 
-/// Users saw requests for new routes rejected as unknown 12 s after their configuration was acknowledged. The order of
-/// events: a configuration of 845 kB came into force while the link of an entry was busy; the entry asked a keeper
-/// for it, gave the keeper up as silent after 1.7 s while the answer was still coming, connected anew, and asked for all
-/// of it again, and so at every keeper in turn. The cause: the time for an answer did not depend on what was asked for,
-/// and nothing of an answer that was cut off counted. The evidence: 105 of the 134 keepers that entries gave up in one
-/// run had been asked for a configuration, and nothing else was the matter with them.
+/// Guards against an answer timeout that does not allow for the size of a configuration, so that
+/// each transfer is aborted and restarted.
 #[test]
 fn a_configuration_that_takes_seconds_to_transfer_reaches_an_entry() {
     let fleet = Fleet::new(1);
@@ -125,7 +121,7 @@
     fleet.wait_for_version(1);
 }
 
-/// Between a keeper and the nodes of a fleet.
+/// Starts a slow link between a keeper and the nodes of a fleet.
 fn slow_link(fleet: &Fleet, keeper: SocketAddr) -> Proxy {
     let link = Proxy::start(SocketAddr::new(fleet.keeper_address().ip(), NODE_PORT), keeper);
     let until = Instant::now() + Duration::from_secs(60);
@@ -133,9 +129,8 @@
     link
 }
 
-/// Users saw requests for a new route answered with 404 while the configuration that has it was on its way to the entry,
-/// which knew that: clients take that answer for final. They are told to come back; once the entry has the newest, what
-/// is not in it is unknown.
+/// Guards against a final 404 for a new route while its configuration is in transfer. Clients are
+/// asked to retry instead.
 #[test]
 fn an_unknown_route_is_retried_while_a_newer_configuration_is_in_transfer() {
     let fleet = Fleet::new(1);
@@ -144,11 +139,17 @@
     let _entry = fleet.start("entry");
     fleet.wait_for_version(1);
     let unknown = || call(fleet.entry_address(), "GET", "/new/", "", Duration::from_secs(1));
-    eventually("it listens", || unknown().is_some());
-    assert_eq!(unknown().map(|answer| answer.status), Some(404), "it has the newest");
+    eventually("the entry accepts connections", || unknown().is_some());
+    assert_eq!(
+        unknown().map(|answer| answer.status),
+        Some(404),
+        "the entry has the newest configuration"
+    );
     keeper.replace(2, large_document(2));
-    eventually("it is told", || unknown().is_some_and(|answer| answer.status == 503));
-    let answer = unknown().expect("an answer");
+    eventually("the entry knows of the newer configuration", || {
+        unknown().is_some_and(|answer| answer.status == 503)
+    });
+    let answer = unknown().expect("the request is answered");
     assert_eq!(answer.status, 503);
     assert!(answer.head.contains("retry-after: 1"), "{}", answer.head);
     fleet.wait_for_version(2);
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -1,9 +1,10 @@
-//! Connections between our processes that go silent for good, without a reset, while new ones work.
-//! The kernel of the other host may go on acknowledging, so that only an answer shows life.
+//! Connections between processes that go silent permanently, without a reset, while new ones work.
+//! The kernel of the peer may still acknowledge data, so only an answer shows that the peer is
+//! alive.
 //!
-//! Each stand-in takes connections over real sockets and reads or does not read; none answers.
+//! The fake peers accept connections over real sockets and never answer.
 
-// Spans that a test measures or waits.
+// Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
 
 use std::io::Read;
@@ -41,21 +42,21 @@
 #[allow(dead_code)]
 mod session;
 
-/// Longest wait for anything that is to come about.
+/// Longest wait for an expected event.
 const TIMEOUT: Duration = Duration::from_secs(15);
-/// A message between keepers that is to get through does so in less than this, whatever goes silent.
+/// Time in which a message between keepers arrives although a connection is silent.
 const REPLACED_WITHIN: Duration = Duration::from_secs(2);
-/// Far below the time after which the kernel gives up a connection whose bytes are not taken.
+/// Far below the timeout of the kernel for unacknowledged data.
 const ENDED_WITHIN: Duration = Duration::from_millis(500);
 
 fn listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let address = listener.local_addr().expect("the listener is bound");
     (listener, address)
 }
 
-/// Takes connections, reads all that comes and answers nothing; tells when a connection brought its
-/// first bytes.
+/// Accepts connections and reads from them without answering; reports when the first bytes of each
+/// connection arrived.
 fn start_silent_reader() -> (SocketAddr, Receiver<Instant>) {
     let (listener, address) = listener();
     (address, read_without_answering(listener))
@@ -65,11 +66,12 @@
     let (first_bytes, received) = mpsc::channel();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, first_bytes) = (stream.expect("a connection"), first_bytes.clone());
+            let (mut stream, first_bytes) =
+                (stream.expect("a connection is established"), first_bytes.clone());
             thread::spawn(move || {
                 let mut chunk = [0; 4_096];
                 if stream.read(&mut chunk).is_ok_and(|read| read > 0) {
-                    // The test may have ended.
+                    // The test may have finished and dropped the receiver.
                     let _ = first_bytes.send(Instant::now());
                 }
                 while stream.read(&mut chunk).is_ok_and(|read| read > 0) {}
@@ -79,7 +81,7 @@
     received
 }
 
-/// Runs a keeper's thread that sends to others, until the ring of its inputs is dropped.
+/// Runs the sender of a keeper until its input channel is dropped.
 fn start_sender() -> async_channel::Sender<ToPeers> {
     let (inputs, taken) = async_channel::bounded(64);
     thread::spawn(move || {
@@ -91,11 +93,8 @@
     inputs
 }
 
-/// What users would see: a change of the configuration is not acknowledged, or nobody leads, though
-/// every keeper is up and reachable. The order of events: the connections of a keeper to others go
-/// silent; each message waits for the answer to the one before it, which never comes; the other keepers
-/// hear of it no more. The cause: a call between keepers had no time-out but that of the kernel, which
-/// counts only what is not acknowledged.
+/// Guards against calls between keepers without a timeout, which block later messages on a silent
+/// connection.
 #[test]
 fn a_message_reaches_a_keeper_over_a_new_connection_after_the_old_one_goes_silent() {
     let (address, received) = start_silent_reader();
@@ -106,13 +105,13 @@
         inputs.send_blocking(message).expect("the sender runs");
     };
     send();
-    let first = received.recv_timeout(TIMEOUT).expect("the first connection");
+    let first = received.recv_timeout(TIMEOUT).expect("the first connection is opened");
     send();
-    let second = received.recv_timeout(TIMEOUT).expect("a second connection, and no reset");
+    let second = received.recv_timeout(TIMEOUT).expect("a second connection is opened");
     assert!(second - first < REPLACED_WITHIN, "after {:?}", second - first);
 }
 
-/// A keeper that says that it has each message.
+/// A keeper that acknowledges every message.
 #[derive(Clone)]
 struct AcknowledgingKeeper;
 
@@ -132,44 +131,41 @@
     }
 }
 
-/// How long an answer may take to leave. Where it takes longer the other side sees a broken call, and
-/// the test shows less.
+/// Time for an answer to be sent before the connection is closed.
 const ANSWER_FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// Takes one message over each connection, answers it, and ends the connection; tells of it once the
-/// other side has ended it too.
+/// Accepts one message per connection, answers it and closes the connection; reports when the peer
+/// has closed it too.
 async fn serve_one_message_per_connection(
     listener: TcpListener,
     tasks: Spawner,
     taken: mpsc::Sender<()>,
 ) {
-    let listener = Async::new(listener).expect("it can be waited for");
+    let listener = Async::new(listener).expect("the socket is registered with the reactor");
     loop {
-        let (stream, _) = listener.accept().await.expect("a connection");
+        let (stream, _) = listener.accept().await.expect("a connection is established");
         let (tasks, taken) = (tasks.clone(), taken.clone());
         tasks.clone().spawn_rpc(async move {
-            let raw = stream.get_ref().try_clone().expect("a second handle");
-            let mut raw = Async::new(raw).expect("it can be waited for");
+            let raw = stream.get_ref().try_clone().expect("the socket handle is duplicated");
+            let mut raw = Async::new(raw).expect("the socket is registered with the reactor");
             let channel = BaseChannel::with_defaults(net::framed_transport(stream));
             let mut calls = std::pin::pin!(channel.execute(AcknowledgingKeeper.serve()));
-            let call = calls.next().await.expect("a message");
+            let call = calls.next().await.expect("a message arrives");
             tasks.spawn_rpc(call);
             let answered = async {
                 net::sleep(ANSWER_FLUSH_TIME).await;
                 None
             };
             calls.next().or(answered).await;
-            raw.get_ref().shutdown(Shutdown::Write).expect("it is open");
+            raw.get_ref().shutdown(Shutdown::Write).expect("the connection is open");
             while raw.read(&mut [0; 64]).await.is_ok_and(|read| read > 0) {}
-            // The test may have ended.
+            // The test may have finished and dropped the receiver.
             let _ = taken.send(());
         });
     }
 }
 
-/// What operators would see: a vote or an entry that comes seconds late. The order of events: nothing is
-/// said for a while, the other keeper closes the connection, and the next message is given to it. The
-/// cause: the connection was opened before there was a message, and its end seen only by the next.
+/// Guards against a message that is lost because its idle connection was closed by the peer.
 #[test]
 fn no_message_is_lost_on_a_connection_closed_by_its_peer() {
     let (listener, address) = listener();
@@ -186,19 +182,19 @@
     }
 }
 
-/// Bytes of one large message between keepers: more than the buffers of both kernels hold.
+/// Size of a message that exceeds the buffers of both kernels.
 const LARGE_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
-/// How much of it a slow link carries at once,
+/// Bytes read at once on a slow link.
 const SLOW_LINK_CHUNK: usize = 64 * 1024;
-/// and the pause after each: in all about 4 MB a second.
+/// Pause after each read on a slow link.
 const SLOW_LINK_PAUSE: Duration = Duration::from_millis(16);
 
-/// A keeper that is behind gets the whole state in one message. Where that is taken for silence, it is
-/// cut off and begun again for ever.
+/// Guards against a large message that is aborted and restarted forever because its transfer is
+/// taken for silence.
 #[test]
 fn a_large_message_over_a_slow_link_does_not_time_out() {
     let (listener, address) = listener();
-    SockRef::from(&listener).set_recv_buffer_size(SLOW_LINK_CHUNK).expect("a small buffer");
+    SockRef::from(&listener).set_recv_buffer_size(SLOW_LINK_CHUNK).expect("the buffer size is set");
     let to = NodeName::new(&address.to_string());
     let inputs = start_sender();
     let entry =
@@ -213,44 +209,40 @@
         leader_confirmed: false,
     };
     inputs.send_blocking(ToPeers::Message(to, append)).expect("the sender runs");
-    let (mut stream, _) = listener.accept().expect("a connection");
+    let (mut stream, _) = listener.accept().expect("a connection is established");
     let mut taken = 0;
     let mut chunk = vec![0; SLOW_LINK_CHUNK];
     while taken < LARGE_MESSAGE_BYTES {
-        let read = stream.read(&mut chunk).expect("it is not reset");
-        assert!(read > 0, "cut off after {taken} bytes");
+        let read = stream.read(&mut chunk).expect("the connection is not reset");
+        assert!(read > 0, "closed after {taken} bytes");
         taken += read;
         thread::sleep(SLOW_LINK_PAUSE * read as u32 / SLOW_LINK_CHUNK as u32);
     }
 }
 
-/// What users would see: an entry finds no room at a target that is well, for seconds. The order of
-/// events: the connection between the agent and the entry goes silent while a large configuration or
-/// many reports are on their way over it; either side takes the session for dead in time and closes
-/// it; but the task that writes waits for the connection to take more, so that the connection stays
-/// and the agent does not connect again. The cause: closing a session ended only what waited for the
-/// next message to send.
+/// Guards against a closed session whose connection stays open because its writer is blocked.
 #[test]
 fn a_closed_session_ends_although_its_peer_reads_nothing() {
     let (listener, address) = listener();
     let (outgoing, waiting) = SessionSender::<Vec<u8>>::new();
-    // More than the buffers of both kernels hold, and less than the longest frame.
+    // Exceeds the buffers of both kernels, within the frame size limit.
     for _ in 0..16 {
         assert!(outgoing.send(vec![0; 1024 * 1024]));
     }
     let ended = net::block_on(|tasks| async move {
-        let stream = Async::<TcpStream>::connect(address).await.expect("a connection");
-        let _unread = listener.accept().expect("the other side of it");
+        let stream =
+            Async::<TcpStream>::connect(address).await.expect("a connection is established");
+        let _unread = listener.accept().expect("the connection is accepted");
         let (end_guard, ended_signal) = async_channel::bounded::<()>(1);
         tasks.spawn(async move {
             session::run(stream, waiting, |_: ()| {}).await;
             drop(end_guard);
         });
-        // It writes what it can.
+        // Lets the session fill the buffers.
         net::sleep(Duration::from_millis(100)).await;
         drop(outgoing);
         let ended = async {
-            // Nothing is sent; it fails once the other half is dropped.
+            // Returns an error once the session has ended and dropped the sender.
             let _ = ended_signal.recv().await;
             true
         };
@@ -263,39 +255,39 @@
     assert!(ended, "the connection is still open {ENDED_WITHIN:?} after the session was closed");
 }
 
-/// What operators would see: a keeper that takes no connections any more. The order of events:
-/// connections of nodes go silent, the nodes connect anew, and the keeper, to which nobody says
-/// that the old ones are over, keeps them until it has no descriptor left. The cause: a keeper never
-/// closed a connection over which nothing came.
+/// Guards against a keeper that runs out of file descriptors because it never closes silent
+/// connections.
 #[test]
 fn a_keeper_closes_an_idle_connection() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let file = folder.path().join("keeper.ini");
     let text = format!(
         "[node]\nname = k1\nroles = keeper\n[keeper]\nlisten = 127.0.0.1:0\n\
          node_listen = 127.0.0.1:0\ndata = {}\n",
         folder.path().display()
     );
-    std::fs::write(&file, text).expect("the file is written");
-    let config = Config::load(&file).expect("it is valid");
-    let (node, config) = (config.node, config.keeper.expect("a keeper"));
-    init_keeper(&node, &config).expect("the cluster is begun");
-    let keeper = KeeperHandle::start(KeeperOptions::new(node, config)).expect("it starts");
-    let mut silent = TcpStream::connect(keeper.node_address()).expect("it listens");
-    silent.set_read_timeout(Some(TIMEOUT)).expect("a time above none");
+    std::fs::write(&file, text).expect("the configuration file is written");
+    let config = Config::load(&file).expect("the configuration is valid");
+    let (node, config) =
+        (config.node, config.keeper.expect("the configuration has a keeper section"));
+    init_keeper(&node, &config).expect("the cluster is initialized");
+    let keeper = KeeperHandle::start(KeeperOptions::new(node, config)).expect("the keeper starts");
+    let mut silent =
+        TcpStream::connect(keeper.node_address()).expect("the address accepts connections");
+    silent.set_read_timeout(Some(TIMEOUT)).expect("the timeout is not zero");
     let read = silent.read_to_end(&mut Vec::new());
-    assert!(read.is_ok_and(|read| read == 0), "it is still open after {TIMEOUT:?}");
+    assert!(read.is_ok_and(|read| read == 0), "the connection is still open after {TIMEOUT:?}");
     keeper.stop();
 }
 
-/// The port at which the processes of a fleet reach each other.
+/// Port for connections between the processes of a fleet.
 const NODE_PORT: u16 = 7_101;
-/// After a broken try clients send again so much later: by then no run of the first may be left.
+/// Delay after which clients retry; no earlier run may be left by then.
 const CLIENT_RETRY_DELAY: Duration = Duration::from_millis(1_300);
-/// A node hears from a keeper whose connection went silent in less than this.
+/// Time in which a node replaces a silent connection to a keeper.
 const WATCH_REPLACED_WITHIN: Duration = Duration::from_millis(2_500);
 
-/// Registers an entry at a keeper.
+/// Registers an entry with a keeper.
 fn register_entry(keeper: SocketAddr, entry: SocketAddr) {
     let node = NodeInfo {
         name: NodeName::new("stand-in"),
@@ -312,7 +304,7 @@
             net::framed_transport(stream),
         );
         tasks.spawn_rpc(async move {
-            // The call sees why it ended.
+            // The call itself reports the error.
             let _ = dispatch.await;
         });
         let reply = client.watch(net::call_context(), request).await;
@@ -320,8 +312,7 @@
     });
 }
 
-/// An agent stops what it runs for an entry that it does not hear, and connects anew, before clients
-/// send again.
+/// Guards against an agent that keeps a silent session, and its tasks, until clients retry.
 #[test]
 fn an_agent_replaces_a_silent_session_before_clients_retry() {
     let fleet = Fleet::new(1);
@@ -331,12 +322,12 @@
     let (entry, received) = start_silent_reader();
     register_entry(keeper, entry);
     let _agent = fleet.start("agent0");
-    let first = received.recv_timeout(TIMEOUT).expect("a session");
-    let second = received.recv_timeout(TIMEOUT).expect("a second session");
+    let first = received.recv_timeout(TIMEOUT).expect("the agent opens a session");
+    let second = received.recv_timeout(TIMEOUT).expect("the agent opens a second session");
     assert!(second - first < CLIENT_RETRY_DELAY, "after {:?}", second - first);
 }
 
-/// An entry closes the session of an agent that it does not hear.
+/// Guards against an entry that keeps a silent session until clients retry.
 #[test]
 fn an_entry_closes_a_silent_session_before_clients_retry() {
     let fleet = Fleet::new(1);
@@ -344,22 +335,21 @@
     let sessions = SocketAddr::new(fleet.entry_address().ip(), NODE_PORT);
     eventually("the entry listens", || TcpStream::connect(sessions).is_ok());
     let started = Instant::now();
-    let mut session = TcpStream::connect(sessions).expect("it listens");
-    session.set_read_timeout(Some(TIMEOUT)).expect("a time above none");
+    let mut session = TcpStream::connect(sessions).expect("the address accepts connections");
+    session.set_read_timeout(Some(TIMEOUT)).expect("the timeout is not zero");
     let mut frames = Vec::new();
-    session.read_to_end(&mut frames).expect("it is closed, not reset");
+    session.read_to_end(&mut frames).expect("the connection is closed, not reset");
     assert!(started.elapsed() < CLIENT_RETRY_DELAY, "after {:?}", started.elapsed());
 }
 
-/// A node asks a keeper over a new connection once the old one has gone silent.
+/// Guards against a node that waits forever on a silent connection to a keeper.
 #[test]
 fn a_silent_watch_is_replaced_in_bounded_time() {
     let fleet = Fleet::new(1);
     let keeper = SocketAddr::new(fleet.keeper_address().ip(), NODE_PORT);
-    let received =
-        read_without_answering(TcpListener::bind(keeper).expect("the fleet's own address"));
+    let received = read_without_answering(TcpListener::bind(keeper).expect("the address is free"));
     let _agent = fleet.start("agent0");
-    let first = received.recv_timeout(TIMEOUT).expect("a watch");
-    let second = received.recv_timeout(TIMEOUT).expect("a second one");
+    let first = received.recv_timeout(TIMEOUT).expect("the agent opens a watch");
+    let second = received.recv_timeout(TIMEOUT).expect("the agent opens a second watch");
     assert!(second - first < WATCH_REPLACED_WITHIN, "after {:?}", second - first);
 }
--- a/daemon/tests/suspended_client.rs
+++ b/daemon/tests/suspended_client.rs
@@ -1,7 +1,6 @@
-//! Callers of the tests while the process of the test itself is suspended for a moment, as a host does that saves or
-//! moves what runs on it.
+//! The tests' own client while its process is suspended, as by a host that saves or migrates it.
 
-// Spans that a test measures or waits.
+// Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
 
 mod support;
@@ -15,10 +14,10 @@
 use support::keep_alive::{KeepAliveConnection, job_request};
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
-/// Longest wait for the answer, which comes right after the pause.
+/// Timeout for the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Suspends this process and lets it go on.
+/// Suspends this process and resumes it.
 fn suspend() {
     let own = std::process::id();
     let script = format!("sleep 0.2; kill -STOP {own}; sleep 0.1; kill -CONT {own}");
@@ -26,26 +25,24 @@
     assert!(ended.success());
 }
 
-/// Three callers of entries that stopped by plan were said to have lost their connections, at the same moment and while
-/// all processes were up.
-///
-/// Cause: on Linux a read with a time limit ends with `EINTR` where its process is suspended and goes on, and the
-/// tests' client took that for the end of the connection. Evidence: `planned_stop` fails at the same lines where its
-/// process is suspended for 50 ms while they wait, and passes undisturbed.
+/// Guards against a client that takes the `EINTR` of a timed read after a suspension for the end of
+/// the connection.
 #[test]
-fn a_caller_whose_process_is_suspended_as_it_waits_reads_its_answer() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+fn a_client_suspended_while_waiting_reads_its_answer() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let address = listener.local_addr().expect("the listener is bound");
     let server = thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("the caller connects");
+        let (mut stream, _) = listener.accept().expect("the client connects");
         suspend();
-        stream.write_all(ANSWER).expect("the caller is there");
-        // Open until the answer is read: the caller closes.
+        stream.write_all(ANSWER).expect("the client is connected");
+        // Keeps the connection open until the client has read the answer.
         stream
     });
-    let mut connection = KeepAliveConnection::open(address).expect("it listens");
-    let answer =
-        connection.request(&job_request(1, 1, 20, 20), ANSWER_TIMEOUT).expect("it is answered");
+    let mut connection =
+        KeepAliveConnection::open(address).expect("the address accepts connections");
+    let answer = connection
+        .request(&job_request(1, 1, 20, 20), ANSWER_TIMEOUT)
+        .expect("the request is answered");
     assert_eq!((answer.status, answer.body.as_str()), (200, "{}"));
-    drop(server.join().expect("it has answered"));
+    drop(server.join().expect("the server thread does not panic"));
 }
--- a/daemon/tests/target_restarts.rs
+++ b/daemon/tests/target_restarts.rs
@@ -1,10 +1,9 @@
-//! Lives of a target: it crashes and begins a new life at the same address under a new id, and then a
-//! heartbeat of an earlier life arrives. What runs on the new life runs on, and the old one gets no
-//! orders; whether the agent has known the earlier life, was restarted since, or never heard of it.
+//! Runs in which a target crashes and restarts as a new instance at the same address, followed by
+//! late heartbeats of earlier instances. Late heartbeats must not disturb the new instance.
 //!
-//! All runs are seeded; `DOCKPASS_LIFE_SEEDS=FIRST..END` runs other seeds by hand.
+//! All runs are seeded; `DOCKPASS_LIFE_SEEDS=FIRST..END` selects other seeds.
 
-// Spans that a test measures or waits.
+// Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
 
 mod support;
@@ -17,24 +16,22 @@
 use support::checks::{self, ObservedRuns};
 use support::{Answer, FakeTarget, Fleet, eventually, seeds_from_env, unix_seconds};
 
-/// Lives of the target after its first.
+/// Restarts of the target per run.
 const RESTARTS: usize = 4;
-/// How long after the new life was acknowledged the late heartbeats come, in milliseconds.
+/// Delay of the first late heartbeat in milliseconds.
 const HEARTBEAT_DELAY_MS: std::ops::Range<u64> = 0..600;
-/// How many late heartbeats come, and with what pauses between them in milliseconds.
+/// Number of late heartbeats, and the gaps between them in milliseconds.
 const LATE_HEARTBEATS: std::ops::Range<usize> = 1..4;
 const HEARTBEAT_GAP_MS: std::ops::Range<u64> = 0..150;
-/// Orders that were under way when a late heartbeat came may still arrive for so long: one standing
-/// hold (170 ms), and an order that is sent again (40 ms).
+/// Time in which commands in flight at a late heartbeat may still arrive.
 const IN_FLIGHT: Duration = Duration::from_millis(300);
-/// How long the tasks take that run while late heartbeats come, and how many they are.
+/// Run time and number of the tasks that run during late heartbeats.
 const WORK_MS: u64 = 900;
 const TASKS: u32 = 3;
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 
-/// Seeds that failed once, as nearly every one did, for one cause: an agent that had not heard of an
-/// earlier life took its late heartbeat for a new life. It gave up the present one for good, and all
-/// that ran there; what it sent to the earlier life was refused, and it had no target from then on.
+/// Seeds that failed when an agent took a late heartbeat of an earlier instance, unknown to it, for
+/// a new one.
 const REGRESSIONS: [u64; 1] = [3];
 
 #[test]
@@ -47,11 +44,11 @@
     assert!(faults.is_empty(), "{} faults:\n{}", faults.len(), faults.join("\n"));
 }
 
-/// A run proves nothing in which the host held up the fleet: an entry that notices a pause of its own
-/// refuses or gives up what it has, as it should. It is played anew, so often at most.
+/// Maximum number of runs of a seed. A run is repeated if the host stalled a process, as entries
+/// rightly refuse jobs after a stall.
 const MAX_RUNS: u32 = 3;
 
-/// One run of a seed in which the host holds up no process, if there is one; returns what was wrong.
+/// Runs a seed until no process was stalled, if possible; returns the faults found.
 fn run_until_undisturbed(seed: u64) -> Vec<String> {
     let mut faults = Vec::new();
     for _ in 0..MAX_RUNS {
@@ -60,19 +57,18 @@
         if faults.is_empty() || fleet.logged_pauses() == 0 {
             break;
         }
-        println!("seed {seed}: the host held up the fleet: it is played anew");
+        println!("seed {seed}: the host stalled a process; the run is repeated");
     }
     faults
 }
 
-/// How often the agent is killed and started again after the new life was heard: it knows nothing of
-/// earlier lives then.
+/// Probability that the agent is killed and restarted, so that it knows no earlier instance.
 const AGENT_RESTART_PROBABILITY: f64 = 0.4;
-/// How often there was a life between whose heartbeats have all been held up, and its clock.
+/// Probability of an earlier instance whose heartbeats were all delayed, and its clock.
 const UNREPORTED_PROBABILITY: f64 = 0.3;
 const UNREPORTED_CLOCK_MS: std::ops::Range<u64> = 1_000..1_400;
 
-/// A life that is over: its id, and its clock at the end.
+/// An earlier instance and its clock when it ended.
 struct EarlierInstance {
     id: String,
     clock_ms: u64,
@@ -92,7 +88,7 @@
     let mut faults = Vec::new();
     for number in 1..=RESTARTS {
         let id = instance_id(number);
-        println!("{:.3}: the target crashes and is {id}", unix_seconds());
+        println!("{:.3}: the target crashes and restarts as {id}", unix_seconds());
         let clock_ms = target[0].restart(&id);
         earlier.push(EarlierInstance { id: instance_id(number - 1), clock_ms });
         if rng.random_bool(UNREPORTED_PROBABILITY) {
@@ -102,7 +98,7 @@
         }
         wait_until_serving(fleet, &target[0], seed, &mut probes);
         if rng.random_bool(AGENT_RESTART_PROBABILITY) {
-            println!("{:.3}: the agent is killed and started again", unix_seconds());
+            println!("{:.3}: the agent is killed and restarted", unix_seconds());
             agent.take();
             agent = Some(fleet.start("agent0"));
             wait_until_serving(fleet, &target[0], seed, &mut probes);
@@ -113,23 +109,23 @@
     }
     drop(agent);
     let overlapping = checks::overlapping_runs(&target);
-    faults.extend(overlapping.iter().map(|task| format!("{task} ran twice at once")));
+    faults.extend(overlapping.iter().map(|task| format!("{task} had overlapping runs")));
     faults
 }
 
-/// Waits until the new life was heard and serves jobs.
+/// Waits until the agent acknowledged the new instance and it completes jobs.
 fn wait_until_serving(fleet: &Fleet, target: &FakeTarget, seed: u64, probes: &mut u64) {
-    eventually("the new life is acknowledged", || {
-        target.observed.lock().expect("nobody panicked with it").acknowledged.is_some()
+    eventually("the new instance is acknowledged", || {
+        target.observed.lock().expect("the mutex is not poisoned").acknowledged.is_some()
     });
-    eventually("the new life serves jobs", || {
+    eventually("the new instance completes jobs", || {
         let id = (seed << 32) | *probes;
         *probes += 1;
         fleet.submit_job(id, 1, 20).is_some_and(|answer| answer.body == COMPLETED)
     });
 }
 
-/// Late heartbeats come while a job runs, and jobs are handed in after each.
+/// Sends late heartbeats while a job runs, and submits a job after each.
 fn run_job_with_late_heartbeats(
     fleet: &Fleet,
     target: &FakeTarget,
@@ -144,7 +140,9 @@
     let answer = thread::scope(|scope| {
         let job = scope.spawn(|| fleet.submit_job(first, TASKS, WORK_MS));
         let name = format!("{first:016x}");
-        eventually("the job runs", || observed_runs(target).starts_of(&name) == TASKS as usize);
+        eventually("the tasks of the job are running", || {
+            observed_runs(target).starts_of(&name) == TASKS as usize
+        });
         thread::sleep(Duration::from_millis(rng.random_range(HEARTBEAT_DELAY_MS)));
         for heartbeat in 1..=rng.random_range(LATE_HEARTBEATS) {
             let instance = &earlier[rng.random_range(0..earlier.len())];
@@ -155,9 +153,9 @@
             faults.extend(completion_fault("a job after a late heartbeat", &after));
             thread::sleep(Duration::from_millis(rng.random_range(HEARTBEAT_GAP_MS)));
         }
-        job.join().expect("no panic")
+        job.join().expect("the thread does not panic")
     });
-    faults.extend(completion_fault("a job that ran when a late heartbeat came", &answer));
+    faults.extend(completion_fault("a job that ran during a late heartbeat", &answer));
     let observed_runs = observed_runs(target);
     let name = format!("{first:016x}");
     let (starts, done) =
@@ -182,9 +180,10 @@
     }
 }
 
-/// Orders for earlier lives that came more than a moment after each late heartbeat.
+/// Reports commands for earlier instances that arrived outside the allowed time after a late
+/// heartbeat.
 fn misdirected_fault(target: &FakeTarget, late: &[(Instant, String)]) -> Option<String> {
-    let observed = target.observed.lock().expect("nobody panicked with it");
+    let observed = target.observed.lock().expect("the mutex is not poisoned");
     let first = late.first().map(|(at, _)| *at)?;
     let in_flight = |at: &Instant| {
         late.iter().any(|(heartbeat, _)| at >= heartbeat && *at <= *heartbeat + IN_FLIGHT)
@@ -192,5 +191,5 @@
     let misdirected =
         observed.misdirected.iter().filter(|(at, _)| *at > first && !in_flight(at)).count();
     (misdirected > 0)
-        .then(|| format!("{misdirected} orders for earlier lives long after late heartbeats"))
+        .then(|| format!("{misdirected} commands for earlier instances long after late heartbeats"))
 }
