--- a/daemon/tests/keeper_cluster/mod.rs
+++ b/daemon/tests/keeper_cluster/mod.rs
@@ -47,7 +47,7 @@
 impl Keepers {
     pub fn start(count: usize, tolerated_losses: usize) -> Self {
         let folder = create_folder();
-        // Each cluster uses its own loopback network, so that ports never collide.
+        // Each cluster uses its own loopback network to avoid port collisions.
         let (pid, cluster) = (std::process::id(), CLUSTERS.fetch_add(1, Ordering::Relaxed));
         let network = format!("127.{}.{}", 1 + pid % 250, 1 + (pid / 250 + 97 * cluster) % 250);
         let processes = (0..count).map(|_| None).collect();
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -128,7 +128,7 @@
     fn create(entries: usize, agents: usize, proxies: bool, data: TempDir) -> Self {
         let number = FLEETS.fetch_add(1, Ordering::Relaxed) + 1;
         let pid = std::process::id();
-        // Each fleet uses its own loopback network, so that ports never collide.
+        // Each fleet uses its own loopback network to avoid port collisions.
         let network = format!("127.{}.{}", 1 + pid % 250, 1 + (pid / 250 + number * 31) % 250);
         let folder = temporary_folder();
         let logs = std::env::var_os(LOGS_VARIABLE).map(PathBuf::from);
--- a/daemon/tests/target_restarts.rs
+++ b/daemon/tests/target_restarts.rs
@@ -93,8 +93,10 @@
         earlier.push(EarlierInstance { id: instance_id(number - 1), clock_ms });
         if rng.random_bool(UNREPORTED_PROBABILITY) {
             let clock_ms = rng.random_range(UNREPORTED_CLOCK_MS);
-            earlier
-                .push(EarlierInstance { id: format!("{}-unheard", instance_id(number)), clock_ms });
+            earlier.push(EarlierInstance {
+                id: format!("{}-unreported", instance_id(number)),
+                clock_ms,
+            });
         }
         wait_until_serving(fleet, &target[0], seed, &mut probes);
         if rng.random_bool(AGENT_RESTART_PROBABILITY) {
