--- a/daemon/tests/stops/mod.rs
+++ b/daemon/tests/stops/mod.rs
@@ -1,4 +1,4 @@
-//! A run with planned stops: its clients, its processes, and what the clients recorded.
+//! State of a test run with planned stops, shared by its clients and processes.
 
 mod client;
 mod node;
@@ -9,63 +9,63 @@
 use std::time::{Duration, Instant};
 
 pub use client::Client;
-pub use node::{KEEPER, Node, Order, Orders, stop_in_series};
+pub use node::{Action, Actions, KEEPER, Node, run_actions};
 pub use record::{Record, print_summary};
 
-use crate::room_support::Fleet;
-use crate::room_support::balancer::Balancer;
+use crate::support::Fleet;
+use crate::support::balancer::Balancer;
 
-/// When the platform kills a process that it told to stop.
+/// Grace period after which the platform kills a stopping process.
 pub const GRACE: Duration = Duration::from_secs(6);
-/// How often the ends of processes are looked for.
+/// Interval at which processes and connections are checked.
 const POLL: Duration = Duration::from_millis(10);
-/// The version of the configuration that the fleet begins with.
+/// Version of the initial configuration.
 pub const FIRST_VERSION: u64 = 7;
 
-/// One run while it goes on.
-pub struct Course<'a> {
+/// Shared state of a test run.
+pub struct TestRun<'a> {
     pub seed: u64,
     pub fleet: &'a Fleet,
-    /// What processes are told.
-    pub orders: Orders,
+    /// Actions applied to processes.
+    pub actions: Actions,
     pub balancer: Balancer,
-    pub over: AtomicBool,
-    /// By entry, and the keeper after them: when it was told to stop, until it is back.
-    pub told: Vec<Mutex<Option<Instant>>>,
-    /// In the same order: when it answered last.
+    pub finished: AtomicBool,
+    /// When each entry, and last the keeper, was asked to stop; `None` once it is back.
+    pub stop_requested: Vec<Mutex<Option<Instant>>>,
+    /// When each entry, and last the keeper, last answered.
     pub answered: Vec<Mutex<Instant>>,
     pub records: Mutex<Vec<Record>>,
 }
 
-impl<'a> Course<'a> {
-    pub fn new(seed: u64, fleet: &'a Fleet, orders: Orders) -> Self {
+impl<'a> TestRun<'a> {
+    pub fn new(seed: u64, fleet: &'a Fleet, actions: Actions) -> Self {
         Self {
             seed,
             fleet,
-            orders,
+            actions,
             balancer: Balancer::new(fleet),
-            over: AtomicBool::new(false),
-            told: (0..=fleet.entries()).map(|_| Mutex::new(None)).collect(),
-            answered: (0..=fleet.entries()).map(|_| Mutex::new(Instant::now())).collect(),
+            finished: AtomicBool::new(false),
+            stop_requested: (0..=fleet.entry_count()).map(|_| Mutex::new(None)).collect(),
+            answered: (0..=fleet.entry_count()).map(|_| Mutex::new(Instant::now())).collect(),
             records: Mutex::default(),
         }
     }
 
-    pub fn told(&self, entry: Option<usize>) -> Option<Instant> {
-        *self.told[self.place(entry)].lock().expect("nobody panicked with it")
+    pub fn stop_requested(&self, entry: Option<usize>) -> Option<Instant> {
+        *self.stop_requested[self.index_of(entry)].lock().expect("the mutex is not poisoned")
     }
 
-    /// When an entry answered last.
+    /// When an entry, or the keeper, last answered.
     pub fn answered(&self, entry: Option<usize>) -> Instant {
-        *self.answered[self.place(entry)].lock().expect("nobody panicked with it")
+        *self.answered[self.index_of(entry)].lock().expect("the mutex is not poisoned")
     }
 
-    /// The place of an entry, or of the keeper, in lists.
-    pub fn place(&self, entry: Option<usize>) -> usize {
-        entry.unwrap_or(self.fleet.entries())
+    /// Index of an entry, or of the keeper, in the per-process lists.
+    pub fn index_of(&self, entry: Option<usize>) -> usize {
+        entry.unwrap_or(self.fleet.entry_count())
     }
 
-    pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    pub fn is_finished(&self) -> bool {
+        self.finished.load(Ordering::Relaxed)
     }
 }
