--- a/components/wire/src/agent.rs
+++ b/components/wire/src/agent.rs
@@ -1,4 +1,5 @@
-//! Messages between an entry and an agent in the token scheduler.
+//! Messages between an entry and an agent in token scheduling. The agent lends entries tokens for its slots, and an
+//! entry spends one to start a task.
 
 use std::sync::Arc;
 
@@ -41,7 +42,7 @@
     pub key: TaskKey,
     /// The owner of the submission.
     pub owner: NodeRef,
-    /// The expected incarnation of the agent; any other refuses the start.
+    /// The expected incarnation of the agent; any other replies [`StartResult::Unknown`].
     pub agent: Incarnation,
     /// The text of the task, passed to the target unmodified.
     pub task: Arc<str>,
@@ -58,7 +59,7 @@
     NoSlot,
     /// The target is shutting down.
     Leaving,
-    /// An earlier settle request barred the task from starting.
+    /// An earlier refusal or settle request barred the task from starting.
     Barred,
     /// The deadline of the task has passed.
     TooLate,
@@ -83,11 +84,11 @@
 pub struct StartReply {
     /// The result of the start.
     pub result: StartResult,
-    /// Whether the token of the slot is returned to the entry.
+    /// Whether the entry may spend the slot token again: the task has ended, or the start did not spend the token.
     pub token: bool,
 }
 
-/// Asks for the result of a start whose reply was lost, and bars the task from starting if it has not.
+/// Asks for the result of a start whose reply was lost. A task that has not started is barred from starting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
     /// The key of the task.
--- a/components/wire/src/document.rs
+++ b/components/wire/src/document.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Largest part of a document, in bytes. Small enough not to delay a heartbeat that is queued behind it on a slow link, large
-/// enough that transfer time outweighs the round trip of each request.
+/// Largest part of a document, in bytes. Small enough not to delay a heartbeat that is queued behind it on a slow link,
+/// large enough that transfer time outweighs the round trip of each request.
 pub const PART_BYTES_MAX: usize = 32 * 1024;
 
 /// Upper bound of a decompressed document, in bytes; above the limit on what an operator can submit.
--- a/components/wire/src/keeper.rs
+++ b/components/wire/src/keeper.rs
@@ -26,11 +26,11 @@
         /// The version that the change created.
         version: u64,
     },
-    /// Another change has modified the same sections since the base version.
+    /// Another change has modified the same sections since the base version, or the keeper does not have that version.
     Conflict {
         /// The version in force.
         version: u64,
-        /// The sections that both changes modify.
+        /// The sections that both changes modify; every edited section if the base version is too old to compare.
         sections: Vec<String>,
     },
     /// The edited tree would not be valid.
@@ -66,7 +66,7 @@
         /// The edits of each version, oldest version first.
         edits: Vec<Vec<Edit>>,
     },
-    /// All settings, for a node whose version is too old for a delta.
+    /// All settings, for a node that has none, or whose delta is no longer available or would be too large.
     Snapshot {
         /// The version of the tree.
         version: u64,
--- a/components/wire/src/registry.rs
+++ b/components/wire/src/registry.rs
@@ -47,7 +47,8 @@
     pub node: NodeInfo,
     /// The latest document version that this keeper has announced to the node; 0 for none.
     pub document: u64,
-    /// The revision of this keeper's node list that the node has, 0 for none; `None` if it follows another keeper's list.
+    /// The revision of this keeper's node list that the node has, 0 for none; `None` if it follows another keeper's
+    /// list.
     pub revision: Option<u64>,
     /// The latest revision of the emptied halls that this keeper has sent to the node; 0 for none.
     pub halls: u64,
@@ -116,7 +117,7 @@
 pub struct WatchReply {
     /// The version of the committed document at this keeper; 0 for none.
     pub version: u64,
-    /// The update of the node list; `None` if the node's revision is current.
+    /// The update of the node list; `None` if the node's revision is current or the node follows another keeper's list.
     pub nodes: Option<NodeListUpdate>,
     /// The emptied halls; `None` if the node has this revision from this keeper.
     pub halls: Option<EmptiedHalls>,
--- a/components/wire/src/session.rs
+++ b/components/wire/src/session.rs
@@ -40,7 +40,8 @@
     pub last_start_sequence: u64,
     /// Whether the agent accepts new work.
     pub open: bool,
-    /// Whether the target was excluded after repeated failures and is now probed with one task at a time.
+    /// Whether the target was excluded after repeated failures and is not restored yet; after the exclusion, it is
+    /// probed with one task at a time.
     pub on_trial: bool,
     /// Recent run time of tasks relative to their estimates, in percent.
     pub slowdown_percent: u32,
@@ -70,13 +71,14 @@
 pub enum ToAgent {
     /// Keeps the session alive.
     Heartbeat {
-        /// The latest agent time that the entry has received.
+        /// The agent's time in the latest load report that the entry has received.
         #[serde(rename = "heard")]
         agent_clock: Time,
     },
     /// Starts tasks of one job.
     Start {
-        /// The latest agent time that the entry has received; the agent refuses a start whose time is too old.
+        /// The agent's time in the latest load report that the entry has received. The agent refuses the start if it
+        /// is too old, as the message may have been delayed.
         #[serde(rename = "heard")]
         agent_clock: Time,
         /// The job that the tasks belong to.
@@ -103,9 +105,10 @@
     Room,
     /// The agent accepts no new work.
     Closed,
-    /// The target refused the task, or did not answer and can no longer start it.
+    /// The target refused the task, or did not answer and can no longer start it, or another run of the task has not
+    /// ended.
     Target,
-    /// The start message was delayed too long.
+    /// The start was based on a load report that is too old.
     Late,
     /// The job was cancelled.
     Cancelled,
