--- a/components/model/src/failure.rs
+++ b/components/model/src/failure.rs
@@ -30,15 +30,15 @@
     IdTooNew,
     /// The submission id was used before with different content.
     IdConflict,
-    /// The submission id is not known.
+    /// No submission with this id is known, or its owner could not be determined.
     UnknownId,
     /// The job has ended, but its answer was evicted.
     AnswerDropped,
-    /// Too few claim holders replied to establish that the submission is new.
+    /// Too few claim holders replied to decide which entry owns the submission.
     NoQuorum,
-    /// The entry that owns the submission has failed.
+    /// The entry that owns the submission is unreachable, or no longer has its outcome.
     OwnerLost,
-    /// The job can't meet its deadline.
+    /// The estimated completion of the job is past its deadline.
     Overloaded,
     /// The team exceeds its quota.
     OverQuota,
@@ -46,7 +46,7 @@
     NoTarget,
     /// The entry is shutting down or not ready.
     NotReady,
-    /// The deadline passed before the answer was complete.
+    /// The deadline passed before the submission had an outcome, or can no longer be met.
     DeadlinePassed,
     /// The target returned an error.
     TargetFailed,
--- a/components/model/src/id.rs
+++ b/components/model/src/id.rs
@@ -26,7 +26,8 @@
 pub struct SubmissionId(Uuid);
 
 impl SubmissionId {
-    /// Builds an id from its creation time, truncated to milliseconds, and random bits.
+    /// Builds an id from its creation time, truncated to milliseconds, and the upper 80 bits of `random`, some of which
+    /// the version and the variant of the UUID overwrite.
     pub fn from_parts(created_at: Time, random: u128) -> Self {
         let millis = created_at.as_micros() / 1_000;
         let bytes = random.to_be_bytes();
--- a/components/telemetry/src/counters.rs
+++ b/components/telemetry/src/counters.rs
@@ -15,7 +15,7 @@
     pub refused: u64,
     /// Starts of a task that the agent already knew.
     pub repeated: u64,
-    /// Requests refused because they came over a replaced connection or were for an earlier incarnation.
+    /// Requests over a session that is not open, and starts for another incarnation of the agent.
     pub stale: u64,
     /// Settle requests answered.
     pub settled: u64,
@@ -44,7 +44,7 @@
 pub struct EntryCounters {
     /// Submissions received.
     pub submitted: u64,
-    /// Submissions that joined a job already known to the entry.
+    /// Submissions with an id that the entry already knew.
     pub joined: u64,
     /// Submissions forwarded to their owner.
     pub relayed: u64,
--- a/components/telemetry/src/decision.rs
+++ b/components/telemetry/src/decision.rs
@@ -17,7 +17,7 @@
         index: u32,
         /// The agent of the target.
         target: NodeName,
-        /// Idle tokens that were available in all halls.
+        /// Idle tokens that the entry still holds for the service.
         idle: u32,
     },
     /// A task will be placed again.
--- a/components/telemetry/src/latency.rs
+++ b/components/telemetry/src/latency.rs
@@ -1,4 +1,4 @@
-//! LatencyHistogram histograms in microseconds.
+//! Latency histograms with a resolution of one microsecond.
 
 use std::time::Duration;
 
--- a/components/telemetry/src/messages.rs
+++ b/components/telemetry/src/messages.rs
@@ -9,7 +9,7 @@
 pub enum MessageKind {
     /// A request to open a session, or its reply.
     Hello,
-    /// A claim on a submission, or its reply.
+    /// A claim on a submission or a lookup of its claim, or the reply.
     Claim,
     /// A request to start a task, or its reply.
     Start,
