--- a/components/client/src/operator_client.rs
+++ b/components/client/src/operator_client.rs
@@ -111,21 +111,21 @@
         Err(last_error)
     }
 
-    /// Submits edits as a new change, with retries under the same id until the outcome is known.
+    /// Submits edits as a new change, with a limited number of retries under the same id.
     pub async fn submit_edits(&self, base_version: u64, edits: Vec<Edit>) -> ChangeOutcome {
         let request = ChangeRequest { change: Uuid::new_v4().to_string(), base_version, edits };
         self.submit_change(&request).await
     }
 
-    /// Submits a change, with retries until the outcome is known. The id may have been used before.
+    /// Submits a change, with a limited number of retries. A change whose id was submitted before
+    /// gets the result of the first submission.
     pub async fn submit_change(&self, request: &ChangeRequest) -> ChangeOutcome {
         let body = serde_json::to_vec(request).expect("the request type always serializes");
         let outcome = self.post_until_known("/v1/changes", &body, change_outcome).await;
         outcome.unwrap_or(ChangeOutcome::Unknown)
     }
 
-    /// Sends a command for a hall, with retries until the outcome is known. Commands are
-    /// idempotent.
+    /// Sends a command for a hall, with a limited number of retries. Commands are idempotent.
     pub async fn send_hall_command(&self, command: &HallCommand) -> HallOutcome {
         let action = if command.takes_work { "refill" } else { "empty" };
         let path = format!("/v1/halls/{}/{action}", command.hall);
@@ -133,7 +133,8 @@
         outcome.unwrap_or(HallOutcome::Unknown)
     }
 
-    /// Posts to the keepers in turn, for several rounds, until `outcome` returns a result.
+    /// Posts to the keepers in turn until `outcome` returns a result; `None` after the last of
+    /// [`ROUNDS`] rounds.
     async fn post_until_known<T>(
         &self,
         path: &str,
@@ -146,8 +147,8 @@
             }
             for keeper in &self.keepers {
                 let reply = exchange(keeper, Method::POST, path, body.to_vec()).await;
-                // A keeper that gave no response may have accepted the request; another keeper
-                // knows.
+                // A keeper that gave no response may have accepted the request; the next attempt
+                // returns the outcome in that case.
                 if let Some(known) = reply.ok().and_then(|reply| outcome(&reply)) {
                     return Some(known);
                 }
--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -1,8 +1,7 @@
 //! A monotonic clock that advances while the host is suspended.
 //!
-//! On Linux, `std::time::Instant` doesn't advance during a suspension. Measured with it, leases,
-//! timeouts and ages would be too short by that time, and a resumed process would act on an expired
-//! lease.
+//! On Linux, `std::time::Instant` doesn't advance during a suspension. Elapsed times measured with
+//! it are too short by that time, so a resumed process would act on an expired lease.
 
 use std::time::Duration;
 
--- a/components/settings/src/catalog.rs
+++ b/components/settings/src/catalog.rs
@@ -57,7 +57,7 @@
     pub previous_claim_view: Vec<String>,
     /// Until this time, claims also need the agreement of the previous view.
     pub previous_claim_view_until: Time,
-    /// How long claims, start tables and answers are kept after a submission id was made.
+    /// How long claims, task records and answers are kept, from the creation of the submission id.
     pub retention: Duration,
     /// Upper bound on the difference between two hosts' clocks.
     pub clock_skew: Duration,
