--- a/components/api/tests/caller_interface.rs
+++ b/components/api/tests/caller_interface.rs
@@ -71,7 +71,9 @@
 
 proptest! {
     #[test]
-    fn any_bytes_parse_or_fail(body in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_parse_or_fail_as_not_run(
+        body in proptest::collection::vec(any::<u8>(), 0..200),
+    ) {
         for result in [parse_job(&body), parse_request(&body)] {
             if let Err(failure) = result {
                 prop_assert_eq!(failure.verdict, Verdict::NotRun);
@@ -98,7 +100,9 @@
     }
 
     #[test]
-    fn any_path_parses_or_fails(method in "[A-Z]{0,7}", path in "/?(v1/)?(jobs/)?.{0,60}") {
+    fn arbitrary_paths_parse_or_fail_as_not_run(
+        method in "[A-Z]{0,7}", path in "/?(v1/)?(jobs/)?.{0,60}",
+    ) {
         if let Err(failure) = parse_route(&method, &path) {
             prop_assert_eq!(failure.verdict, Verdict::NotRun);
         }
--- a/components/net/tests/client_timeouts.rs
+++ b/components/net/tests/client_timeouts.rs
@@ -1,7 +1,5 @@
-//! Pooled connections that stop responding without a reset while new ones work.
-//!
-//! Guards against retries over one dead pooled connection after another, which delay starts and
-//! stops until a healthy target's lease expires.
+//! Pooled connections that stop responding without a reset while new ones work. Guards against
+//! retries over one dead pooled connection after another.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/components/net/tests/graceful_shutdown_requests.rs
+++ b/components/net/tests/graceful_shutdown_requests.rs
@@ -109,8 +109,7 @@
     });
 }
 
-/// A half-closed connection counts as disconnected, so that the tasks of departed clients stop at
-/// once.
+/// Guards against running on the tasks of clients that have disconnected.
 #[test]
 fn a_half_closed_connection_counts_as_disconnected() {
     net::block_on(|spawner| async move {
@@ -130,14 +129,14 @@
 fn a_stalled_request_is_given_up_after_close() {
     net::block_on(|spawner| async move {
         let server = start(&spawner, Duration::ZERO, LIMITS);
-        let mut body = connect(&server);
-        body.write_all(&REQUEST[..REQUEST.len() - 1]).unwrap();
-        let mut head = connect(&server);
-        head.write_all(&REQUEST[..20]).unwrap();
+        let mut partial_body = connect(&server);
+        partial_body.write_all(&REQUEST[..REQUEST.len() - 1]).unwrap();
+        let mut partial_head = connect(&server);
+        partial_head.write_all(&REQUEST[..20]).unwrap();
         wait_for("two partly read requests", || server.connections.count(Phase::Reading) == 2)
             .await;
         server.connections.close();
-        let (_, text) = read_to_end(body).await;
+        let (_, text) = read_to_end(partial_body).await;
         assert_eq!(server.handled.get(), 1, "the handler got no body timeout: {text}");
         wait_for("no active connection", || server.connections.active_count() == 0).await;
     });
@@ -149,8 +148,8 @@
 fn a_stalled_request_counts_as_active_until_its_response_is_written() {
     net::block_on(|spawner| async move {
         let server = start(&spawner, Duration::ZERO, LIMITS);
-        let mut body = connect(&server);
-        body.write_all(&REQUEST[..REQUEST.len() - 1]).unwrap();
+        let mut partial_body = connect(&server);
+        partial_body.write_all(&REQUEST[..REQUEST.len() - 1]).unwrap();
         wait_for("a partly read request", || server.connections.count(Phase::Reading) == 1).await;
         server.connections.close();
         while server.connections.active_count() > 0 {
@@ -158,12 +157,11 @@
         }
         assert_eq!(server.handled.get(), 1, "the handler got no body timeout");
         assert!(server.connections.is_empty(), "{:?}", server.connections.list());
-        let (_, text) = read_to_end(body).await;
+        let (_, text) = read_to_end(partial_body).await;
         assert!(text.contains("HTTP/1.1 408"), "{text}");
     });
 }
 
-/// `Expect: 100-continue`, HTTP/1.0 and HEAD requests during a shutdown.
 #[test]
 fn expect_continue_http_1_0_and_head_requests_are_answered_after_close() {
     net::block_on(|spawner| async move {
@@ -197,7 +195,7 @@
 #[test]
 fn an_unread_request_is_answered_before_the_stop_on_a_slow_host() {
     let (address_sender, address_receiver) = std::sync::mpsc::channel::<SocketAddr>();
-    let caller = std::thread::spawn(move || {
+    let client = std::thread::spawn(move || {
         let mut reused = TcpStream::connect(address_receiver.recv().unwrap()).unwrap();
         reused.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         reused.write_all(REQUEST).unwrap();
@@ -208,8 +206,8 @@
         let server = start(&spawner, Duration::ZERO, LIMITS);
         address_sender.send(server.address).unwrap();
         wait_for("an idle connection", || server.connections.count(Phase::Idle) == 1).await;
-        wait_for("the client's first response", || caller.is_finished()).await;
-        let (mut reused, ()) = caller.join().unwrap();
+        wait_for("the client's first response", || client.is_finished()).await;
+        let (mut reused, ()) = client.join().unwrap();
         Timer::after(Duration::from_millis(150)).await;
         for _ in 0..900 {
             spawner.spawn(async { std::thread::sleep(Duration::from_millis(1)) });
@@ -248,20 +246,20 @@
 fn a_slow_request_is_answered_after_close_idle() {
     net::block_on(|spawner| async move {
         let server = start(&spawner, Duration::ZERO, LIMITS);
-        let mut body = connect(&server);
-        body.write_all(&REQUEST[..REQUEST.len() - 1]).unwrap();
-        let mut head = connect(&server);
-        head.write_all(REQUEST).unwrap();
+        let mut partial_body = connect(&server);
+        partial_body.write_all(&REQUEST[..REQUEST.len() - 1]).unwrap();
+        let mut partial_head = connect(&server);
+        partial_head.write_all(REQUEST).unwrap();
         wait_for("an idle connection", || server.connections.count(Phase::Idle) == 1).await;
-        head.write_all(&REQUEST[..20]).unwrap();
+        partial_head.write_all(&REQUEST[..20]).unwrap();
         wait_for("two partly read requests", || server.connections.count(Phase::Reading) == 2)
             .await;
         server.connections.close_idle();
         wait_for("two stalled requests", || server.connections.active_count() == 0).await;
         Timer::after(Duration::from_millis(50)).await;
-        body.write_all(&REQUEST[REQUEST.len() - 1..]).unwrap();
-        head.write_all(&REQUEST[20..]).unwrap();
-        for (stream, expected) in [(body, 1), (head, 2)] {
+        partial_body.write_all(&REQUEST[REQUEST.len() - 1..]).unwrap();
+        partial_head.write_all(&REQUEST[20..]).unwrap();
+        for (stream, expected) in [(partial_body, 1), (partial_head, 2)] {
             let (ended, text) = read_to_end(stream).await;
             assert!(ended && response_count(&text) == expected, "{text}");
         }
