--- a/components/telemetry/src/messages.rs
+++ b/components/telemetry/src/messages.rs
@@ -25,11 +25,11 @@
     Probe,
 }
 
-const KINDS: usize = 8;
+const KIND_COUNT: usize = 8;
 
 impl MessageKind {
     /// All kinds, in the order of the variants.
-    pub const ALL: [Self; KINDS] = [
+    pub const ALL: [Self; KIND_COUNT] = [
         Self::Hello,
         Self::Claim,
         Self::Start,
@@ -58,8 +58,8 @@
 /// Sent and wasted messages by kind. A message is wasted if it did not contribute to an outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageCounts {
-    sent: [u64; KINDS],
-    wasted: [u64; KINDS],
+    sent: [u64; KIND_COUNT],
+    wasted: [u64; KIND_COUNT],
 }
 
 impl MessageCounts {
