--- a/components/consensus/src/election.rs
+++ b/components/consensus/src/election.rs
@@ -24,10 +24,10 @@
 impl Replica {
     /// Starts a pre-vote after the election timeout. A replica that is not a member asks to join
     /// instead, and a blank replica does nothing.
-    pub(crate) fn start_pre_vote(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn start_pre_vote(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.reset_election_timer(now);
         if !self.members().contains(&self.name) {
-            return self.request_join(out);
+            return self.request_join(actions);
         }
         if self.blank {
             return;
@@ -35,12 +35,12 @@
         self.leader = None;
         self.role = Role::PreCandidate(Votes::with_own(&self.name));
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
-        self.broadcast(&Message::PreVote { term: self.term + 1, last_index, last_term }, out);
-        self.count_votes(now, out);
+        self.broadcast(&Message::PreVote { term: self.term + 1, last_index, last_term }, actions);
+        self.count_votes(now, actions);
     }
 
-    fn broadcast(&self, message: &Message, out: &mut Vec<Action>) {
-        out.extend(self.others().into_iter().map(|other| Action::Send(other, message.clone())));
+    fn broadcast(&self, message: &Message, actions: &mut Vec<Action>) {
+        actions.extend(self.others().into_iter().map(|other| Action::Send(other, message.clone())));
     }
 
     pub(crate) fn handle_pre_vote(
@@ -49,16 +49,16 @@
         from: &NodeName,
         term: Term,
         last: (Term, Index),
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         // A replica that was replaced while it was down does not know that it is no longer a
         // member; the leader brings it up to date.
         if !self.members().contains(from) {
-            self.handle_join(now, from, out);
+            self.handle_join(now, from, actions);
         }
         let granted = term > self.term && self.would_grant_vote(now, last);
         let term = if granted { term } else { self.term };
-        out.push(Action::Send(from.clone(), Message::PreVoteReply { term, granted }));
+        actions.push(Action::Send(from.clone(), Message::PreVoteReply { term, granted }));
     }
 
     /// Whether this replica would grant its vote: the candidate's log is complete enough and the
@@ -81,72 +81,72 @@
         from: &NodeName,
         term: Term,
         granted: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !granted {
-            return self.adopt_term(term, out);
+            return self.adopt_term(term, actions);
         }
         if term != self.term + 1 {
             return;
         }
         if let Role::PreCandidate(votes) = &mut self.role {
             votes.granted_by.insert(from.clone());
-            self.count_votes(now, out);
+            self.count_votes(now, actions);
         }
     }
 
     /// Starts the election or becomes leader once a majority has granted the pre-vote or the vote.
-    fn count_votes(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn count_votes(&mut self, now: Time, actions: &mut Vec<Action>) {
         let has_majority = |votes: &Votes| votes.granted_by.len() >= self.quorum();
         match &self.role {
             Role::PreCandidate(votes) if has_majority(votes) => {
-                self.start_election(now, false, out);
+                self.start_election(now, false, actions);
             }
-            Role::Candidate(votes) if has_majority(votes) => self.become_leader(now, out),
+            Role::Candidate(votes) if has_majority(votes) => self.become_leader(now, actions),
             _ => {}
         }
     }
 
     /// Starts an election at once, as the leader has handed over to this replica.
-    pub(crate) fn handle_take_over(&mut self, now: Time, term: Term, out: &mut Vec<Action>) {
+    pub(crate) fn handle_take_over(&mut self, now: Time, term: Term, actions: &mut Vec<Action>) {
         let eligible = !self.blank && self.members().contains(&self.name);
         if term == self.term && eligible && matches!(self.role, Role::Follower) {
             self.reset_election_timer(now);
             self.leader = None;
-            self.start_election(now, true, out);
+            self.start_election(now, true, actions);
         }
     }
 
-    fn request_join(&mut self, out: &mut Vec<Action>) {
+    fn request_join(&mut self, actions: &mut Vec<Action>) {
         self.join_pending = true;
         let mut recipients: BTreeSet<&NodeName> = self.contacts.iter().collect();
         recipients.extend(self.members());
         recipients.remove(&self.name);
-        out.extend(recipients.into_iter().map(|to| Action::Send(to.clone(), Message::Join)));
+        actions.extend(recipients.into_iter().map(|to| Action::Send(to.clone(), Message::Join)));
     }
 
     /// Handles a referral to the leader of a replica that wants to join. Follows one referral per
     /// join request: two replicas that name each other as leader would otherwise pass the request
     /// back and forth.
-    pub(crate) fn handle_referral(&mut self, leader: NodeName, out: &mut Vec<Action>) {
+    pub(crate) fn handle_referral(&mut self, leader: NodeName, actions: &mut Vec<Action>) {
         let accepted =
             self.join_pending && leader != self.name && !self.members().contains(&self.name);
         if accepted {
             self.join_pending = false;
-            out.push(Action::Send(leader, Message::Join));
+            actions.push(Action::Send(leader, Message::Join));
         }
     }
 
-    fn start_election(&mut self, now: Time, transfer: bool, out: &mut Vec<Action>) {
+    fn start_election(&mut self, now: Time, transfer: bool, actions: &mut Vec<Action>) {
         self.term += 1;
         self.voted_for = Some(self.name.clone());
         self.role = Role::Candidate(Votes::with_own(&self.name));
         let record = Record::Vote { term: self.term, voted_for: self.voted_for.clone() };
-        out.push(Action::Store(vec![record]));
+        actions.push(Action::Store(vec![record]));
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         let message = Message::Vote { term: self.term, last_index, last_term, transfer };
-        self.broadcast(&message, out);
-        self.count_votes(now, out);
+        self.broadcast(&message, actions);
+        self.count_votes(now, actions);
     }
 
     pub(crate) fn handle_vote(
@@ -155,11 +155,11 @@
         from: &NodeName,
         (term, transfer): (Term, bool),
         last: (Term, Index),
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         // A higher term is ignored while the leader is in contact, so that no candidate deposes it.
         if term > self.term && (transfer || now >= self.no_vote_before) {
-            self.adopt_term(term, out);
+            self.adopt_term(term, actions);
         }
         let not_voted_for_other = self.voted_for.as_ref().is_none_or(|name| name == from);
         let lease_expired = transfer || now >= self.no_vote_before;
@@ -168,10 +168,10 @@
         if granted && self.voted_for.is_none() {
             self.voted_for = Some(from.clone());
             let record = Record::Vote { term, voted_for: self.voted_for.clone() };
-            out.push(Action::Store(vec![record]));
+            actions.push(Action::Store(vec![record]));
             self.reset_election_timer(now);
         }
-        out.push(Action::Send(from.clone(), Message::VoteReply { term: self.term, granted }));
+        actions.push(Action::Send(from.clone(), Message::VoteReply { term: self.term, granted }));
     }
 
     pub(crate) fn handle_vote_reply(
@@ -180,15 +180,15 @@
         from: &NodeName,
         term: Term,
         granted: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        self.adopt_term(term, out);
+        self.adopt_term(term, actions);
         if !granted || term != self.term {
             return;
         }
         if let Role::Candidate(votes) = &mut self.role {
             votes.granted_by.insert(from.clone());
-            self.count_votes(now, out);
+            self.count_votes(now, actions);
         }
     }
 }
--- a/components/consensus/src/leader.rs
+++ b/components/consensus/src/leader.rs
@@ -120,7 +120,7 @@
 impl Replica {
     /// Becomes leader after a won election. Appends an empty entry, since entries of earlier terms
     /// commit only together with one of the current term.
-    pub(crate) fn become_leader(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn become_leader(&mut self, now: Time, actions: &mut Vec<Action>) {
         let next = self.log.last_index() + 1;
         let initial = Progress::new(next, now);
         let followers = self.others().into_iter().map(|name| (name, initial)).collect();
@@ -128,45 +128,45 @@
             LeaderState { followers, heartbeat_at: now, elected_at: now, resigned: false };
         self.role = Role::Leader(leader_state);
         self.leader = Some(self.name.clone());
-        out.push(Action::Log(LogEvent::BecameLeader(self.term)));
-        self.append_entry(Payload::Empty, out);
-        self.replicate(now, out);
+        actions.push(Action::Log(LogEvent::BecameLeader(self.term)));
+        self.append_entry(Payload::Empty, actions);
+        self.replicate(now, actions);
     }
 
     /// Sends every follower its missing entries or a heartbeat, and commits what a quorum has
     /// stored.
-    pub(crate) fn replicate(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn replicate(&mut self, now: Time, actions: &mut Vec<Action>) {
         if let Role::Leader(leader_state) = &mut self.role {
             leader_state.heartbeat_at = now + self.timing.heartbeat;
         }
         let Role::Leader(leader_state) = &self.role else { return };
         let followers: Vec<NodeName> = leader_state.followers.keys().cloned().collect();
         for follower in followers {
-            self.send_append(now, &follower, out);
+            self.send_append(now, &follower, actions);
         }
-        self.advance_commit(out);
+        self.advance_commit(actions);
     }
 
     /// Handles the request of a non-member to be replicated to. A replica that is not the leader
     /// refers it to the leader.
-    pub(crate) fn handle_join(&mut self, now: Time, from: &NodeName, out: &mut Vec<Action>) {
+    pub(crate) fn handle_join(&mut self, now: Time, from: &NodeName, actions: &mut Vec<Action>) {
         let next = self.log.last_index() + 1;
         if let Role::Leader(leader_state) = &mut self.role {
             leader_state.followers.entry(from.clone()).or_insert(Progress::new(next, now));
         } else if let Some(leader) = self.leader.clone().filter(|leader| leader != from) {
-            out.push(Action::Send(from.clone(), Message::Refer { leader }));
+            actions.push(Action::Send(from.clone(), Message::Refer { leader }));
         }
     }
 
     /// Sends all outstanding entries and then hands over leadership.
-    pub(crate) fn resign(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.replicate(now, out);
-        self.transfer_leadership(now, out);
+    pub(crate) fn resign(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.replicate(now, actions);
+        self.transfer_leadership(now, actions);
     }
 
     /// Asks the most up-to-date recent follower to start an election and stops relying on the
     /// lease. Stores, appends and commits nothing, so that it also works when the disk is full.
-    pub fn transfer_leadership(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub fn transfer_leadership(&mut self, now: Time, actions: &mut Vec<Action>) {
         let term = self.term;
         let members = self.members().to_vec();
         let Role::Leader(leader_state) = &mut self.role else { return };
@@ -178,21 +178,21 @@
         let Some((successor, _)) = ready.max_by_key(|(_, p)| p.match_index) else { return };
         let successor = successor.clone();
         leader_state.resigned = true;
-        out.push(Action::Send(successor, Message::TakeOver { term }));
+        actions.push(Action::Send(successor, Message::TakeOver { term }));
     }
 
     /// Adds or removes one member if the number of voters is not the configured one, or if a member
     /// has been silent for too long and a replacement has caught up. Only one change is in progress
     /// at a time, and only after an entry of the current term has been committed.
-    fn adjust_members(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn adjust_members(&mut self, now: Time, actions: &mut Vec<Action>) {
         let ready = self.has_committed_in_term() && self.log.last_member_change() <= self.commit;
         if !ready || !self.is_confirmed_leader(now) {
             return;
         }
         let Some(members) = self.next_members(now) else { return };
-        self.append_entry(Payload::Members(members), out);
+        self.append_entry(Payload::Members(members), actions);
         self.update_followers(now);
-        self.replicate(now, out);
+        self.replicate(now, actions);
     }
 
     fn next_members(&self, now: Time) -> Option<Vec<NodeName>> {
@@ -229,7 +229,7 @@
 
     /// Sends the periodic heartbeat, or steps down if no quorum has replied within the election
     /// timeout.
-    pub(crate) fn leader_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn leader_tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Role::Leader(leader_state) = &self.role else { return };
         if leader_state.heartbeat_at > now {
             return;
@@ -237,22 +237,22 @@
         let last_contact =
             leader_state.lease_until(self, now, None).unwrap_or(leader_state.elected_at);
         if now.since(last_contact) > self.timing.election {
-            self.step_down(out);
+            self.step_down(actions);
             return self.reset_election_timer(now);
         }
         self.update_followers(now);
-        self.adjust_members(now, out);
-        self.replicate(now, out);
+        self.adjust_members(now, actions);
+        self.replicate(now, actions);
     }
 
-    fn send_append(&mut self, now: Time, to: &NodeName, out: &mut Vec<Action>) {
+    fn send_append(&mut self, now: Time, to: &NodeName, actions: &mut Vec<Action>) {
         let Role::Leader(leader_state) = &self.role else { return };
         let Some(progress) = leader_state.followers.get(to).copied() else { return };
         let leader_confirmed = self.has_committed_in_term()
             && leader_state.lease_until(self, now, Some(to)).is_some_and(|until| now < until);
         let prev_index = progress.next_index - 1;
         let Some(prev_term) = self.log.term(prev_index) else {
-            return self.send_snapshot(now, to, out);
+            return self.send_snapshot(now, to, actions);
         };
         let entries = self.log.batch(progress.next_index, BATCH_ENTRIES_MAX, BATCH_BYTES_MAX);
         let sent = entries.len() as Index;
@@ -265,7 +265,7 @@
             sent: now,
             leader_confirmed,
         };
-        out.push(Action::Send(to.clone(), message));
+        actions.push(Action::Send(to.clone(), message));
         // Assumes delivery; after a loss the follower rejects the next append and reports its last
         // index.
         self.set_next_index(to, progress.next_index + sent);
@@ -277,10 +277,10 @@
         self.log.term(self.commit) == Some(self.term)
     }
 
-    fn send_snapshot(&mut self, now: Time, to: &NodeName, out: &mut Vec<Action>) {
+    fn send_snapshot(&mut self, now: Time, to: &NodeName, actions: &mut Vec<Action>) {
         let snapshot = self.log.snapshot.clone();
         let next = snapshot.index + 1;
-        out.push(Action::Send(
+        actions.push(Action::Send(
             to.clone(),
             Message::Install { term: self.term, snapshot, sent: now },
         ));
@@ -301,9 +301,9 @@
         from: &NodeName,
         term: Term,
         (matched, index, sent, blank): (bool, Index, Time, bool),
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        self.adopt_term(term, out);
+        self.adopt_term(term, actions);
         let last = self.log.last_index();
         let Role::Leader(leader_state) = &mut self.role else { return };
         if term != self.term {
@@ -328,16 +328,16 @@
         if !commits.is_empty() {
             // Notifies the followers of the new commit index before the leader answers its callers,
             // so that followers can serve the committed state as early as the leader.
-            self.replicate(now, out);
+            self.replicate(now, actions);
         } else if is_behind {
-            self.send_append(now, from, out);
+            self.send_append(now, from, actions);
         }
-        out.append(&mut commits);
+        actions.append(&mut commits);
     }
 
     /// Commits up to the highest index that a quorum has stored, if that entry is of the current
     /// term.
-    fn advance_commit(&mut self, out: &mut Vec<Action>) {
+    fn advance_commit(&mut self, actions: &mut Vec<Action>) {
         let Role::Leader(leader_state) = &self.role else { return };
         let members = self.members();
         let counted = leader_state
@@ -350,7 +350,7 @@
         match_indexes.sort_unstable_by(|a, b| b.cmp(a));
         let Some(index) = match_indexes.get(self.quorum() - 1).copied() else { return };
         if index > self.commit && self.log.term(index) == Some(self.term) {
-            self.commit_to(index, out);
+            self.commit_to(index, actions);
         }
     }
 }
--- a/components/consensus/src/replica.rs
+++ b/components/consensus/src/replica.rs
@@ -127,15 +127,15 @@
         entries.into_iter().filter(|entry| entry.index <= self.commit).collect()
     }
 
-    /// Handles an event and appends the resulting actions to `out`.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Handles an event and appends the resulting actions to `actions`.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Message { from, message } => self.handle_message(now, &from, message, out),
-            Event::Propose { id, command } => self.propose(now, id, command, out),
-            Event::Resign => self.resign(now, out),
+            Event::Message { from, message } => self.handle_message(now, &from, message, actions),
+            Event::Propose { id, command } => self.propose(now, id, command, actions),
+            Event::Resign => self.resign(now, actions),
             Event::Tick => {}
         }
-        self.tick(now, out);
+        self.tick(now, actions);
     }
 
     /// Sets the replicas to ask for the leader while this replica is not a member.
@@ -206,11 +206,11 @@
 
     /// Replaces the committed entries by a snapshot. `state` has to be the state after the last
     /// committed entry.
-    pub fn compact(&mut self, state: Vec<u8>, out: &mut Vec<Action>) {
+    pub fn compact(&mut self, state: Vec<u8>, actions: &mut Vec<Action>) {
         let Some(term) = self.log.term(self.commit) else { return };
         let members = self.log.members_at(self.commit).to_vec();
         self.log.compact(Snapshot { index: self.commit, term, members, state });
-        out.push(Action::Rewrite(self.records()));
+        actions.push(Action::Rewrite(self.records()));
     }
 
     /// The complete durable state, for a rewrite of the journal.
@@ -242,76 +242,76 @@
         now: Time,
         from: &NodeName,
         message: Message,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match message {
             Message::PreVote { term, last_index, last_term } => {
-                self.handle_pre_vote(now, from, term, (last_term, last_index), out);
+                self.handle_pre_vote(now, from, term, (last_term, last_index), actions);
             }
             Message::PreVoteReply { term, granted } => {
-                self.handle_pre_vote_reply(now, from, term, granted, out);
+                self.handle_pre_vote_reply(now, from, term, granted, actions);
             }
-            Message::Join => self.handle_join(now, from, out),
-            Message::Refer { leader } => self.handle_referral(leader, out),
-            Message::TakeOver { term } => self.handle_take_over(now, term, out),
+            Message::Join => self.handle_join(now, from, actions),
+            Message::Refer { leader } => self.handle_referral(leader, actions),
+            Message::TakeOver { term } => self.handle_take_over(now, term, actions),
             Message::Vote { term, last_index, last_term, transfer } => {
-                self.handle_vote(now, from, (term, transfer), (last_term, last_index), out);
+                self.handle_vote(now, from, (term, transfer), (last_term, last_index), actions);
             }
             Message::VoteReply { term, granted } => {
-                self.handle_vote_reply(now, from, term, granted, out)
+                self.handle_vote_reply(now, from, term, granted, actions)
             }
             message @ (Message::Append { .. } | Message::Install { .. }) => {
-                self.handle_leader_message(now, from, message, out);
+                self.handle_leader_message(now, from, message, actions);
             }
             Message::AppendReply { term, matched, index, sent, blank } => {
-                self.handle_append_reply(now, from, term, (matched, index, sent, blank), out);
+                self.handle_append_reply(now, from, term, (matched, index, sent, blank), actions);
             }
         }
     }
 
-    fn propose(&mut self, now: Time, id: ProposalId, command: Vec<u8>, out: &mut Vec<Action>) {
+    fn propose(&mut self, now: Time, id: ProposalId, command: Vec<u8>, actions: &mut Vec<Action>) {
         if !matches!(self.role, Role::Leader(_)) {
-            return out.push(Action::Rejected(id));
+            return actions.push(Action::Rejected(id));
         }
-        let index = self.append_entry(Payload::Command(command), out);
-        out.push(Action::Proposed(id, index));
-        self.replicate(now, out);
+        let index = self.append_entry(Payload::Command(command), actions);
+        actions.push(Action::Proposed(id, index));
+        self.replicate(now, actions);
     }
 
     /// Appends an entry of the current term to the leader's log.
-    pub(crate) fn append_entry(&mut self, payload: Payload, out: &mut Vec<Action>) -> Index {
+    pub(crate) fn append_entry(&mut self, payload: Payload, actions: &mut Vec<Action>) -> Index {
         let index = self.log.last_index() + 1;
         let entry = Entry { index, term: self.term, payload };
         let records = vec![Record::Commit(self.commit), Record::Append(vec![entry.clone()])];
-        out.push(Action::Store(records));
+        actions.push(Action::Store(records));
         self.log.push(entry);
         index
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         match &self.role {
-            Role::Leader(_) => self.leader_tick(now, out),
-            _ if self.election_due_at <= now => self.start_pre_vote(now, out),
+            Role::Leader(_) => self.leader_tick(now, actions),
+            _ if self.election_due_at <= now => self.start_pre_vote(now, actions),
             _ => {}
         }
     }
 
     /// Adopts a higher term as a follower without a known leader.
-    pub(crate) fn adopt_term(&mut self, term: Term, out: &mut Vec<Action>) {
+    pub(crate) fn adopt_term(&mut self, term: Term, actions: &mut Vec<Action>) {
         if term <= self.term {
             return;
         }
-        self.step_down(out);
+        self.step_down(actions);
         self.term = term;
         self.voted_for = None;
         self.leader = None;
-        out.push(Action::Store(vec![Record::Vote { term, voted_for: None }]));
+        actions.push(Action::Store(vec![Record::Vote { term, voted_for: None }]));
     }
 
     /// Returns to the follower role.
-    pub(crate) fn step_down(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn step_down(&mut self, actions: &mut Vec<Action>) {
         if matches!(self.role, Role::Leader(_)) {
-            out.push(Action::Log(LogEvent::SteppedDown(self.term)));
+            actions.push(Action::Log(LogEvent::SteppedDown(self.term)));
             self.leader = None;
         }
         self.role = Role::Follower;
@@ -325,18 +325,18 @@
     }
 
     /// Commits all entries up to and including `index`.
-    pub(crate) fn commit_to(&mut self, index: Index, out: &mut Vec<Action>) {
+    pub(crate) fn commit_to(&mut self, index: Index, actions: &mut Vec<Action>) {
         while self.commit < index {
             let Some(entry) = self.log.get(self.commit + 1) else { return };
             if let Payload::Members(members) = &entry.payload {
-                out.push(Action::Log(LogEvent::MembersChanged(members.clone())));
+                actions.push(Action::Log(LogEvent::MembersChanged(members.clone())));
             }
-            out.push(Action::Commit(entry.clone()));
+            actions.push(Action::Commit(entry.clone()));
             self.commit += 1;
         }
     }
 
-    pub(crate) fn report_violation(&self, violation: Violation, out: &mut Vec<Action>) {
-        out.push(Action::Log(LogEvent::Violation(violation)));
+    pub(crate) fn report_violation(&self, violation: Violation, actions: &mut Vec<Action>) {
+        actions.push(Action::Log(LogEvent::Violation(violation)));
     }
 }
--- a/components/consensus/src/replication.rs
+++ b/components/consensus/src/replication.rs
@@ -13,7 +13,7 @@
         now: Time,
         from: &NodeName,
         message: Message,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if message.term() < self.term {
             return self.send_append_reply(
@@ -21,15 +21,15 @@
                 false,
                 self.log.last_index(),
                 Time::default(),
-                out,
+                actions,
             );
         }
-        self.adopt_term(message.term(), out);
+        self.adopt_term(message.term(), actions);
         if matches!(self.role, Role::Leader(_)) {
-            return self.report_violation(Violation::TwoLeaders(self.term), out);
+            return self.report_violation(Violation::TwoLeaders(self.term), actions);
         }
         self.role = Role::Follower;
-        self.record_leader_contact(now, from, out);
+        self.record_leader_contact(now, from, actions);
         match message {
             Message::Append {
                 prev_index,
@@ -41,29 +41,29 @@
                 ..
             } => {
                 let previous = (prev_index, prev_term);
-                let Some(last) = self.append_entries(previous, entries, commit, out) else {
+                let Some(last) = self.append_entries(previous, entries, commit, actions) else {
                     let hint = self.log.last_index().min(prev_index.saturating_sub(1));
-                    return self.send_append_reply(from, false, hint, sent, out);
+                    return self.send_append_reply(from, false, hint, sent, actions);
                 };
-                self.commit_to(commit.min(last), out);
+                self.commit_to(commit.min(last), actions);
                 if leader_confirmed && last >= commit {
-                    self.finish_catch_up(out);
+                    self.finish_catch_up(actions);
                 }
-                self.send_append_reply(from, true, last, sent, out);
+                self.send_append_reply(from, true, last, sent, actions);
             }
             Message::Install { snapshot, sent, .. } => {
                 let index = snapshot.index;
-                self.install_snapshot(snapshot, out);
-                self.send_append_reply(from, true, index, sent, out);
+                self.install_snapshot(snapshot, actions);
+                self.send_append_reply(from, true, index, sent, actions);
             }
             _ => {}
         }
     }
 
-    fn record_leader_contact(&mut self, now: Time, leader: &NodeName, out: &mut Vec<Action>) {
+    fn record_leader_contact(&mut self, now: Time, leader: &NodeName, actions: &mut Vec<Action>) {
         if self.leader.as_ref() != Some(leader) {
             self.leader = Some(leader.clone());
-            out.push(Action::Log(LogEvent::FollowsLeader(leader.clone(), self.term)));
+            actions.push(Action::Log(LogEvent::FollowsLeader(leader.clone(), self.term)));
         }
         self.no_vote_before = now + self.timing.election;
         self.reset_election_timer(now);
@@ -75,10 +75,10 @@
         matched: bool,
         index: Index,
         sent: Time,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let (term, blank) = (self.term, self.blank);
-        out.push(Action::Send(
+        actions.push(Action::Send(
             to.clone(),
             Message::AppendReply { term, matched, index, sent, blank },
         ));
@@ -92,7 +92,7 @@
         (prev_index, prev_term): (Index, Term),
         entries: Vec<Entry>,
         commit: Index,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Option<Index> {
         let covered = prev_index < self.log.snapshot.index;
         if !covered && self.log.term(prev_index) != Some(prev_term) {
@@ -107,7 +107,7 @@
         let new_entries: Vec<Entry> = entries.into_iter().skip_while(is_present).collect();
         let Some(first) = new_entries.first().map(|entry| entry.index) else { return Some(last) };
         if first <= self.commit {
-            self.report_violation(Violation::CommittedEntryConflict(first), out);
+            self.report_violation(Violation::CommittedEntryConflict(first), actions);
             return None;
         }
         let mut records = Vec::new();
@@ -118,26 +118,26 @@
         records.push(Record::Append(new_entries.clone()));
         records.push(Record::Commit(commit.min(last)));
         new_entries.into_iter().for_each(|entry| self.log.push(entry));
-        out.push(Action::Store(records));
+        actions.push(Action::Store(records));
         Some(last)
     }
 
-    fn install_snapshot(&mut self, snapshot: Snapshot, out: &mut Vec<Action>) {
+    fn install_snapshot(&mut self, snapshot: Snapshot, actions: &mut Vec<Action>) {
         if snapshot.index <= self.commit && !self.log.snapshot.state.is_empty() {
             return;
         }
         self.commit = snapshot.index;
         self.log.compact(snapshot.clone());
-        out.push(Action::Rewrite(self.records()));
-        out.push(Action::Install(snapshot));
+        actions.push(Action::Rewrite(self.records()));
+        actions.push(Action::Install(snapshot));
     }
 
     /// Marks a blank replica as caught up, so that it votes again.
-    fn finish_catch_up(&mut self, out: &mut Vec<Action>) {
+    fn finish_catch_up(&mut self, actions: &mut Vec<Action>) {
         if self.blank {
             self.blank = false;
-            out.push(Action::Store(vec![Record::Blank(false)]));
-            out.push(Action::Log(LogEvent::CaughtUp(self.commit)));
+            actions.push(Action::Store(vec![Record::Blank(false)]));
+            actions.push(Action::Log(LogEvent::CaughtUp(self.commit)));
         }
     }
 }
--- a/components/journal/src/format.rs
+++ b/components/journal/src/format.rs
@@ -57,16 +57,16 @@
     }
 }
 
-/// Appends an encoded record to `out`.
-pub(crate) fn encode_record(payload: &[u8], out: &mut Vec<u8>) {
+/// Appends an encoded record to `buffer`.
+pub(crate) fn encode_record(payload: &[u8], buffer: &mut Vec<u8>) {
     let length = u32::try_from(payload.len()).expect("record payload is shorter than 4 GiB");
     let mut header = [0; 8];
     header[..4].copy_from_slice(&length.to_le_bytes());
     header[4..].copy_from_slice(&crc32fast::hash(payload).to_le_bytes());
-    out.extend_from_slice(&header);
-    out.extend_from_slice(&crc32fast::hash(&header).to_le_bytes());
-    out.extend_from_slice(payload);
-    out.push(END_BYTE);
+    buffer.extend_from_slice(&header);
+    buffer.extend_from_slice(&crc32fast::hash(&header).to_le_bytes());
+    buffer.extend_from_slice(payload);
+    buffer.push(END_BYTE);
 }
 
 /// Returns the marker for an offset.
--- a/components/keeper/src/apply.rs
+++ b/components/keeper/src/apply.rs
@@ -35,15 +35,15 @@
         &mut self,
         now: Time,
         event: consensus::Event,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let mut actions = Vec::new();
-        self.replica.handle(now, event, &mut actions);
-        for action in actions {
-            self.perform(now, action, out);
+        let mut replica_actions = Vec::new();
+        self.replica.handle(now, event, &mut replica_actions);
+        for action in replica_actions {
+            self.perform(now, action, actions);
         }
         if self.needs_compaction() {
-            self.compact(out);
+            self.compact(actions);
         }
     }
 
@@ -53,12 +53,12 @@
         many_entries || self.replica.committed_bytes() > COMPACT_AT_BYTES
     }
 
-    fn perform(&mut self, now: Time, action: consensus::Action, out: &mut Vec<Action>) {
+    fn perform(&mut self, now: Time, action: consensus::Action, actions: &mut Vec<Action>) {
         use consensus::Action as ReplicaAction;
         match action {
-            ReplicaAction::Store(records) => out.push(Action::Store(records)),
-            ReplicaAction::Rewrite(records) => out.push(Action::Rewrite(records)),
-            ReplicaAction::Send(to, message) => out.push(Action::Send(to, message)),
+            ReplicaAction::Store(records) => actions.push(Action::Store(records)),
+            ReplicaAction::Rewrite(records) => actions.push(Action::Rewrite(records)),
+            ReplicaAction::Send(to, message) => actions.push(Action::Send(to, message)),
             ReplicaAction::Proposed(id, index) => {
                 if let Some(pending) = self.proposals.remove(&id) {
                     self.pending_changes.insert(index, pending);
@@ -66,61 +66,61 @@
             }
             ReplicaAction::Rejected(id) => {
                 if let Some(pending) = self.proposals.remove(&id) {
-                    self.reply_not_leader(pending.call(), out);
+                    self.reply_not_leader(pending.call(), actions);
                 }
             }
-            ReplicaAction::Commit(entry) => self.apply_entry(now, &entry, out),
-            ReplicaAction::Install(snapshot) => self.install_snapshot(&snapshot, out),
+            ReplicaAction::Commit(entry) => self.apply_entry(now, &entry, actions),
+            ReplicaAction::Install(snapshot) => self.install_snapshot(&snapshot, actions),
             ReplicaAction::Log(event) => {
                 if matches!(event, consensus::LogEvent::SteppedDown(_)) {
-                    self.fail_pending_changes(out);
+                    self.fail_pending_changes(actions);
                 }
-                out.push(Action::Log(LogEvent::Replica(event)));
+                actions.push(Action::Log(LogEvent::Replica(event)));
             }
         }
     }
 
-    pub(crate) fn apply_entry(&mut self, now: Time, entry: &Entry, out: &mut Vec<Action>) {
+    pub(crate) fn apply_entry(&mut self, now: Time, entry: &Entry, actions: &mut Vec<Action>) {
         let Payload::Command(bytes) = &entry.payload else { return };
         let previous = self.state.version();
         let reply = match serde_json::from_slice::<LogCommand>(bytes) {
             Ok(LogCommand::Change(change)) => Reply::Change(self.state.apply_change(&change)),
             Ok(LogCommand::Replace(document)) => {
-                self.apply_document(document, out);
+                self.apply_document(document, actions);
                 Reply::Replaced
             }
             Ok(LogCommand::Hall(command)) => {
                 if self.state.apply_hall_command(command) {
-                    self.publish_halls(out);
+                    self.publish_halls(actions);
                 }
                 Reply::Halls(self.state.halls().clone())
             }
-            Err(_) => return out.push(Action::Log(LogEvent::UnreadableEntry(entry.index))),
+            Err(_) => return actions.push(Action::Log(LogEvent::UnreadableEntry(entry.index))),
         };
         if let Some(pending) = self.pending_changes.remove(&entry.index) {
-            out.push(Action::Respond(pending.call(), reply));
+            actions.push(Action::Respond(pending.call(), reply));
         }
         if self.state.version() > previous {
-            out.push(Action::Log(LogEvent::SettingsVersion(self.state.version())));
-            self.answer_pending_pulls(now, out);
+            actions.push(Action::Log(LogEvent::SettingsVersion(self.state.version())));
+            self.answer_pending_pulls(now, actions);
         }
     }
 
-    fn apply_document(&mut self, document: Document, out: &mut Vec<Action>) {
+    fn apply_document(&mut self, document: Document, actions: &mut Vec<Action>) {
         let version = document.version;
         let previous = self.state.document().cloned();
         if self.state.replace_document(document) {
             self.keep_replaced_document(previous);
-            out.push(Action::Log(LogEvent::DocumentVersion(version)));
-            self.notify_document_watchers(out);
+            actions.push(Action::Log(LogEvent::DocumentVersion(version)));
+            self.notify_document_watchers(actions);
         }
     }
 
-    fn publish_halls(&mut self, out: &mut Vec<Action>) {
+    fn publish_halls(&mut self, actions: &mut Vec<Action>) {
         let halls = self.state.halls();
-        out.push(Action::Log(LogEvent::EmptiedHalls(halls.clone())));
+        actions.push(Action::Log(LogEvent::EmptiedHalls(halls.clone())));
         let watchers = self.registry.set_halls_revision(halls.revision);
-        self.answer_watchers(watchers, out);
+        self.answer_watchers(watchers, actions);
     }
 
     /// Keeps a replaced document for nodes that are still fetching it.
@@ -131,39 +131,39 @@
         }
     }
 
-    fn install_snapshot(&mut self, snapshot: &Snapshot, out: &mut Vec<Action>) {
+    fn install_snapshot(&mut self, snapshot: &Snapshot, actions: &mut Vec<Action>) {
         match decode_state(snapshot) {
             Ok(state) => {
                 let previous = std::mem::replace(&mut self.state, state);
                 self.keep_replaced_document(previous.document().cloned());
-                self.notify_document_watchers(out);
+                self.notify_document_watchers(actions);
                 if previous.halls() != self.state.halls() {
-                    self.publish_halls(out);
+                    self.publish_halls(actions);
                 }
             }
-            Err(_) => out.push(Action::Log(LogEvent::UnreadableEntry(snapshot.index))),
+            Err(_) => actions.push(Action::Log(LogEvent::UnreadableEntry(snapshot.index))),
         }
     }
 
     /// Replaces the log by a snapshot of the state. Both end at the last committed entry.
-    fn compact(&mut self, out: &mut Vec<Action>) {
-        let mut actions = Vec::new();
-        self.replica.compact(encode_state(&self.state), &mut actions);
-        for action in actions {
+    fn compact(&mut self, actions: &mut Vec<Action>) {
+        let mut replica_actions = Vec::new();
+        self.replica.compact(encode_state(&self.state), &mut replica_actions);
+        for action in replica_actions {
             if let consensus::Action::Rewrite(records) = action {
-                out.push(Action::Rewrite(records));
+                actions.push(Action::Rewrite(records));
             }
         }
     }
 
-    pub(crate) fn notify_document_watchers(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn notify_document_watchers(&mut self, actions: &mut Vec<Action>) {
         let watchers = self.registry.set_document_version(self.state.document_version());
-        self.answer_watchers(watchers, out);
+        self.answer_watchers(watchers, actions);
     }
 
     /// Answers watching nodes, whether or not this keeper leads: what is committed here is final,
     /// and nodes keep the highest version that they receive.
-    pub(crate) fn answer_watchers(&self, watchers: Vec<Watcher>, out: &mut Vec<Action>) {
+    pub(crate) fn answer_watchers(&self, watchers: Vec<Watcher>, actions: &mut Vec<Action>) {
         if watchers.is_empty() {
             return;
         }
@@ -177,7 +177,7 @@
                 peers: self.registry.group_size(&watcher),
                 keepers: (watcher.keepers != digest).then(|| keepers.clone()),
             };
-            out.push(Action::Respond(watcher.call, Reply::Watch(reply)));
+            actions.push(Action::Respond(watcher.call, Reply::Watch(reply)));
         }
     }
 
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -17,13 +17,13 @@
     /// Handles a full disk. `refused` are the actions whose records could not be stored; it is
     /// empty if the first records of the journal could not be written. The caller keeps these
     /// records and calls [`Keeper::disk_is_writable`] once they are stored.
-    pub fn disk_is_full(&mut self, now: Time, refused: Vec<Action>, out: &mut Vec<Action>) {
+    pub fn disk_is_full(&mut self, now: Time, refused: Vec<Action>, actions: &mut Vec<Action>) {
         self.disk_full = true;
-        out.extend(refused.into_iter().filter_map(without_unstored_effects));
-        self.fail_pending_changes(out);
-        let mut actions = Vec::new();
-        self.replica.transfer_leadership(now, &mut actions);
-        out.extend(actions.into_iter().filter_map(|action| match action {
+        actions.extend(refused.into_iter().filter_map(without_unstored_effects));
+        self.fail_pending_changes(actions);
+        let mut replica_actions = Vec::new();
+        self.replica.transfer_leadership(now, &mut replica_actions);
+        actions.extend(replica_actions.into_iter().filter_map(|action| match action {
             ReplicaAction::Send(to, message) => Some(Action::Send(to, message)),
             _ => None,
         }));
@@ -40,10 +40,15 @@
         self.replica.voters().len() == 1
     }
 
-    pub(crate) fn handle_without_disk(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    pub(crate) fn handle_without_disk(
+        &mut self,
+        now: Time,
+        event: Event,
+        actions: &mut Vec<Action>,
+    ) {
         match event {
-            Event::Watch(call, request) => self.register_watcher(now, call, request, out),
-            Event::FetchPart(call, request) => self.reply_with_part(call, request, out),
+            Event::Watch(call, request) => self.register_watcher(now, call, request, actions),
+            Event::FetchPart(call, request) => self.reply_with_part(call, request, actions),
             Event::Change(call, _)
             | Event::ReadTree(call)
             | Event::ReadHistory(call)
@@ -51,7 +56,7 @@
             | Event::ReadDocument(call)
             | Event::HallCommand(call, _)
             | Event::ReadHalls(call)
-            | Event::Pull(call, _) => self.reply_not_leader(call, out),
+            | Event::Pull(call, _) => self.reply_not_leader(call, actions),
             // Dropping a message is safe, as messages may be lost anyway.
             Event::Resign | Event::PeerMessage(..) | Event::Tick => {}
         }
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -87,44 +87,46 @@
         }
     }
 
-    /// Handles an event and appends the resulting actions to `out`.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Handles an event and appends the resulting actions to `actions`.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if self.disk_full {
-            self.handle_without_disk(now, event, out);
+            self.handle_without_disk(now, event, actions);
         } else {
-            self.handle_with_disk(now, event, out);
+            self.handle_with_disk(now, event, actions);
         }
-        self.expire_pending_calls(now, out);
+        self.expire_pending_calls(now, actions);
     }
 
-    fn handle_with_disk(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    fn handle_with_disk(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Change(call, request) => self.propose_change(now, call, request, out),
-            Event::ReadTree(call) => self.read_tree(now, call, out),
+            Event::Change(call, request) => self.propose_change(now, call, request, actions),
+            Event::ReadTree(call) => self.read_tree(now, call, actions),
             Event::ReadHistory(call) => {
                 let history = Reply::History(self.state.history(HISTORY_VERSIONS_MAX));
-                self.reply_if_leader(now, call, history, out);
+                self.reply_if_leader(now, call, history, actions);
             }
             Event::ReplaceDocument(call, document) => {
-                self.propose_document(now, call, document, out)
+                self.propose_document(now, call, document, actions)
             }
             Event::ReadDocument(call) => {
                 let reply = Reply::Document(self.state.document().cloned());
-                self.reply_if_leader(now, call, reply, out);
+                self.reply_if_leader(now, call, reply, actions);
+            }
+            Event::HallCommand(call, command) => {
+                self.propose_hall_command(now, call, command, actions)
             }
-            Event::HallCommand(call, command) => self.propose_hall_command(now, call, command, out),
             Event::ReadHalls(call) => {
                 let halls = Reply::Halls(self.state.halls().clone());
-                self.reply_if_leader(now, call, halls, out);
+                self.reply_if_leader(now, call, halls, actions);
             }
-            Event::Watch(call, request) => self.register_watcher(now, call, request, out),
-            Event::FetchPart(call, request) => self.reply_with_part(call, request, out),
-            Event::Resign => self.step_replica(now, consensus::Event::Resign, out),
-            Event::Pull(call, request) => self.pull(now, call, &request, out),
+            Event::Watch(call, request) => self.register_watcher(now, call, request, actions),
+            Event::FetchPart(call, request) => self.reply_with_part(call, request, actions),
+            Event::Resign => self.step_replica(now, consensus::Event::Resign, actions),
+            Event::Pull(call, request) => self.pull(now, call, &request, actions),
             Event::PeerMessage(from, message) => {
-                self.step_replica(now, consensus::Event::Message { from, message }, out);
+                self.step_replica(now, consensus::Event::Message { from, message }, actions);
             }
-            Event::Tick => self.step_replica(now, consensus::Event::Tick, out),
+            Event::Tick => self.step_replica(now, consensus::Event::Tick, actions),
         }
     }
 
@@ -133,10 +135,10 @@
         now: Time,
         call: CallId,
         request: WatchRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let watchers = self.registry.watch(now, call, request);
-        self.answer_watchers(watchers, out);
+        self.answer_watchers(watchers, actions);
     }
 
     /// Replies with a part of a committed document, whether or not this keeper leads.
@@ -144,11 +146,11 @@
         &self,
         call: CallId,
         request: PartRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let documents = self.state.document().into_iter().chain(&self.replaced_documents);
         let part = documents.filter_map(|document| document.part(request)).next();
-        out.push(Action::Respond(call, Reply::Part(part)));
+        actions.push(Action::Respond(call, Reply::Part(part)));
     }
 
     /// The committed version of the settings tree.
@@ -187,16 +189,16 @@
         now: Time,
         call: CallId,
         request: ChangeRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !self.is_confirmed_leader(now) {
-            return self.reply_not_leader(call, out);
+            return self.reply_not_leader(call, actions);
         }
         if let Some(first) = self.state.result(&request.change) {
-            return out.push(Action::Respond(call, Reply::Change(first.clone())));
+            return actions.push(Action::Respond(call, Reply::Change(first.clone())));
         }
         let command = LogCommand::Change(SettingsChange { request, accepted_at: now });
-        self.propose(now, call, &command, out);
+        self.propose(now, call, &command, actions);
     }
 
     /// Replaces the document. A version that is not above the committed one changes nothing and is
@@ -206,15 +208,15 @@
         now: Time,
         call: CallId,
         document: Document,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !self.is_confirmed_leader(now) {
-            return self.reply_not_leader(call, out);
+            return self.reply_not_leader(call, actions);
         }
         if document.version <= self.state.document_version() {
-            return out.push(Action::Respond(call, Reply::Replaced));
+            return actions.push(Action::Respond(call, Reply::Replaced));
         }
-        self.propose(now, call, &LogCommand::Replace(document), out);
+        self.propose(now, call, &LogCommand::Replace(document), actions);
     }
 
     /// Empties or refills a hall. Hall commands carry no version and take effect in log order. A
@@ -225,26 +227,32 @@
         now: Time,
         call: CallId,
         command: HallCommand,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !self.is_confirmed_leader(now) {
-            return self.reply_not_leader(call, out);
+            return self.reply_not_leader(call, actions);
         }
-        self.propose(now, call, &LogCommand::Hall(command), out);
+        self.propose(now, call, &LogCommand::Hall(command), actions);
     }
 
-    fn propose(&mut self, now: Time, call: CallId, command: &LogCommand, out: &mut Vec<Action>) {
+    fn propose(
+        &mut self,
+        now: Time,
+        call: CallId,
+        command: &LogCommand,
+        actions: &mut Vec<Action>,
+    ) {
         let command = serde_json::to_vec(command).expect("the value can be serialized as JSON");
         self.next_proposal += 1;
         let id = ProposalId(self.next_proposal);
         self.proposals.insert(id, PendingChange::new(now, call));
-        self.step_replica(now, consensus::Event::Propose { id, command }, out);
+        self.step_replica(now, consensus::Event::Propose { id, command }, actions);
     }
 
-    fn read_tree(&mut self, now: Time, call: CallId, out: &mut Vec<Action>) {
+    fn read_tree(&mut self, now: Time, call: CallId, actions: &mut Vec<Action>) {
         let tree = self.state.tree().to_ini();
         let reply = Reply::Tree(TreeReply { version: self.state.version(), tree });
-        self.reply_if_leader(now, call, reply, out);
+        self.reply_if_leader(now, call, reply, actions);
     }
 
     /// Sends the reply only if this keeper is the confirmed leader, so that callers never read an
@@ -254,17 +262,17 @@
         now: Time,
         call: CallId,
         reply: Reply,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if self.is_confirmed_leader(now) {
-            out.push(Action::Respond(call, reply));
+            actions.push(Action::Respond(call, reply));
         } else {
-            self.reply_not_leader(call, out);
+            self.reply_not_leader(call, actions);
         }
     }
 
-    pub(crate) fn reply_not_leader(&self, call: CallId, out: &mut Vec<Action>) {
+    pub(crate) fn reply_not_leader(&self, call: CallId, actions: &mut Vec<Action>) {
         let leader = self.replica.leader().cloned();
-        out.push(Action::Respond(call, Reply::NotLeader(leader)));
+        actions.push(Action::Respond(call, Reply::NotLeader(leader)));
     }
 }
--- a/components/keeper/src/pending_calls.rs
+++ b/components/keeper/src/pending_calls.rs
@@ -56,53 +56,53 @@
         now: Time,
         call: CallId,
         request: &PullRequest,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let have = request.have;
         match self.state.update_since(have) {
             PullReply::Current if self.is_confirmed_leader(now) => {
                 self.pending_pulls.push(PendingPull { call, have, until: now + PULL_TIMEOUT });
             }
-            update => self.reply_if_leader(now, call, Reply::Pull(update), out),
+            update => self.reply_if_leader(now, call, Reply::Pull(update), actions),
         }
     }
 
     /// Answers the pending changes without a result after this keeper stopped leading; the next
     /// leader decides whether they are committed.
-    pub(crate) fn fail_pending_changes(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn fail_pending_changes(&mut self, actions: &mut Vec<Action>) {
         for pending in std::mem::take(&mut self.pending_changes).into_values() {
-            self.reply_not_leader(pending.call, out);
+            self.reply_not_leader(pending.call, actions);
         }
     }
 
     /// Answers the nodes for which there is a newer version or whose deadline has passed.
-    pub(crate) fn answer_pending_pulls(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn answer_pending_pulls(&mut self, now: Time, actions: &mut Vec<Action>) {
         for pending in std::mem::take(&mut self.pending_pulls) {
             let update = self.state.update_since(pending.have);
             if update == PullReply::Current && now < pending.until {
                 self.pending_pulls.push(pending);
             } else {
-                self.reply_if_leader(now, pending.call, Reply::Pull(update), out);
+                self.reply_if_leader(now, pending.call, Reply::Pull(update), actions);
             }
         }
     }
 
-    pub(crate) fn expire_pending_calls(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn expire_pending_calls(&mut self, now: Time, actions: &mut Vec<Action>) {
         let previous_len = self.registry.len();
         let watchers = self.registry.tick(now);
         if self.registry.len() != previous_len {
-            out.push(Action::Log(LogEvent::RegisteredNodes(self.registry.len())));
+            actions.push(Action::Log(LogEvent::RegisteredNodes(self.registry.len())));
         }
-        self.answer_watchers(watchers, out);
+        self.answer_watchers(watchers, actions);
         if self.pending_pulls.iter().any(|pending| pending.until <= now) {
-            self.answer_pending_pulls(now, out);
+            self.answer_pending_pulls(now, actions);
         }
         let expired = |(_, pending): &(&Index, &PendingChange)| pending.until <= now;
         let expired: Vec<Index> =
             self.pending_changes.iter().filter(expired).map(|(index, _)| *index).collect();
         for index in expired {
             if let Some(pending) = self.pending_changes.remove(&index) {
-                self.reply_not_leader(pending.call, out);
+                self.reply_not_leader(pending.call, actions);
             }
         }
     }
--- a/components/membership/src/detector.rs
+++ b/components/membership/src/detector.rs
@@ -132,44 +132,50 @@
     }
 
     /// Records a message from a node on any channel, which ends a suspicion.
-    pub fn record_contact(&mut self, now: Time, name: &NodeName, out: &mut Vec<Event>) {
+    pub fn record_contact(&mut self, now: Time, name: &NodeName, events: &mut Vec<Event>) {
         let Some(generation) = self.members.get(name).map(|member| member.generation) else {
             return;
         };
         if self.liveness(name) == Some(Status::Suspect) {
-            self.set_status(now, name, generation, Status::Alive, out);
+            self.set_status(now, name, generation, Status::Alive, events);
         }
     }
 
     /// Handles a message of another node.
-    pub fn handle(&mut self, now: Time, from: &NodeName, message: Message, out: &mut Vec<Event>) {
+    pub fn handle(
+        &mut self,
+        now: Time,
+        from: &NodeName,
+        message: Message,
+        events: &mut Vec<Event>,
+    ) {
         for update in message.updates() {
-            self.apply_update(now, update, out);
+            self.apply_update(now, update, events);
         }
-        self.reply(from, message, out);
-        self.record_contact(now, from, out);
+        self.reply(from, message, events);
+        self.record_contact(now, from, events);
     }
 
-    fn reply(&mut self, from: &NodeName, message: Message, out: &mut Vec<Event>) {
+    fn reply(&mut self, from: &NodeName, message: Message, events: &mut Vec<Event>) {
         match message {
             Message::Ping { number, .. } => {
                 let updates = self.updates_for(from);
-                out.push(Event::Send(from.clone(), Message::Ack { number, updates }));
+                events.push(Event::Send(from.clone(), Message::Ack { number, updates }));
             }
             Message::PingFor { number, target, .. } => {
                 let relay_number = self.next_number();
                 self.relayed_pings.insert(relay_number, (from.clone(), number));
                 let updates = self.updates_for(&target);
-                out.push(Event::Send(target, Message::Ping { number: relay_number, updates }));
+                events.push(Event::Send(target, Message::Ping { number: relay_number, updates }));
             }
-            Message::Ack { number, .. } => self.handle_ack(number, out),
+            Message::Ack { number, .. } => self.handle_ack(number, events),
         }
     }
 
-    fn handle_ack(&mut self, number: u64, out: &mut Vec<Event>) {
+    fn handle_ack(&mut self, number: u64, events: &mut Vec<Event>) {
         if let Some((requester, request_number)) = self.relayed_pings.remove(&number) {
             let updates = self.updates_for(&requester);
-            return out
+            return events
                 .push(Event::Send(requester, Message::Ack { number: request_number, updates }));
         }
         if self.probe.as_ref().is_some_and(|probe| probe.number == number) {
@@ -178,16 +184,16 @@
     }
 
     /// Runs all actions that are due at `now`.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Event>) {
-        self.expire_suspicions(now, out);
-        self.send_indirect_probes(now, out);
+    pub fn tick(&mut self, now: Time, events: &mut Vec<Event>) {
+        self.expire_suspicions(now, events);
+        self.send_indirect_probes(now, events);
         if self.probe.as_ref().is_some_and(|probe| probe.timeout_at <= now) {
-            self.suspect_probe_target(now, out);
+            self.suspect_probe_target(now, events);
         }
         if self.next_probe <= now {
             self.next_probe = now + self.timing.period;
             self.relayed_pings.clear();
-            self.send_next_probe(now, out);
+            self.send_next_probe(now, events);
         }
     }
 
@@ -202,7 +208,7 @@
     }
 
     /// Declares nodes dead whose suspicion timed out without a refutation.
-    fn expire_suspicions(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn expire_suspicions(&mut self, now: Time, events: &mut Vec<Event>) {
         let due = |(_, member): &(&NodeName, &Member)| member.dead_at.is_some_and(|at| at <= now);
         let dead: Vec<(NodeName, u64)> = self
             .members
@@ -211,11 +217,11 @@
             .map(|(name, member)| (name.clone(), member.generation))
             .collect();
         for (name, generation) in dead {
-            self.set_status(now, &name, generation, Status::Dead, out);
+            self.set_status(now, &name, generation, Status::Dead, events);
         }
     }
 
-    fn send_next_probe(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn send_next_probe(&mut self, now: Time, events: &mut Vec<Event>) {
         if self.probe_order.is_empty() {
             self.probe_order = self.members.keys().cloned().collect();
             self.probe_order.shuffle(&mut self.rng);
@@ -229,10 +235,10 @@
             timeout_at: now + self.timing.period,
         });
         let updates = self.updates_for(&target);
-        out.push(Event::Send(target, Message::Ping { number, updates }));
+        events.push(Event::Send(target, Message::Ping { number, updates }));
     }
 
-    fn send_indirect_probes(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn send_indirect_probes(&mut self, now: Time, events: &mut Vec<Event>) {
         let Some(probe) = &mut self.probe else { return };
         if probe.indirect_at.is_none_or(|at| at > now) {
             return;
@@ -245,27 +251,27 @@
             if helper != target {
                 let updates = self.updates_for(&helper);
                 let target = target.clone();
-                out.push(Event::Send(helper, Message::PingFor { number, target, updates }));
+                events.push(Event::Send(helper, Message::PingFor { number, target, updates }));
             }
         }
     }
 
-    fn suspect_probe_target(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn suspect_probe_target(&mut self, now: Time, events: &mut Vec<Event>) {
         let Some(probe) = self.probe.take() else { return };
         let Some(member) = self.members.get(&probe.target).copied() else { return };
         if member.status == Status::Alive {
-            self.set_status(now, &probe.target, member.generation, Status::Suspect, out);
+            self.set_status(now, &probe.target, member.generation, Status::Suspect, events);
         }
     }
 
     /// Applies an update about a node unless the known state is newer.
-    fn apply_update(&mut self, now: Time, update: &Update, out: &mut Vec<Event>) {
+    fn apply_update(&mut self, now: Time, update: &Update, events: &mut Vec<Event>) {
         if update.node == self.name {
             return self.refute(update);
         }
         let Some(member) = self.members.get(&update.node) else { return };
         if update.supersedes(member.generation, member.status) {
-            self.set_status(now, &update.node, update.generation, update.status, out);
+            self.set_status(now, &update.node, update.generation, update.status, events);
         }
     }
 
@@ -284,7 +290,7 @@
         name: &NodeName,
         generation: u64,
         status: Status,
-        out: &mut Vec<Event>,
+        events: &mut Vec<Event>,
     ) {
         let spread = self.timing.period * (self.members.len().max(1).ilog2() + 1);
         let Some(member) = self.members.get_mut(name) else { return };
@@ -293,7 +299,7 @@
         *member = Member { generation, status, dead_at };
         self.gossip.add(Update { node: name.clone(), generation, status });
         if changed {
-            out.push(Event::LivenessChanged(name.clone(), status));
+            events.push(Event::LivenessChanged(name.clone(), status));
         }
     }
 
--- a/components/membership/tests/detector.rs
+++ b/components/membership/tests/detector.rs
@@ -77,10 +77,10 @@
                 self.timers.insert((self.now + Duration::from_millis(10), name));
                 continue;
             }
-            let mut out = Vec::new();
+            let mut events = Vec::new();
             let now = self.now;
-            self.nodes.get_mut(&name).unwrap().tick(now, &mut out);
-            self.apply_events(&name, out);
+            self.nodes.get_mut(&name).unwrap().tick(now, &mut events);
+            self.apply_events(&name, events);
             self.schedule(&name);
         }
     }
@@ -101,10 +101,10 @@
             if self.silent.contains(&to) {
                 continue;
             }
-            let mut out = Vec::new();
+            let mut events = Vec::new();
             let now = self.now;
-            self.nodes.get_mut(&to).unwrap().handle(now, &from, message, &mut out);
-            self.apply_events(&to, out);
+            self.nodes.get_mut(&to).unwrap().handle(now, &from, message, &mut events);
+            self.apply_events(&to, events);
             self.schedule(&to);
         }
     }
