--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -112,9 +112,7 @@
                 let reply = Reply::Document(self.state.document().cloned());
                 self.reply_if_leader(now, call, reply, actions);
             }
-            Event::HallCommand(call, command) => {
-                self.propose_hall_command(now, call, command, actions)
-            }
+            Event::HallCommand(call, command) => self.propose_hall(now, call, command, actions),
             Event::ReadHalls(call) => {
                 let halls = Reply::Halls(self.state.halls().clone());
                 self.reply_if_leader(now, call, halls, actions);
@@ -222,7 +220,7 @@
     /// Empties or refills a hall. Hall commands carry no version and take effect in log order. A
     /// command that the committed state already satisfies is proposed as well, as the opposite
     /// command may still be uncommitted in the log before it.
-    fn propose_hall_command(
+    fn propose_hall(
         &mut self,
         now: Time,
         call: CallId,
