--- a/components/consensus/src/election.rs
+++ b/components/consensus/src/election.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Starts an election at once, as the leader has handed over to this replica.
+    /// Handles the leader's transfer of leadership to this replica: starts an election at once.
     pub(crate) fn handle_take_over(&mut self, now: Time, term: Term, actions: &mut Vec<Action>) {
         let eligible = !self.blank && self.members().contains(&self.name);
         if term == self.term && eligible && matches!(self.role, Role::Follower) {
@@ -125,8 +125,8 @@
         actions.extend(recipients.into_iter().map(|to| Action::Send(to.clone(), Message::Join)));
     }
 
-    /// Handles a referral to the leader of a replica that wants to join. Follows one referral per
-    /// join request: two replicas that name each other as leader would otherwise pass the request
+    /// Sends the join request to the leader that another replica named. Follows one referral per
+    /// join request: two replicas that name each other as leader would otherwise refer this replica
     /// back and forth.
     pub(crate) fn handle_referral(&mut self, leader: NodeName, actions: &mut Vec<Action>) {
         let accepted =
--- a/components/consensus/src/leader.rs
+++ b/components/consensus/src/leader.rs
@@ -14,14 +14,14 @@
 /// Maximum size of the commands in one message, unless a single command is larger. Keeps messages
 /// with large commands far below the longest frame that the transport accepts.
 const BATCH_BYTES_MAX: usize = 1_000_000;
-/// A non-member that has not replied for this long is no longer replicated to until it asks to join
-/// again.
+/// Time without a reply after which the leader stops replicating to a learner (a replica that is not
+/// a member) until it asks to join again.
 const LEARNER_TIMEOUT: Duration = Duration::from_secs(3);
 /// A replica whose last acknowledged append was sent longer ago neither becomes a member nor takes
 /// over leadership.
-const LEARNER_ACK_AGE_MAX: Duration = Duration::from_millis(700);
+const ACK_AGE_MAX: Duration = Duration::from_millis(700);
 
-/// The leader's view of one follower.
+/// The leader's view of one follower, which may be a member or a learner.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
     /// The index of the next entry to send.
@@ -30,8 +30,8 @@
     match_index: Index,
     /// When the latest append that the follower acknowledged was sent.
     acked_at: Time,
-    /// The follower started on an empty disk and has not caught up, so it does not count towards a
-    /// quorum.
+    /// Whether the follower started on an empty disk and has not caught up, so that it does not
+    /// count towards a quorum.
     blank: bool,
     /// When the leader started to track this follower.
     tracked_since: Time,
@@ -58,16 +58,17 @@
 #[derive(Debug)]
 pub(crate) struct LeaderState {
     followers: BTreeMap<NodeName, Progress>,
-    pub heartbeat_at: Time,
+    pub heartbeat_due_at: Time,
     /// When this replica became leader.
     elected_at: Time,
-    /// Another replica was asked to take over; this leader no longer relies on its lease.
+    /// Whether another replica was asked to take over; this leader then no longer has a lease.
     resigned: bool,
 }
 
 impl LeaderState {
-    /// The time until which a quorum grants no vote to another candidate; `None` if no quorum has
-    /// acknowledged an append in this term. `excluded` is a follower that is not counted.
+    /// The end of the lease, before which no other replica can be elected. `None` if this leader
+    /// resigned or no quorum has acknowledged an append in this term. `excluded` is a follower that
+    /// is not counted.
     pub fn lease_until(
         &self,
         replica: &Replica,
@@ -105,13 +106,13 @@
         followers.min_by_key(|(_, progress)| progress.match_index).map(|(name, _)| name.clone())
     }
 
-    /// A non-member that has every committed entry and replied recently.
+    /// A learner that has every committed entry and replied recently.
     fn ready_learner(&self, members: &[NodeName], now: Time, commit: Index) -> Option<NodeName> {
         let eligible = |(name, progress): &(&NodeName, &Progress)| {
             !members.contains(name)
                 && !progress.blank
                 && progress.match_index >= commit
-                && now.since(progress.acked_at) < LEARNER_ACK_AGE_MAX
+                && now.since(progress.acked_at) < ACK_AGE_MAX
         };
         self.followers.iter().find(eligible).map(|(name, _)| name.clone())
     }
@@ -125,7 +126,7 @@
         let initial = Progress::new(next, now);
         let followers = self.others().into_iter().map(|name| (name, initial)).collect();
         let leader_state =
-            LeaderState { followers, heartbeat_at: now, elected_at: now, resigned: false };
+            LeaderState { followers, heartbeat_due_at: now, elected_at: now, resigned: false };
         self.role = Role::Leader(leader_state);
         self.leader = Some(self.name.clone());
         actions.push(Action::Log(LogEvent::BecameLeader(self.term)));
@@ -137,7 +138,7 @@
     /// stored.
     pub(crate) fn replicate(&mut self, now: Time, actions: &mut Vec<Action>) {
         if let Role::Leader(leader_state) = &mut self.role {
-            leader_state.heartbeat_at = now + self.timing.heartbeat;
+            leader_state.heartbeat_due_at = now + self.timing.heartbeat;
         }
         let Role::Leader(leader_state) = &self.role else { return };
         let followers: Vec<NodeName> = leader_state.followers.keys().cloned().collect();
@@ -147,8 +148,8 @@
         self.advance_commit(actions);
     }
 
-    /// Handles the request of a non-member to be replicated to. A replica that is not the leader
-    /// refers it to the leader.
+    /// Handles the join request of a replica: the leader starts to replicate to it, any other
+    /// replica refers it to the leader.
     pub(crate) fn handle_join(&mut self, now: Time, from: &NodeName, actions: &mut Vec<Action>) {
         let next = self.log.last_index() + 1;
         if let Role::Leader(leader_state) = &mut self.role {
@@ -171,9 +172,7 @@
         let members = self.members().to_vec();
         let Role::Leader(leader_state) = &mut self.role else { return };
         let ready = leader_state.followers.iter().filter(|(name, progress)| {
-            !progress.blank
-                && members.contains(name)
-                && now.since(progress.acked_at) < LEARNER_ACK_AGE_MAX
+            !progress.blank && members.contains(name) && now.since(progress.acked_at) < ACK_AGE_MAX
         });
         let Some((successor, _)) = ready.max_by_key(|(_, p)| p.match_index) else { return };
         let successor = successor.clone();
@@ -195,6 +194,8 @@
         self.replicate(now, actions);
     }
 
+    /// The members after the next change; `None` if no change is needed or possible now. A silent
+    /// member is replaced in two changes: first a learner is added, then the member is removed.
     fn next_members(&self, now: Time) -> Option<Vec<NodeName>> {
         let Role::Leader(leader_state) = &self.role else { return None };
         let voters = self.timing.voters?;
@@ -213,8 +214,7 @@
         Some(members)
     }
 
-    /// Tracks every other member as a follower, and drops non-members that have not replied
-    /// recently.
+    /// Tracks every other member as a follower, and drops learners that have not replied recently.
     fn update_followers(&mut self, now: Time) {
         let initial = Progress::new(self.log.last_index() + 1, now);
         let others = self.others();
@@ -227,16 +227,16 @@
         }
     }
 
-    /// Sends the periodic heartbeat, or steps down if no quorum has replied within the election
-    /// timeout.
+    /// Sends the periodic heartbeat, or steps down if the lease expired longer ago than the
+    /// election timeout. Without a lease, the time since the election counts.
     pub(crate) fn leader_tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Role::Leader(leader_state) = &self.role else { return };
-        if leader_state.heartbeat_at > now {
+        if leader_state.heartbeat_due_at > now {
             return;
         }
-        let last_contact =
+        let lease_end =
             leader_state.lease_until(self, now, None).unwrap_or(leader_state.elected_at);
-        if now.since(last_contact) > self.timing.election {
+        if now.since(lease_end) > self.timing.election {
             self.step_down(actions);
             return self.reset_election_timer(now);
         }
@@ -255,7 +255,7 @@
             return self.send_snapshot(now, to, actions);
         };
         let entries = self.log.batch(progress.next_index, BATCH_ENTRIES_MAX, BATCH_BYTES_MAX);
-        let sent = entries.len() as Index;
+        let entry_count = entries.len() as Index;
         let message = Message::Append {
             term: self.term,
             prev_index,
@@ -268,11 +268,11 @@
         actions.push(Action::Send(to.clone(), message));
         // Assumes delivery; after a loss the follower rejects the next append and reports its last
         // index.
-        self.set_next_index(to, progress.next_index + sent);
+        self.set_next_index(to, progress.next_index + entry_count);
     }
 
-    /// Whether an entry of the current term is committed. Before that, entries of earlier terms may
-    /// be committed without this leader knowing.
+    /// Whether an entry of the current term is committed. Before that, the leader may not know of
+    /// all committed entries of earlier terms.
     pub(crate) fn has_committed_in_term(&self) -> bool {
         self.log.term(self.commit) == Some(self.term)
     }
@@ -294,7 +294,8 @@
         }
     }
 
-    /// Handles a follower's reply to an append or a snapshot.
+    /// Handles a follower's reply to an append or a snapshot. The tuple holds the fields of
+    /// [`Message::AppendReply`] after the term.
     pub(crate) fn handle_append_reply(
         &mut self,
         now: Time,
--- a/components/consensus/src/message.rs
+++ b/components/consensus/src/message.rs
@@ -33,8 +33,8 @@
         last_index: Index,
         /// The term of the candidate's last entry.
         last_term: Term,
-        /// The leader transferred leadership to the candidate, so its lease does not prevent the
-        /// vote.
+        /// Whether the leader transferred leadership to the candidate; the leader's lease then does
+        /// not prevent the vote.
         transfer: bool,
     },
     /// The reply to [`Message::Vote`].
--- a/components/consensus/src/record.rs
+++ b/components/consensus/src/record.rs
@@ -39,7 +39,7 @@
     /// Removes the entries from this index on.
     Truncate(Index),
     /// Every entry up to this index is committed. Written only together with other records to save
-    /// a sync, so it may lag behind the real commit index.
+    /// a sync, so it may lag behind the replica's commit index.
     Commit(Index),
 }
 
@@ -69,8 +69,8 @@
     pub commit: Index,
 }
 
-/// The index that the initial snapshot of a new cluster covers. Higher than that of an empty disk,
-/// so that a replica on an empty disk is sent the snapshot.
+/// The index that the initial snapshot of a new cluster covers. Higher than the index 0 of a blank
+/// replica, so that the snapshot is sent to blank replicas.
 const INITIAL_INDEX: Index = 1;
 
 /// The journal records that a founding replica of a new cluster starts with.
--- a/components/consensus/src/replica.rs
+++ b/components/consensus/src/replica.rs
@@ -18,7 +18,7 @@
     /// Interval between heartbeats of the leader.
     pub heartbeat: Duration,
     /// Minimum time without contact to the leader before a replica votes for another one or starts
-    /// an election. The election timeout is drawn at random between this and twice this.
+    /// an election. The election timeout is a random time between this value and twice this value.
     pub election: Duration,
     /// How long a leader may rely on its leadership after sending an append that a quorum
     /// acknowledged. Has to be shorter than `election` by more than the drift between two clocks in
@@ -61,8 +61,8 @@
     pub(crate) rng: ChaCha8Rng,
     pub(crate) term: Term,
     pub(crate) voted_for: Option<NodeName>,
-    /// Started on an empty disk and has not caught up: it neither votes nor counts towards a
-    /// quorum.
+    /// Whether this replica started on an empty disk and has not caught up; it then neither votes
+    /// nor counts towards a quorum.
     pub(crate) blank: bool,
     pub(crate) log: Log,
     pub(crate) commit: Index,
@@ -73,7 +73,7 @@
     pub(crate) election_due_at: Time,
     /// Replicas to ask for the leader while this replica is not a member.
     pub(crate) contacts: Vec<NodeName>,
-    /// A join request is outstanding, so the next referral is followed.
+    /// Whether a join request is outstanding; the next referral is then followed.
     pub(crate) join_pending: bool,
 }
 
@@ -151,7 +151,7 @@
     /// When the next [`Event::Tick`] is due.
     pub fn next_timer(&self) -> Time {
         match &self.role {
-            Role::Leader(leader_state) => leader_state.heartbeat_at,
+            Role::Leader(leader_state) => leader_state.heartbeat_due_at,
             _ => self.election_due_at,
         }
     }
@@ -296,7 +296,8 @@
         }
     }
 
-    /// Adopts a higher term as a follower without a known leader.
+    /// If the term is higher than the current one, adopts it and becomes a follower without a known
+    /// leader.
     pub(crate) fn adopt_term(&mut self, term: Term, actions: &mut Vec<Action>) {
         if term <= self.term {
             return;
@@ -320,8 +321,8 @@
     /// Restarts the election timer with a random timeout, to avoid split votes.
     pub(crate) fn reset_election_timer(&mut self, now: Time) {
         let shortest = self.timing.election.as_micros() as u64;
-        let wait = self.rng.random_range(shortest..=shortest * 2);
-        self.election_due_at = now + Duration::from_micros(wait);
+        let timeout = self.rng.random_range(shortest..=shortest * 2);
+        self.election_due_at = now + Duration::from_micros(timeout);
     }
 
     /// Commits all entries up to and including `index`.
--- a/components/consensus/tests/cluster/mod.rs
+++ b/components/consensus/tests/cluster/mod.rs
@@ -128,8 +128,8 @@
     /// are stored, and no later action is performed.
     pub fn lose_power(&mut self, name: &NodeName, kept: usize) {
         let now = self.now;
-        let to_it = self.messages.iter().filter(|(_, (_, to, _))| to == name);
-        let next = to_it.map(|(sequence, _)| *sequence).min();
+        let to_replica = self.messages.iter().filter(|(_, (_, to, _))| to == name);
+        let next = to_replica.map(|(sequence, _)| *sequence).min();
         let message = next.and_then(|sequence| self.messages.get(&sequence).cloned());
         let node = self.nodes.get_mut(name).unwrap();
         let mut actions = Vec::new();
--- a/components/consensus/tests/halls_lost.rs
+++ b/components/consensus/tests/halls_lost.rs
@@ -1,5 +1,5 @@
-//! Loss and network isolation of each hall in turn, while changes are in progress: six replicas in
-//! three halls, five of which vote.
+//! Six replicas in three halls, of which five replicas vote: each hall in turn loses power or is
+//! isolated while changes are in progress.
 
 mod cluster;
 
@@ -68,7 +68,8 @@
     cluster.now.since(started)
 }
 
-/// Fails the halls in turn, each with a change in progress.
+/// Fails the halls in turn, each with a change in progress, and checks that acknowledged changes
+/// survive; returns the longest time without a leader.
 fn fail_in_turn(order: [usize; 3], loss: Loss) -> Duration {
     let mut cluster = stable_cluster();
     let mut acknowledged: Vec<Vec<u8>> = Vec::new();
@@ -108,13 +109,13 @@
 }
 
 #[test]
-fn each_hall_can_lose_power_during_changes() {
+fn acknowledged_changes_survive_power_loss_of_each_hall() {
     let longest = ORDERS.into_iter().map(|order| fail_in_turn(order, Loss::Power)).max();
     println!("longest time without a leader: {longest:?}");
 }
 
 #[test]
-fn each_hall_can_be_isolated_during_changes() {
+fn acknowledged_changes_survive_isolation_of_each_hall() {
     let longest = ORDERS.into_iter().map(|order| fail_in_turn(order, Loss::Isolation)).max();
     println!("longest time without a leader: {longest:?}");
 }
--- a/components/consensus/tests/members.rs
+++ b/components/consensus/tests/members.rs
@@ -22,7 +22,7 @@
     numbers.iter().copied().map(name).collect()
 }
 
-/// Three voters, the first of which was replaced by a fourth, and the leader.
+/// A cluster of three voters in which a fourth replica has replaced the first, and its leader.
 fn cluster_with_first_replaced() -> (Cluster, NodeName) {
     let mut cluster = Cluster::with_voters(3);
     cluster.run_for(ELECTION);
@@ -66,7 +66,10 @@
     assert_eq!(voters(&cluster, &name(1)), names(&[2, 3, 4]), "outdated members");
     assert!(cluster.propose(b"next"));
     cluster.run_for(Duration::from_millis(300));
-    assert!(cluster.has_committed(&name(1), b"next"), "it is not kept up to date");
+    assert!(
+        cluster.has_committed(&name(1), b"next"),
+        "the replaced replica is not kept up to date"
+    );
 }
 
 #[test]
@@ -132,7 +135,7 @@
         cluster.run_for(Duration::from_millis(300));
         assert!(
             all.iter().all(|name| cluster.has_committed(name, b"kept")),
-            "k{lost} lost its disk"
+            "an entry is lost after k{lost} lost its disk"
         );
         assert!(!cluster.replica(&name(lost)).is_blank());
     }
@@ -162,9 +165,9 @@
     assert_eq!(cluster.replica(&name(4)).term(), 0);
 }
 
-/// Random faults: stops, restarts, isolation, replaced replicas, and one lost disk at a time. All
+/// Stops, restarts, isolates and replaces random replicas, and wipes one disk at a time. All
 /// committed entries must be present at the end.
-fn random_run(seed: u64) {
+fn run_with_random_faults(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut cluster = Cluster::with_voters(3);
     cluster.run_for(ELECTION);
@@ -249,5 +252,5 @@
 
 #[test]
 fn random_faults_keep_committed_entries() {
-    (0..40).for_each(random_run);
+    (0..40).for_each(run_with_random_faults);
 }
--- a/components/consensus/tests/power_loss.rs
+++ b/components/consensus/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! As many disks as the cluster tolerates are lost while all other replicas lose power.
+//! All replicas lose power, and as many as the cluster tolerates also lose their disks.
 
 mod cluster;
 
@@ -17,7 +17,7 @@
 /// Maximum time until replicas that started on empty disks vote again.
 const CAUGHT_UP_DUE: Duration = Duration::from_secs(6);
 /// Maximum delay between two restarts after a power loss.
-const LONGEST_STAGGER: Duration = Duration::from_millis(1_500);
+const RESTART_DELAY_MAX: Duration = Duration::from_millis(1_500);
 
 /// Whether the command is in a replica's journal.
 fn is_journaled(cluster: &Cluster, at: &NodeName, command: &[u8]) -> bool {
@@ -29,8 +29,8 @@
 }
 
 /// Runs until the condition holds or the time is over; returns whether it holds.
-fn run_until(cluster: &mut Cluster, longest: Duration, done: impl Fn(&Cluster) -> bool) -> bool {
-    let end = cluster.now + longest;
+fn run_until(cluster: &mut Cluster, timeout: Duration, done: impl Fn(&Cluster) -> bool) -> bool {
+    let end = cluster.now + timeout;
     while !done(cluster) && cluster.now < end {
         cluster.run_for(Duration::from_millis(1));
     }
@@ -122,15 +122,15 @@
     all.shuffle(rng);
     for name in &all {
         if rng.random_bool(0.7) {
-            let longest = LONGEST_STAGGER.as_millis() as u64;
+            let longest = RESTART_DELAY_MAX.as_millis() as u64;
             cluster.run_for(Duration::from_millis(rng.random_range(0..longest)));
         }
         cluster.start(name);
     }
 }
 
-/// Repeats: acknowledged changes, then a loss of disks and power. Acknowledged changes must
-/// survive.
+/// Repeatedly commits changes and then cuts the power of all replicas and wipes some disks; all
+/// acknowledged changes must survive.
 fn run_seed(seed: u64, founders: usize, voters: usize, count: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut cluster = Cluster::with_founders(founders, voters, count);
@@ -214,9 +214,9 @@
     }
     let leader = cluster.leader().expect("there is a leader");
     assert!([4, 5].map(name).contains(&leader), "a founder leads");
-    let gone = name(1);
-    cluster.kill(&gone);
-    cluster.nodes.remove(&gone);
+    let removed = name(1);
+    cluster.kill(&removed);
+    cluster.nodes.remove(&removed);
     cluster.add_blank(&name(6));
     cluster.run_for(CAUGHT_UP_DUE);
     assert!(!cluster.replica(&name(6)).is_blank(), "the new replica did not join");
@@ -225,7 +225,7 @@
 
 #[test]
 fn repeated_power_losses_while_a_blank_replica_catches_up_lose_nothing() {
-    for moment in 0..400 {
+    for extra_ms in 0..400 {
         let mut cluster = Cluster::with_voters(3);
         cluster.run_for(ELECTION);
         assert!(cluster.propose(b"kept"));
@@ -237,14 +237,14 @@
             cluster.lose_disk(&wiped);
             cluster.drop_messages();
             all.iter().for_each(|name| cluster.start(name));
-            cluster.run_for(Duration::from_millis(400 + moment));
+            cluster.run_for(Duration::from_millis(400 + extra_ms));
         }
         all.iter().for_each(|name| cluster.lose_power(name, 9));
         cluster.drop_messages();
         all.iter().for_each(|name| cluster.start(name));
         let leads = run_until(&mut cluster, LEADER_DUE, |cluster| cluster.leader().is_some());
-        assert!(leads, "after {moment} ms: there is no leader");
+        assert!(leads, "{extra_ms} ms extra: there is no leader");
         let leader = cluster.leader().expect("there is a leader");
-        assert!(cluster.has_committed(&leader, b"kept"), "after {moment} ms: the entry is lost");
+        assert!(cluster.has_committed(&leader, b"kept"), "{extra_ms} ms extra: the entry is lost");
     }
 }
--- a/components/consensus/tests/replicas.rs
+++ b/components/consensus/tests/replicas.rs
@@ -190,8 +190,8 @@
     assert!(!cluster.has_committed(&leader, b"lonely"));
 }
 
-/// A replica that missed many large entries must receive them in messages of limited size; a limit
-/// on the number of entries alone exceeded the longest frame.
+/// A replica that missed many large entries must receive them in messages that are shorter than the
+/// longest frame of the transport.
 #[test]
 fn many_large_entries_are_sent_in_messages_of_limited_size() {
     let mut cluster = Cluster::new(3);
