--- a/components/keeper/src/roster.rs
+++ b/components/keeper/src/roster.rs
@@ -1,10 +1,10 @@
-//! The nodes that a keeper knows across restarts, and which of them it calls after a start.
+//! The nodes that a keeper knows across restarts, and which of them it notifies after a start.
 //!
 //! Nodes without a disk know only the keepers that their settings name. After a power loss of the
 //! whole fleet, other keepers may start first and would be unknown to the nodes. A starting keeper
-//! therefore calls the nodes that it knew before, and they then register.
+//! therefore notifies the nodes that it knew before, and they then register.
 //!
-//! A call may be lost and is repeated for a few seconds. The stored list is only a hint; it is
+//! A notice may be lost and is repeated for a few seconds. The stored list is only a hint; it is
 //! neither replicated nor part of the journal.
 
 use std::collections::BTreeMap;
@@ -15,11 +15,11 @@
 use serde::{Deserialize, Serialize};
 use wire::NodeInfo;
 
-/// Interval between calls.
-const CALL_INTERVAL: Duration = Duration::from_millis(60);
-/// Time after the start for which nodes that have not registered are called. Later, nodes find the
+/// Interval between two notices to a node.
+const NOTIFY_INTERVAL: Duration = Duration::from_millis(60);
+/// Time after the start for which nodes that have not registered are notified. Later, nodes find the
 /// keeper through their settings.
-const CALL_PERIOD: Duration = Duration::from_secs(5);
+const NOTIFY_PERIOD: Duration = Duration::from_secs(5);
 /// Delay of the first store after a start, so that the nodes that register one after another are
 /// stored together.
 const FIRST_STORE_DELAY: Duration = Duration::from_secs(2);
@@ -33,15 +33,15 @@
 pub struct StoredNode {
     /// The node's name.
     pub name: NodeName,
-    /// The node's host. All nodes listen for calls on the same port.
+    /// The node's host. All nodes listen for notices on the same port.
     pub host: IpAddr,
 }
 
 /// The work that is due.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RosterWork {
-    /// Hosts to call.
-    pub call: Vec<IpAddr>,
+    /// Hosts to notify that this keeper has started.
+    pub notify: Vec<IpAddr>,
     /// The nodes to store on disk; `None` if the stored list is up to date.
     pub store: Option<Vec<StoredNode>>,
 }
@@ -58,8 +58,8 @@
 pub struct Roster {
     started_at: Time,
     nodes: BTreeMap<NodeName, KnownNode>,
-    /// When the nodes that have not registered are called next.
-    call_at: Option<Time>,
+    /// When the nodes that have not registered are notified next.
+    notify_at: Option<Time>,
     /// When the changed list is stored.
     store_at: Option<Time>,
     /// Earliest time of the next store.
@@ -72,11 +72,11 @@
         let known =
             |node: StoredNode| (node.name, KnownNode { host: node.host, last_contact: None });
         let nodes: BTreeMap<NodeName, KnownNode> = stored.into_iter().map(known).collect();
-        let call_at = (!nodes.is_empty()).then_some(now);
+        let notify_at = (!nodes.is_empty()).then_some(now);
         Self {
             started_at: now,
             nodes,
-            call_at,
+            notify_at,
             store_at: None,
             store_not_before: now + FIRST_STORE_DELAY,
         }
@@ -94,23 +94,23 @@
 
     /// Returns the work that is due.
     pub fn tick(&mut self, now: Time) -> RosterWork {
-        RosterWork { call: self.due_calls(now), store: self.due_store(now) }
+        RosterWork { notify: self.due_notices(now), store: self.due_store(now) }
     }
 
     /// When work is due next.
     pub fn next_timer(&self) -> Option<Time> {
-        self.call_at.into_iter().chain(self.store_at).min()
+        self.notify_at.into_iter().chain(self.store_at).min()
     }
 
-    fn due_calls(&mut self, now: Time) -> Vec<IpAddr> {
-        if self.call_at.is_none_or(|at| now < at) {
+    fn due_notices(&mut self, now: Time) -> Vec<IpAddr> {
+        if self.notify_at.is_none_or(|at| now < at) {
             return Vec::new();
         }
         let unregistered = self.nodes.values().filter(|known| known.last_contact.is_none());
         let hosts: Vec<IpAddr> = unregistered.map(|known| known.host).collect();
-        let next = now + CALL_INTERVAL;
-        let calls_continue = !hosts.is_empty() && next.since(self.started_at) < CALL_PERIOD;
-        self.call_at = calls_continue.then_some(next);
+        let next = now + NOTIFY_INTERVAL;
+        let notices_continue = !hosts.is_empty() && next.since(self.started_at) < NOTIFY_PERIOD;
+        self.notify_at = notices_continue.then_some(next);
         hosts
     }
 
--- a/components/keeper/tests/roster.rs
+++ b/components/keeper/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The nodes that a keeper stores across restarts and calls after a start.
+//! The nodes that a keeper stores across restarts and notifies after a start.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -41,25 +41,25 @@
 
 /// After a power loss of the fleet, a keeper that no settings name must become known to the nodes.
 #[test]
-fn a_starting_keeper_calls_stored_nodes_until_they_register() {
+fn a_starting_keeper_notifies_stored_nodes_until_they_register() {
     let mut roster = Roster::new(START, vec![stored_node(1), stored_node(2)]);
     let due = run(&mut roster, 0, 60);
-    let call = vec![host(1), host(2)];
-    assert_eq!(due, [(0, RosterWork { call, store: None })], "the first call is immediate");
+    let notify = vec![host(1), host(2)];
+    assert_eq!(due, [(0, RosterWork { notify, store: None })], "the first notice is immediate");
     roster.record_contact(after(60), &node(1));
     let due = run(&mut roster, 60, 200);
-    assert!(due.len() >= 2, "calls are repeated");
-    assert!(due.iter().all(|(_, work)| work.call == [host(2)]), "{due:?}");
+    assert!(due.len() >= 2, "notices are repeated");
+    assert!(due.iter().all(|(_, work)| work.notify == [host(2)]), "{due:?}");
     roster.record_contact(after(200), &node(2));
     assert_eq!(run(&mut roster, 200, 1_900), [], "all nodes have registered");
     assert_eq!(roster.next_timer(), None);
 }
 
 #[test]
-fn a_node_that_never_registers_is_called_for_a_limited_time() {
+fn a_node_that_never_registers_is_notified_for_a_limited_time() {
     let mut roster = Roster::new(START, vec![stored_node(1)]);
     let due = run(&mut roster, 0, 20_000);
-    let (last, _) = due.last().expect("the node was called");
+    let (last, _) = due.last().expect("the node was notified");
     assert!((4_500..5_000).contains(last), "{last}");
     assert_eq!(roster.next_timer(), None);
 }
@@ -74,7 +74,7 @@
     let due = run(&mut roster, 900, 10_000);
     assert_eq!(
         due,
-        [(2_000, RosterWork { call: Vec::new(), store: stored })],
+        [(2_000, RosterWork { notify: Vec::new(), store: stored })],
         "all nodes are stored together"
     );
     roster.record_contact(after(10_000), &node(2));
@@ -101,5 +101,5 @@
     roster.record_contact(after(70_000), &moved);
     let due = run(&mut roster, 70_000, 71_000);
     let stored = vec![StoredNode { host: host(9), ..stored_node(1) }];
-    assert_eq!(due, [(70_000, RosterWork { call: Vec::new(), store: Some(stored) })]);
+    assert_eq!(due, [(70_000, RosterWork { notify: Vec::new(), store: Some(stored) })]);
 }
--- a/daemon/src/keeper_role/roster.rs
+++ b/daemon/src/keeper_role/roster.rs
@@ -48,7 +48,7 @@
     };
     while let Ok(work) = inputs.recv().await {
         if let Some(socket) = &socket {
-            notify_hosts(socket, own_address, &work.call).await;
+            notify_hosts(socket, own_address, &work.notify).await;
         }
         if let Some(nodes) = &work.store
             && let Err(error) = write_nodes(&data, nodes)
