--- a/components/consensus/src/leader.rs
+++ b/components/consensus/src/leader.rs
@@ -14,8 +14,8 @@
 /// Maximum size of the commands in one message, unless a single command is larger. Keeps messages
 /// with large commands far below the longest frame that the transport accepts.
 const BATCH_BYTES_MAX: usize = 1_000_000;
-/// Time without a reply after which the leader stops replicating to a learner (a replica that is not
-/// a member) until it asks to join again.
+/// Time without a reply after which the leader stops replicating to a learner, that is a replica
+/// which is not a member, until it asks to join again.
 const LEARNER_TIMEOUT: Duration = Duration::from_secs(3);
 /// A replica whose last acknowledged append was sent longer ago neither becomes a member nor takes
 /// over leadership.
--- a/components/consensus/src/log.rs
+++ b/components/consensus/src/log.rs
@@ -68,8 +68,8 @@
         self.entries.back().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// The term of the entry at `index`; `None` if the log ends before it or the snapshot covers it.
-    /// The term of the snapshot's last entry is known.
+    /// The term of the entry at `index`. `None` if the log ends before it, or if the snapshot
+    /// covers it and it is not the last covered entry.
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
--- a/components/keeper/src/apply.rs
+++ b/components/keeper/src/apply.rs
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Replaces the log by a snapshot of the state. Both end at the last committed entry.
+    /// Replaces the committed entries of the log by a snapshot of the state, which has all of them
+    /// applied.
     fn compact(&mut self, actions: &mut Vec<Action>) {
         let mut replica_actions = Vec::new();
         self.replica.compact(encode_state(&self.state), &mut replica_actions);
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -23,7 +23,7 @@
     ReadTree(CallId),
     /// An operator reads the recent versions of the settings tree.
     ReadHistory(CallId),
-    /// An operator replaces the document.
+    /// An operator replaces the configuration document.
     ReplaceDocument(CallId, Document),
     /// An operator reads the document.
     ReadDocument(CallId),
@@ -63,7 +63,7 @@
     Tree(TreeReply),
     /// The recent versions, oldest first.
     History(Vec<TreeVersion>),
-    /// The document, or one with a higher version, is committed.
+    /// The document, or one with the same or a higher version, is committed.
     Replaced,
     /// The current document; `None` if there has never been one.
     Document(Option<Document>),
@@ -109,7 +109,7 @@
     EmptiedHalls(EmptiedHalls),
     /// The number of registered nodes changed.
     RegisteredNodes(usize),
-    /// The log entry at this index can't be decoded: it was written by a newer release, or there is
-    /// a bug.
+    /// The log entry at this index, or the snapshot that ends there, can't be decoded: a newer
+    /// release wrote it, or there is a bug.
     UnreadableEntry(u64),
 }
--- a/components/keeper/src/fetch.rs
+++ b/components/keeper/src/fetch.rs
@@ -1,6 +1,6 @@
 //! The node's side of a document transfer: chooses the source of the next part.
 //!
-//! Keepers and agents advertise the version that they have. A node fetches the newest one part by
+//! Keepers and agents offer the version that they have. A node fetches the newest version part by
 //! part, taking turns between the sources that have it, so that it receives the document once and
 //! the load is shared. Received parts are kept whichever source sent them: a silent source delays
 //! one part, and a slow link delays the transfer but does not restart it.
@@ -42,7 +42,7 @@
     /// Send the request to the source, and call [`DocumentFetch::next_step`] again after
     /// [`PART_TIMEOUT`].
     Request(DocumentSource, PartRequest),
-    /// The document is complete; the source sent the last part. Call [`DocumentFetch::next_step`]
+    /// The document is complete; this source sent the last part. Call [`DocumentFetch::next_step`]
     /// once the document is in force.
     Complete(Document, DocumentSource),
 }
@@ -52,10 +52,10 @@
 struct Transfer {
     version: u64,
     bytes: Vec<u8>,
-    /// The digest of the packed document that the received parts belong to; `None` before the first
-    /// part.
+    /// The digest of the compressed document that the received parts belong to; `None` before the
+    /// first part.
     digest: Option<u64>,
-    /// The source of the outstanding request and when it was sent.
+    /// The source of the outstanding request, and when the request was sent.
     request: Option<(DocumentSource, Time)>,
 }
 
@@ -64,10 +64,10 @@
 pub struct DocumentFetch {
     /// The newest version that was completely received.
     version: u64,
-    /// The version that each source advertises, if newer than `version`.
+    /// The version that each source offers, if newer than `version`.
     offers: BTreeMap<DocumentSource, u64>,
     transfer: Option<Transfer>,
-    /// The source of the latest request; the next one goes to the source after it.
+    /// The source of the latest request; the next request goes to the source after this one.
     last_source: Option<DocumentSource>,
 }
 
@@ -77,12 +77,12 @@
         self.version
     }
 
-    /// Whether a source advertises a newer version than the one received.
+    /// Whether a source offers a newer version than the one received.
     pub fn is_behind(&self) -> bool {
         !self.offers.is_empty()
     }
 
-    /// Handles a source's advertisement of its version.
+    /// Handles a source's offer of its version.
     pub fn version_offered(
         &mut self,
         now: Time,
@@ -118,7 +118,7 @@
     }
 
     /// The next request to send, if any. A source that timed out is not asked again until it
-    /// advertises a version again.
+    /// offers a version again.
     pub fn next_step(&mut self, now: Time) -> Option<FetchStep> {
         if let Some((source, at)) = self.transfer.as_ref().and_then(|transfer| transfer.request) {
             if now.since(at) < PART_TIMEOUT {
@@ -179,8 +179,8 @@
         let is_whole = bytes.len() == part.total;
         let document = Document::from_compressed(version, bytes).filter(|_| is_whole);
         let Some(document) = document else {
-            // The parts do not add up to the announced length or can't be unpacked; the source is
-            // not asked again until it advertises a version again.
+            // The parts do not add up to the total length or can't be decompressed; the source is
+            // not asked again until it offers a version again.
             self.offers.remove(&source);
             return self.next_step(now);
         };
@@ -190,8 +190,8 @@
     }
 
     /// Handles a part whose digest differs from that of the earlier parts, as when another release
-    /// packs the document differently. Other sources continue the transfer; if there are none, it
-    /// restarts from this source.
+    /// compresses the document differently. Other sources continue the transfer; if there are none,
+    /// it restarts from this source.
     fn handle_digest_mismatch(&mut self, now: Time, source: DocumentSource) -> Option<FetchStep> {
         self.cancel_request_to(source);
         let offer = self.offers.remove(&source);
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -5,8 +5,8 @@
 //! are accepted again without waiting for an election timeout. Nodes are still served from memory
 //! with the committed state and the list of nodes, which a restart would lose.
 //!
-//! What is committed here is also on the disks of other keepers, so the keeper can serve it; this
-//! does not hold for a sole voter.
+//! Whatever this keeper knows as committed is on the disks of a quorum, so it can be served. This
+//! does not hold if the keeper is the only voter.
 
 use consensus::Action as ReplicaAction;
 use model::Time;
@@ -14,12 +14,12 @@
 use crate::{Action, Event, Keeper, Reply};
 
 impl Keeper {
-    /// Handles a full disk. `refused` are the actions whose records could not be stored; it is
+    /// Handles a full disk. `rejected` are the actions whose records could not be stored; it is
     /// empty if the first records of the journal could not be written. The caller keeps these
     /// records and calls [`Keeper::disk_is_writable`] once they are stored.
-    pub fn disk_is_full(&mut self, now: Time, refused: Vec<Action>, actions: &mut Vec<Action>) {
+    pub fn disk_is_full(&mut self, now: Time, rejected: Vec<Action>, actions: &mut Vec<Action>) {
         self.disk_full = true;
-        actions.extend(refused.into_iter().filter_map(without_unstored_effects));
+        actions.extend(rejected.into_iter().filter_map(without_unstored_effects));
         self.fail_pending_changes(actions);
         let mut replica_actions = Vec::new();
         self.replica.transfer_leadership(now, &mut replica_actions);
@@ -34,8 +34,7 @@
         self.disk_full = false;
     }
 
-    /// Whether this keeper is the only voter, so that nothing is committed unless its own disk has
-    /// it.
+    /// Whether this keeper is the only voter, so that entries are committed by its own disk alone.
     pub fn is_only_voter(&self) -> bool {
         self.replica.voters().len() == 1
     }
@@ -57,14 +56,14 @@
             | Event::HallCommand(call, _)
             | Event::ReadHalls(call)
             | Event::Pull(call, _) => self.reply_not_leader(call, actions),
-            // Dropping a message is safe, as messages may be lost anyway.
+            // Dropping messages is safe, as they may be lost anyway.
             Event::Resign | Event::PeerMessage(..) | Event::Tick => {}
         }
     }
 }
 
-/// Reduces an action that followed a rejected store: messages are dropped, and callers whose result
-/// would depend on the store are referred to another keeper.
+/// Reduces an action that may depend on a rejected store: messages are dropped, and callers whose
+/// result depends on the store are answered that this keeper does not lead.
 fn without_unstored_effects(action: Action) -> Option<Action> {
     match action {
         Action::Store(_) | Action::Rewrite(_) | Action::Send(..) => None,
@@ -72,6 +71,6 @@
             Some(Action::Respond(call, reply))
         }
         Action::Respond(call, _) => Some(Action::Respond(call, Reply::NotLeader(None))),
-        event @ Action::Log(_) => Some(event),
+        action @ Action::Log(_) => Some(action),
     }
 }
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -35,6 +35,7 @@
     /// Pending changes by log index. Ordered, so that the order of replies is deterministic.
     pub(crate) pending_changes: BTreeMap<Index, PendingChange>,
     pub(crate) pending_pulls: Vec<PendingPull>,
+    /// Pending changes whose log index is not known yet.
     pub(crate) proposals: HashMap<ProposalId, PendingChange>,
     next_proposal: u64,
     pub(crate) registry: Registry,
@@ -120,7 +121,7 @@
             Event::Watch(call, request) => self.register_watcher(now, call, request, actions),
             Event::FetchPart(call, request) => self.reply_with_part(call, request, actions),
             Event::Resign => self.step_replica(now, consensus::Event::Resign, actions),
-            Event::Pull(call, request) => self.pull(now, call, &request, actions),
+            Event::Pull(call, request) => self.handle_pull(now, call, &request, actions),
             Event::PeerMessage(from, message) => {
                 self.step_replica(now, consensus::Event::Message { from, message }, actions);
             }
@@ -199,8 +200,8 @@
         self.propose(now, call, &command, actions);
     }
 
-    /// Replaces the document. A version that is not above the committed one changes nothing and is
-    /// acknowledged at once.
+    /// Proposes a replacement of the document. A version that is not above the committed one
+    /// changes nothing and is acknowledged at once.
     fn propose_document(
         &mut self,
         now: Time,
@@ -217,9 +218,9 @@
         self.propose(now, call, &LogCommand::Replace(document), actions);
     }
 
-    /// Empties or refills a hall. Hall commands carry no version and take effect in log order. A
-    /// command that the committed state already satisfies is proposed as well, as the opposite
-    /// command may still be uncommitted in the log before it.
+    /// Proposes to empty or refill a hall. Hall commands carry no version and take effect in log
+    /// order. A command that the committed state already satisfies is proposed as well, as the
+    /// opposite command may still be uncommitted in the log before it.
     fn propose_hall(
         &mut self,
         now: Time,
--- a/components/keeper/src/pending_calls.rs
+++ b/components/keeper/src/pending_calls.rs
@@ -51,7 +51,8 @@
         pulls.chain(changes).chain(watches).chain(replica).min()
     }
 
-    pub(crate) fn pull(
+    /// Answers a node's pull at once if there is a newer version; otherwise the call waits for one.
+    pub(crate) fn handle_pull(
         &mut self,
         now: Time,
         call: CallId,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Answers the pending changes without a result after this keeper stopped leading; the next
+    /// Answers the pending changes without a result, as this keeper no longer leads; the next
     /// leader decides whether they are committed.
     pub(crate) fn fail_pending_changes(&mut self, actions: &mut Vec<Action>) {
         for pending in std::mem::take(&mut self.pending_changes).into_values() {
@@ -87,6 +88,7 @@
         }
     }
 
+    /// Removes silent nodes from the registry and answers all calls whose deadline has passed.
     pub(crate) fn expire_pending_calls(&mut self, now: Time, actions: &mut Vec<Action>) {
         let previous_len = self.registry.len();
         let watchers = self.registry.tick(now);
--- a/components/keeper/src/registry.rs
+++ b/components/keeper/src/registry.rs
@@ -22,7 +22,8 @@
 /// Delay between the first change of the list and its notification, so that nodes which start
 /// together cause one notification.
 const NOTIFY_DELAY: Duration = Duration::from_millis(50);
-/// Number of changes kept per listed entry. A node that has missed more receives the whole list.
+/// Number of changes kept per registered entry. A node that has missed more receives the whole
+/// list.
 const CHANGES_KEPT_PER_ENTRY: usize = 5;
 /// Number of low bits of a revision that count changes; the high bits hold the seed and so differ
 /// between starts of the keeper.
@@ -35,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Watcher {
     pub call: CallId,
-    /// The group of the node.
+    /// The node's group.
     pub group: Group,
     /// The document version that the node has.
     document: u64,
@@ -103,8 +104,8 @@
         }
         self.next_expiry_at.get_or_insert(now + NODE_TIMEOUT);
         let watcher = Watcher { call, group, document, halls, revision, keepers };
-        let list_ready = self.notify_at.is_none() && is_list_outdated(revision, self.revision);
-        if document < self.document_version || halls < self.halls_revision || list_ready {
+        let list_due = self.notify_at.is_none() && is_list_outdated(revision, self.revision);
+        if document < self.document_version || halls < self.halls_revision || list_due {
             return vec![watcher];
         }
         self.watchers.insert((now + WATCH_TIMEOUT, call), watcher);
@@ -138,7 +139,7 @@
 
     /// Removes nodes that have been silent for too long.
     fn expire(&mut self, now: Time) {
-        if self.next_expiry_at.is_none_or(|from| now < from) {
+        if self.next_expiry_at.is_none_or(|at| now < at) {
             return;
         }
         let expired: Vec<NodeInfo> = self
@@ -170,7 +171,7 @@
 
     /// When the next tick is due; `None` if nothing is scheduled.
     pub fn next_timer(&self) -> Option<Time> {
-        let first = self.watchers.first_key_value().map(|((until, _), _)| *until);
+        let first = self.watchers.first_key_value().map(|((deadline, _), _)| *deadline);
         first.into_iter().chain(self.notify_at).min()
     }
 
@@ -181,8 +182,8 @@
         // A revision from an earlier start of this keeper differs in the high bits, so the
         // difference exceeds the number of kept changes.
         let missed = self.revision.checked_sub(revision).and_then(|n| usize::try_from(n).ok());
-        let known = missed.filter(|missed| *missed <= self.changes.len());
-        Some(known.map_or_else(
+        let available = missed.filter(|missed| *missed <= self.changes.len());
+        Some(available.map_or_else(
             || NodeListUpdate::Snapshot(self.list()),
             |missed| self.last_changes(missed),
         ))
@@ -196,15 +197,15 @@
 
     fn last_changes(&self, count: usize) -> NodeListUpdate {
         let changed: BTreeSet<&NodeName> = self.changes.iter().rev().take(count).collect();
-        let mut change =
+        let mut delta =
             NodeListDelta { revision: self.revision, upserted: vec![], removed: vec![] };
         for name in changed {
             match self.nodes.get(name).filter(|(node, _)| node.role == NodeRole::Entry) {
-                Some((node, _)) => change.upserted.push(node.clone()),
-                None => change.removed.push(name.clone()),
+                Some((node, _)) => delta.upserted.push(node.clone()),
+                None => delta.removed.push(name.clone()),
             }
         }
-        NodeListUpdate::Delta(change)
+        NodeListUpdate::Delta(delta)
     }
 
     /// The number of nodes in the watcher's group.
@@ -212,10 +213,11 @@
         self.group_sizes.get(&watcher.group).copied().unwrap_or(0)
     }
 
-    /// The number of listed entries.
+    /// The number of registered entries.
     fn entry_count(&self) -> usize {
-        let of_entries = self.group_sizes.iter().filter(|((role, _), _)| *role == NodeRole::Entry);
-        of_entries.map(|(_, size)| *size as usize).sum()
+        let entry_groups =
+            self.group_sizes.iter().filter(|((role, _), _)| *role == NodeRole::Entry);
+        entry_groups.map(|(_, size)| *size as usize).sum()
     }
 
     /// Removes a node from its group; returns whether it was an entry.
--- a/components/keeper/src/roster.rs
+++ b/components/keeper/src/roster.rs
@@ -17,8 +17,8 @@
 
 /// Interval between two notices to a node.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(60);
-/// Time after the start for which nodes that have not registered are notified. Later, nodes find the
-/// keeper through their settings.
+/// Time after the start for which nodes that have not registered are notified. Later, nodes find
+/// the keeper through their settings.
 const NOTIFY_PERIOD: Duration = Duration::from_secs(5);
 /// Delay of the first store after a start, so that the nodes that register one after another are
 /// stored together.
--- a/components/keeper/tests/document.rs
+++ b/components/keeper/tests/document.rs
@@ -51,7 +51,7 @@
         call
     }
 
-    /// Registers a node and returns its reply, waiting for up to `within`.
+    /// Registers a node and returns the reply, waiting for up to `within`.
     fn watch_and_wait(
         &mut self,
         node: NodeInfo,
@@ -104,7 +104,8 @@
     }
 }
 
-/// Replaces the document while node 1 waits with the list at `revision`; returns its reply.
+/// Replaces the document while node 1 waits with the list at `revision`; returns the reply to
+/// that node.
 fn replace_while_watching(single: &mut SingleKeeper, revision: u64) -> WatchReply {
     let pending = single.watch(node(1), 0, revision);
     let call = single.next_call_id();
@@ -197,7 +198,7 @@
     assert!(single.handle(Event::Watch(call, request)).is_empty());
     single.watch(node(3), 0, 0);
     let early_replies = single.run_for(Duration::from_millis(500));
-    assert_eq!(watch_reply(early_replies, call), None, "a new entry must not wake it");
+    assert_eq!(watch_reply(early_replies, call), None, "a new entry must not wake the node");
     let reply = watch_reply(single.run_for(Duration::from_millis(700)), call).expect("a reply");
     assert_eq!((reply.nodes, reply.peers), (None, 1));
 }
--- a/components/keeper/tests/fetch.rs
+++ b/components/keeper/tests/fetch.rs
@@ -19,14 +19,14 @@
     DocumentSource::Agent(number)
 }
 
-/// A document that is packed into [`PARTS`] parts.
+/// A document that has [`PARTS`] parts when compressed.
 fn document(version: u64) -> Document {
     let mut state = version;
     let mut random_char = || {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         char::from(b'!' + (state >> 33) as u8 % 94)
     };
-    // Each random letter takes about 6.5 bits when packed.
+    // Each random character takes more than six bits when compressed.
     let count = (PARTS - 1) * PART_BYTES_MAX * 8 / 6;
     let text: String = (0..count).map(|_| random_char()).collect();
     Document::new(version, format!("ü€{text}"))
@@ -196,8 +196,8 @@
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
 }
 
-/// A source that was restarted without the advertised version must not be asked again until it
-/// advertises one.
+/// A source that was restarted without the offered version must not be asked again until it
+/// offers one.
 #[test]
 fn a_source_without_the_version_is_not_asked_until_it_offers_one() {
     let mut node = Node::new();
@@ -246,7 +246,7 @@
     assert_eq!(document.part(PartRequest { version: 7, offset: 0 }), None);
 }
 
-/// A source that sends less than the announced length must not block the transfer from others.
+/// A source that sends less than the total length must not block the transfer from others.
 #[test]
 fn a_truncated_document_is_fetched_again() {
     let mut node = Node::new();
@@ -261,17 +261,18 @@
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
 }
 
-/// Sources of different releases may pack a document differently; their parts must not be combined.
+/// Sources of different releases may compress a document differently; their parts must not be
+/// combined.
 #[test]
 fn parts_with_different_digests_are_not_combined() {
-    let repacked = |request| {
+    let recompressed = |request| {
         document(8).part(request).map(|part| DocumentPart { digest: part.digest + 1, ..part })
     };
     let mut node = Node::new();
     (1..=3).for_each(|number| node.offer(keeper(number), 8));
     node.answer_from(&[document(8)]);
     let (mismatched, request) = node.outstanding_request();
-    let step = node.fetch.part_answered(node.now, mismatched, repacked(request));
+    let step = node.fetch.part_answered(node.now, mismatched, recompressed(request));
     node.record_step(step);
     assert_eq!(node.fetch_from(&[document(8)]), document(8));
     let requests = node.requests.iter().filter(|(source, _)| *source == mismatched);
@@ -290,21 +291,21 @@
             return;
         }
         let (source, request) = node.outstanding_request();
-        let step = node.fetch.part_answered(node.now, source, repacked(request));
+        let step = node.fetch.part_answered(node.now, source, recompressed(request));
         node.record_step(step);
     }
     panic!("the document is incomplete: {:?}", node.step);
 }
 
-/// A source whose parts can't be unpacked must not be asked again until it advertises a version.
+/// A source whose parts can't be decompressed must not be asked again until it offers a version.
 #[test]
-fn a_document_that_cannot_be_unpacked_is_fetched_again() {
+fn a_document_that_cannot_be_decompressed_is_fetched_again() {
     let mut node = Node::new();
     node.offer(keeper(1), 8);
     let (source, request) = node.outstanding_request();
     let part = document(8).part(request).expect("the first part");
-    let mismatched = DocumentPart { total: 3, bytes: vec![255; 3], ..part };
-    let step = node.fetch.part_answered(node.now, source, Some(mismatched));
+    let invalid = DocumentPart { total: 3, bytes: vec![255; 3], ..part };
+    let step = node.fetch.part_answered(node.now, source, Some(invalid));
     node.record_step(step);
     node.offer(keeper(2), 8);
     assert_eq!(node.outstanding_request().0, keeper(2));
--- a/components/keeper/tests/full_disk.rs
+++ b/components/keeper/tests/full_disk.rs
@@ -56,9 +56,10 @@
             );
             self.now = self.now + STEP;
             for (to, from, message) in std::mem::take(&mut self.messages) {
-                let name =
+                let position =
                     |keeper: &Keeper| keeper.replica().voters().iter().position(|n| *n == to);
-                let number = name(&self.keepers[0]).expect("the recipient is one of the keepers");
+                let number =
+                    position(&self.keepers[0]).expect("the recipient is one of the keepers");
                 self.handle(number, Event::PeerMessage(from, message));
             }
             (0..3).for_each(|number| self.handle(number, Event::Tick));
@@ -71,13 +72,13 @@
         self.keepers[number].handle(self.now, event, &mut actions);
         let stores =
             actions.iter().any(|action| matches!(action, Action::Store(_) | Action::Rewrite(_)));
-        if let Some((full, rejected)) = &mut self.full
+        if let Some((full, rejections)) = &mut self.full
             && *full == number
             && stores
         {
-            *rejected += 1;
-            let refused = std::mem::take(&mut actions);
-            self.keepers[number].disk_is_full(self.now, refused, &mut actions);
+            *rejections += 1;
+            let rejected = std::mem::take(&mut actions);
+            self.keepers[number].disk_is_full(self.now, rejected, &mut actions);
         }
         let own = NodeName::new(&format!("k{number}"));
         for action in actions {
--- a/components/keeper/tests/halls.rs
+++ b/components/keeper/tests/halls.rs
@@ -15,7 +15,7 @@
 impl SingleKeeper {
     /// Sends a hall command and returns the emptied halls after it.
     fn command(&mut self, hall: &str, takes_work: bool) -> EmptiedHalls {
-        match self.reply_to(|call| Event::HallCommand(call, command(hall, takes_work))) {
+        match self.reply_to(|call| Event::HallCommand(call, hall_command(hall, takes_work))) {
             Some(Reply::Halls(halls)) => halls,
             other => panic!("unexpected reply: {other:?}"),
         }
@@ -69,7 +69,7 @@
     }
 }
 
-fn command(hall: &str, takes_work: bool) -> HallCommand {
+fn hall_command(hall: &str, takes_work: bool) -> HallCommand {
     HallCommand { hall: hall.parse().expect("a valid hall name"), takes_work }
 }
 
@@ -106,12 +106,12 @@
 /// the last one takes effect even after retries.
 #[test]
 fn pending_commands_are_applied_in_order_of_arrival() {
-    for kinds in 0..16u32 {
+    for mask in 0..16u32 {
         let mut single = SingleKeeper::new();
-        let commands: Vec<bool> = (0..4).map(|bit| kinds & (1 << bit) != 0).collect();
+        let commands: Vec<bool> = (0..4).map(|bit| mask & (1 << bit) != 0).collect();
         for takes_work in &commands {
             let call = single.next_call_id();
-            single.handle(Event::HallCommand(call, command("north", *takes_work)));
+            single.handle(Event::HallCommand(call, hall_command("north", *takes_work)));
         }
         single.run_for(Duration::from_millis(50));
         let emptied = single.read().contains("north");
@@ -151,8 +151,8 @@
     let names = ["k1", "k2", "k3"].map(NodeName::new);
     let mut alone = SingleKeeper::from_records(initial_records(names.to_vec(), Tree::default()));
     alone.run_for(Duration::from_secs(5));
-    let ordered = alone.reply_to(|call| Event::HallCommand(call, command("north", false)));
-    assert_eq!(ordered, Some(Reply::NotLeader(None)));
+    let reply = alone.reply_to(|call| Event::HallCommand(call, hall_command("north", false)));
+    assert_eq!(reply, Some(Reply::NotLeader(None)));
     assert_eq!(alone.reply_to(Event::ReadHalls), Some(Reply::NotLeader(None)));
 }
 
@@ -162,17 +162,21 @@
     let (waiting, immediate) = single.watch(0);
     assert_eq!(immediate, [], "no hall has been emptied yet");
     let call = single.next_call_id();
-    let mut replies = single.handle(Event::HallCommand(call, command("north", false)));
+    let mut replies = single.handle(Event::HallCommand(call, hall_command("north", false)));
     replies.extend(single.run_for(Duration::from_millis(10)));
-    let received = received(&replies, waiting).expect("notified with the acknowledgement");
+    let received = received_halls(&replies, waiting).expect("notified with the acknowledgement");
     assert_eq!(names(&received), ["north"]);
     let (_, immediate) = single.watch(received.revision);
     assert_eq!(immediate, [], "the node is up to date");
-    let (behind, immediate) = single.watch(0);
-    assert_eq!(self::received(&immediate, behind), Some(received), "a node that has just started");
+    let (outdated, immediate) = single.watch(0);
+    assert_eq!(
+        self::received_halls(&immediate, outdated),
+        Some(received),
+        "an outdated node is answered at once"
+    );
 }
 
-fn received(replies: &[(CallId, Reply)], to: CallId) -> Option<EmptiedHalls> {
+fn received_halls(replies: &[(CallId, Reply)], to: CallId) -> Option<EmptiedHalls> {
     replies.iter().find_map(|(call, reply)| match reply {
         Reply::Watch(reply) if *call == to => reply.halls.clone(),
         _ => None,
@@ -187,7 +191,8 @@
     let change = r#"{"request":{"change":"c","base_version":1,"edits":[]},"taken":5}"#;
     let read: LogCommand = serde_json::from_str(change).expect("the entry can be read");
     assert!(matches!(read, LogCommand::Change(command) if command.request.change == "c"));
-    let command = serde_json::to_string(&LogCommand::Hall(command("north", false))).expect("JSON");
+    let command =
+        serde_json::to_string(&LogCommand::Hall(hall_command("north", false))).expect("JSON");
     let read: LogCommand = serde_json::from_str(&command).expect("the entry can be read");
-    assert_eq!(read, LogCommand::Hall(self::command("north", false)));
+    assert_eq!(read, LogCommand::Hall(self::hall_command("north", false)));
 }
--- a/components/keeper/tests/propagation.rs
+++ b/components/keeper/tests/propagation.rs
@@ -25,14 +25,19 @@
 const MESSAGE_TIME: Duration = Duration::from_micros(40);
 /// Additional time for each 10 kB of a message.
 const TIME_PER_10_KB: Duration = Duration::from_micros(60);
-const SYNC: Duration = Duration::from_millis(9);
-const TICK: Duration = Duration::from_millis(10);
+/// Time of a disk sync.
+const SYNC_TIME: Duration = Duration::from_millis(9);
+/// Interval between two ticks of a keeper.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// Size of the document.
 const DOCUMENT_BYTES: usize = 10_000;
 
 enum SimEvent {
+    /// The keeper receives an event.
     Keeper(usize, Event),
+    /// The node receives a reply from the keeper.
     Node(usize, usize, Reply),
+    /// The keeper's timers are checked.
     Tick(usize),
 }
 
@@ -57,12 +62,13 @@
     schedule: BTreeMap<(Time, u64), SimEvent>,
     sequence: u64,
     keepers: Vec<Keeper>,
-    /// When each keeper has processed its input so far.
+    /// When each keeper has processed the events received so far.
     busy_until: Vec<Time>,
     sent: Vec<Sent>,
     nodes: Vec<Node>,
     /// The node that made each call; `None` for the operator.
     callers: BTreeMap<CallId, Option<usize>>,
+    /// When the operator received the acknowledgement of the latest document.
     acknowledged: Option<Time>,
 }
 
@@ -122,10 +128,10 @@
         self.schedule.insert((self.now + after, self.sequence), event);
     }
 
-    fn register_call(&mut self, of: Option<usize>) -> CallId {
+    fn register_call(&mut self, caller: Option<usize>) -> CallId {
         self.sequence += 1;
         let call = CallId(self.sequence);
-        self.callers.insert(call, of);
+        self.callers.insert(call, caller);
         call
     }
 
@@ -153,7 +159,7 @@
                 SimEvent::Node(node, keeper, reply) => self.node_receives(node, keeper, reply),
                 SimEvent::Tick(keeper) => {
                     self.keeper_handles(keeper, Event::Tick);
-                    self.schedule_after(TICK, SimEvent::Tick(keeper));
+                    self.schedule_after(TICK_INTERVAL, SimEvent::Tick(keeper));
                 }
             }
         }
@@ -164,16 +170,16 @@
         let mut done = self.busy_until[keeper].max(self.now) + MESSAGE_TIME;
         let mut actions = Vec::new();
         self.keepers[keeper].handle(done, event, &mut actions);
-        let mut synced = Duration::ZERO;
+        let mut sync_time = Duration::ZERO;
         for action in actions {
             match action {
-                Action::Store(_) | Action::Rewrite(_) => synced = SYNC,
+                Action::Store(_) | Action::Rewrite(_) => sync_time = SYNC_TIME,
                 Action::Send(to, message) => {
                     done = done + MESSAGE_TIME;
                     self.sent[keeper].peer_messages += 1;
                     let to = (0..KEEPERS).find(|number| keeper_name(*number) == to);
                     let event = Event::PeerMessage(keeper_name(keeper), message);
-                    let arrives = (done + synced + LATENCY).since(self.now);
+                    let arrives = (done + sync_time + LATENCY).since(self.now);
                     self.schedule_after(arrives, SimEvent::Keeper(to.expect("a keeper"), event));
                 }
                 Action::Respond(call, reply) => {
@@ -185,7 +191,7 @@
                         }
                         _ => self.sent[keeper].answers += 1,
                     }
-                    let arrives = (done + synced + LATENCY).since(self.now);
+                    let arrives = (done + sync_time + LATENCY).since(self.now);
                     match self.callers.remove(&call) {
                         Some(Some(node)) => {
                             self.schedule_after(arrives, SimEvent::Node(node, keeper, reply))
@@ -281,16 +287,16 @@
     for version in [5, 9] {
         let took = simulation.replace(version);
         let parts: Vec<u64> = simulation.sent.iter().map(|sent| sent.parts).collect();
-        let most = took[nodes * 99 / 100];
+        let p99 = took[nodes * 99 / 100];
         println!(
-            "{nodes} nodes: half of them within {:?}, 99 of 100 within {most:?}",
+            "{nodes} nodes: half of them within {:?}, 99 of 100 within {p99:?}",
             took[nodes / 2]
         );
         println!(
             "parts sent by each keeper {parts:?}; leader {:?}",
             simulation.sent[simulation.leader()]
         );
-        assert!(most <= Duration::from_millis(150), "{most:?}");
+        assert!(p99 <= Duration::from_millis(150), "{p99:?}");
         let share = nodes.div_ceil(KEEPERS) as u64;
         assert!(parts.iter().all(|sent| *sent <= 2 * share), "{parts:?}");
         assert_eq!(parts.iter().sum::<u64>(), nodes as u64, "each node is sent the document once");
