--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -179,17 +179,18 @@
         if behind > kept {
             return conflict(changed_sections.iter().map(|path| path.to_string()).collect());
         }
-        let since = self.recent_versions.iter().filter(|v| v.version > request.base_version);
+        let later_versions =
+            self.recent_versions.iter().filter(|later| later.version > request.base_version);
         let later_sections: BTreeSet<&SectionPath> =
-            since.flat_map(|version| version.edits.iter().map(Edit::section)).collect();
+            later_versions.flat_map(|version| version.edits.iter().map(Edit::section)).collect();
         let conflicting: Vec<String> =
             changed_sections.intersection(&later_sections).map(|path| path.to_string()).collect();
         if conflicting.is_empty() { None } else { conflict(conflicting) }
     }
 
-    /// The edits of a change, with the previous claim view added if the change replaces the claim
-    /// view. Both views have to agree until claims that only the previous view granted have
-    /// expired.
+    /// The edits of a change. If the change replaces the claim view, they also store the previous
+    /// view, as both views have to grant a claim until earlier claims have expired. Fails with the
+    /// reason if the change is not allowed.
     fn edits_with_previous_view(&self, change: &SettingsChange) -> Result<Vec<Edit>, String> {
         let mut edits = change.request.edits.clone();
         let fleet = SectionPath::fleet();
@@ -202,15 +203,17 @@
         };
         let keys: Vec<String> = edits.iter().filter_map(key_of).collect();
         if keys.iter().any(|key| key.starts_with("previous_claim_view")) {
-            return Err("[fleet] previous_claim_view: written by the keeper only".to_owned());
+            return Err("[fleet] previous_claim_view: only the keeper sets this key".to_owned());
         }
         let previous = Catalog::new(self.version, &self.tree).fleet().clone();
         if !keys.iter().any(|key| key == "claim_view") || previous.claim_view.is_empty() {
             return Ok(edits);
         }
         if change.accepted_at <= previous.previous_claim_view_until {
-            let left = previous.previous_claim_view_until.since(change.accepted_at).as_secs();
-            return Err(format!("[fleet] claim_view: changed before; again in {left} s"));
+            let remaining = previous.previous_claim_view_until.since(change.accepted_at).as_secs();
+            return Err(format!(
+                "[fleet] claim_view: changed too recently; retry in {remaining} s"
+            ));
         }
         let until = change.accepted_at
             + previous.retention
