--- a/components/membership/src/detector.rs
+++ b/components/membership/src/detector.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// A node's status as seen by the local detector.
+/// A node's status according to the local detector.
 pub type Liveness = Status;
 
 /// Output of the detector.
@@ -90,9 +90,10 @@
     probe_order: Vec<NodeName>,
     gossip: Gossip,
     probe: Option<Probe>,
-    next_probe: Time,
+    next_probe_at: Time,
     last_number: u64,
-    /// Pings sent on behalf of other nodes: own ping number to (requester, its ping number).
+    /// Pings sent on behalf of other nodes, by ping number, with the requester and the number of
+    /// its request.
     relayed_pings: HashMap<u64, (NodeName, u64)>,
 }
 
@@ -109,13 +110,14 @@
             probe_order: Vec::new(),
             gossip: Gossip::default(),
             probe: None,
-            next_probe: now,
+            next_probe_at: now,
             last_number: 0,
             relayed_pings: HashMap::new(),
         }
     }
 
-    /// Replaces the set of monitored nodes. State of nodes that are no longer listed is dropped.
+    /// Replaces the set of monitored nodes. The state of nodes that are no longer in the set is
+    /// dropped.
     pub fn set_members(&mut self, names: impl Iterator<Item = NodeName>) {
         let mut old = std::mem::take(&mut self.members);
         for name in names.filter(|name| *name != self.name) {
@@ -183,15 +185,15 @@
         }
     }
 
-    /// Runs all actions that are due at `now`.
+    /// Expires suspicions and sends the probes that are due at `now`.
     pub fn tick(&mut self, now: Time, events: &mut Vec<Event>) {
         self.expire_suspicions(now, events);
         self.send_indirect_probes(now, events);
         if self.probe.as_ref().is_some_and(|probe| probe.timeout_at <= now) {
             self.suspect_probe_target(now, events);
         }
-        if self.next_probe <= now {
-            self.next_probe = now + self.timing.period;
+        if self.next_probe_at <= now {
+            self.next_probe_at = now + self.timing.period;
             self.relayed_pings.clear();
             self.send_next_probe(now, events);
         }
@@ -203,8 +205,8 @@
         let indirect = probe.and_then(|probe| probe.indirect_at);
         let timeout_at = probe.map(|probe| probe.timeout_at);
         let dead_times = self.members.values().filter_map(|member| member.dead_at);
-        let due = dead_times.chain(indirect).chain(timeout_at).min();
-        due.map_or(self.next_probe, |due| due.min(self.next_probe))
+        let earliest = dead_times.chain(indirect).chain(timeout_at).min();
+        earliest.map_or(self.next_probe_at, |at| at.min(self.next_probe_at))
     }
 
     /// Declares nodes dead whose suspicion timed out without a refutation.
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Refutes a suspicion of the local node by announcing a higher generation.
+    /// Refutes a report that the local node is suspect or dead by announcing a higher generation.
     fn refute(&mut self, update: &Update) {
         if update.status != Status::Alive {
             self.generation = self.generation.max(update.generation + 1);
@@ -308,8 +310,8 @@
         self.last_number
     }
 
-    /// Returns the updates to piggyback on a message to `to`. If that node is not considered alive,
-    /// its own status is always included so that it can refute it, even if it missed the earlier
+    /// Returns the updates to piggyback on a message to `to`. If `to` is not considered alive, its
+    /// status is always included, so that it can refute the status even if it missed the earlier
     /// updates.
     fn updates_for(&mut self, to: &NodeName) -> Vec<Update> {
         let nodes = self.members.len().max(1) as u32;
--- a/components/membership/src/gossip.rs
+++ b/components/membership/src/gossip.rs
@@ -19,8 +19,8 @@
 pub struct Update {
     /// The node that the update is about.
     pub node: NodeName,
-    /// Incarnation number, incremented only by the node itself: at its start and to refute a
-    /// suspicion.
+    /// The incarnation number of SWIM, increased only by the node itself: at its start and to
+    /// refute a suspicion.
     pub generation: u64,
     /// The announced status.
     pub status: Status,
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,6 +1,6 @@
 //! Host membership: which hosts exist, are alive or are leaving.
 //!
-//! [`HostList`] holds the platform's list of hosts that may exist and hosts that are leaving; it
+//! [`HostList`] is the platform's list of the hosts that may exist, with those that are leaving; it
 //! may be out of date. [`Detector`] determines which nodes are alive.
 
 mod detector;
--- a/components/membership/tests/detector.rs
+++ b/components/membership/tests/detector.rs
@@ -15,14 +15,15 @@
 struct Cluster {
     now: Time,
     nodes: BTreeMap<NodeName, Detector>,
+    /// Nodes that neither handle messages nor run timers.
     silent: HashSet<NodeName>,
     deliveries: BinaryHeap<Reverse<(Time, u64)>>,
     in_flight: HashMap<u64, (NodeName, NodeName, Message)>,
     timers: BTreeSet<(Time, NodeName)>,
     scheduled: HashMap<NodeName, Time>,
     sequence: u64,
-    bytes: u64,
-    /// Dead node, node that declared it dead, and time.
+    sent_bytes: u64,
+    /// The node declared dead, the node that declared it dead, and the time.
     deaths: Vec<(NodeName, NodeName, Time)>,
 }
 
@@ -50,7 +51,7 @@
             timers: (0..count).map(|number| (START, name(number))).collect(),
             scheduled: HashMap::new(),
             sequence: 0,
-            bytes: 0,
+            sent_bytes: 0,
             deaths: Vec::new(),
         }
     }
@@ -113,7 +114,7 @@
         for event in events {
             match event {
                 Event::Send(to, message) => {
-                    self.bytes += bincode::serialized_size(&message).unwrap();
+                    self.sent_bytes += bincode::serialized_size(&message).unwrap();
                     self.sequence += 1;
                     self.deliveries.push(Reverse((self.now + LATENCY, self.sequence)));
                     self.in_flight.insert(self.sequence, (from.clone(), to, message));
@@ -143,15 +144,15 @@
 fn paused_nodes_are_not_declared_dead() {
     let mut cluster = Cluster::new(50);
     cluster.run_for(Duration::from_secs(5));
-    for stalled in [3, 17] {
-        cluster.silent.insert(name(stalled));
+    for paused in [3, 17] {
+        cluster.silent.insert(name(paused));
     }
     cluster.run_for(Duration::from_secs(3));
     cluster.silent.clear();
     cluster.run_for(Duration::from_secs(15));
     assert_eq!(cluster.deaths, []);
-    let alive = |node: &Detector| node.liveness(&name(3)) != Some(Status::Dead);
-    assert!(cluster.nodes.values().all(alive));
+    let not_dead = |node: &Detector| node.liveness(&name(3)) != Some(Status::Dead);
+    assert!(cluster.nodes.values().all(not_dead));
 }
 
 #[test]
@@ -177,7 +178,7 @@
     let rate = |count: usize| {
         let mut cluster = Cluster::new(count);
         cluster.run_for(Duration::from_secs(10));
-        cluster.bytes as f64 / count as f64 / 10.0
+        cluster.sent_bytes as f64 / count as f64 / 10.0
     };
     let (small, large) = (rate(10), rate(200));
     assert!(large < small * 1.2, "{small} B/s at 10 nodes, {large} B/s at 200");
