--- a/components/journal/src/file.rs
+++ b/components/journal/src/file.rs
@@ -28,7 +28,7 @@
     file: Option<File>,
     /// Offset of the end of the last synced record, where the marker for it is written.
     synced_end: u64,
-    /// Whether that marker is written. The marker itself is not synced.
+    /// Whether the marker at `synced_end` is written. The marker itself is not synced.
     marker_written: bool,
     /// Whether the bytes after the synced end are unreliable: a torn tail or a partial write.
     tail_untrusted: bool,
@@ -52,15 +52,15 @@
 
     /// Like [`Journal::open`], on the given disk.
     pub fn open_on_disk(path: &Path, disk: Disk) -> Result<OpenedJournal, JournalError> {
-        let io = |source| JournalError::from_io(path, source);
-        remove_if_exists(&temporary_path(path)).map_err(io)?;
-        let bytes = read_if_exists(path).map_err(io)?;
+        let to_error = |source| JournalError::from_io(path, source);
+        remove_if_exists(&temporary_path(path)).map_err(to_error)?;
+        let bytes = read_if_exists(path).map_err(to_error)?;
         let parsed = bytes.as_deref().map(|bytes| parse_file(path, bytes)).transpose()?;
         let mut journal = Self::without_file(path, disk);
         let mut truncated_bytes = 0;
         match &parsed {
             Some(parsed) if parsed.ends_with_marker => {
-                journal.file = Some(open_for_writing(path).map_err(io)?);
+                journal.file = Some(open_for_writing(path).map_err(to_error)?);
                 journal.synced_end = (parsed.end - format::MARKER_LEN) as u64;
                 truncated_bytes = (bytes.map_or(0, |bytes| bytes.len()) - parsed.end) as u64;
                 journal.tail_untrusted = truncated_bytes > 0;
@@ -232,7 +232,8 @@
         }
     }
 
-    /// Converts an I/O result and marks the journal as failed on any error but a full disk.
+    /// Converts the error of an I/O operation, and marks the journal as failed unless the disk is
+    /// full.
     fn record_failure<T>(&mut self, result: io::Result<T>) -> Result<T, JournalError> {
         result.map_err(|source| {
             let error = JournalError::from_io(&self.path, source);
@@ -307,8 +308,8 @@
     }
 }
 
-/// Replaces a journal with the given encoded records and a marker. The marker is valid because the
-/// file is synced before it is renamed.
+/// Replaces a journal with the given encoded records and a marker. The marker can be written before
+/// the sync, as the file takes effect only after it is synced and renamed.
 fn write_replacement(path: &Path, records: &[u8], disk: &Disk) -> io::Result<()> {
     replace_file(path, |file| {
         disk.write(file, MAGIC)?;
--- a/components/journal/src/format.rs
+++ b/components/journal/src/format.rs
@@ -15,7 +15,7 @@
 /// Prefix of a marker. Interpreted as a record length it exceeds any real record.
 const MARKER_PREFIX: [u8; 4] = [0xC3; 4];
 /// Bits that are set in every byte of a marker after the prefix. With two bits set, a single
-/// flipped bit cannot make a byte zero, the value of a byte that never reached the disk.
+/// flipped bit cannot make a byte zero, which is the value of a byte that never reached the disk.
 const MARKER_SET_BITS: u8 = 0b1000_0001;
 /// Maximum number of differing bytes for which a marker counts as corrupt.
 const MAX_CORRUPT_MARKER_BYTES: usize = 2;
@@ -137,7 +137,7 @@
     (offset + 1..bytes.len()).any(|candidate| is_marker_at(bytes, candidate))
 }
 
-/// Whether the bytes are a marker with flipped bits. A torn marker differs by zero bytes instead.
+/// Whether the bytes are a marker with flipped bits. A torn marker has zero bytes instead.
 fn is_corrupt_marker(bytes: &[u8], offset: usize) -> bool {
     let expected = encode_marker(offset as u64);
     let actual = &bytes[offset..];
--- a/components/journal/tests/full_disk.rs
+++ b/components/journal/tests/full_disk.rs
@@ -36,13 +36,13 @@
         let (mut journal, disk) = journal_with_one_record(&path);
         disk.set_free_bytes(free_bytes);
         journal.append(b"second, which is longer");
-        let stored = journal.sync();
+        let synced = journal.sync();
         assert_eq!(
-            stored.is_err(),
+            synced.is_err(),
             free_bytes < 36,
             "{free_bytes} bytes free: a record of 23 bytes takes 36"
         );
-        assert!(stored.err().is_none_or(|error| error.is_full()));
+        assert!(synced.err().is_none_or(|error| error.is_full()));
         assert_eq!(journal.is_synced(), free_bytes >= 36);
         journal.append(b"third");
         disk.set_free_bytes(AMPLE_SPACE);
--- a/components/journal/tests/power_loss.rs
+++ b/components/journal/tests/power_loss.rs
@@ -155,7 +155,7 @@
 }
 
 /// Guards against losing acknowledged records: a batch left in the page cache by a killed process
-/// must be rewritten and synced before it counts. The test sees this by the replaced file.
+/// must be rewritten and synced before it counts. A rewrite replaces the file.
 #[test]
 fn possibly_unsynced_records_are_rewritten_on_open() {
     let case = PowerLossCase::new();
