--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,4 +1,4 @@
-//! Route table: maps requests to queues and services, and holds the execution policy of each route.
+//! Route table: maps requests to services, and holds the execution policy of each route.
 
 mod error;
 mod table;
--- a/components/routing/src/table.rs
+++ b/components/routing/src/table.rs
@@ -139,9 +139,9 @@
 }
 
 fn check_duplicates(routes: &[Arc<Route>]) -> Result<(), InvalidRouteTable> {
-    let mut seen: BTreeMap<&str, &Route> = BTreeMap::new();
+    let mut by_prefix: BTreeMap<&str, &Route> = BTreeMap::new();
     for route in routes {
-        if let Some(first) = seen.insert(&route.prefix, route) {
+        if let Some(first) = by_prefix.insert(&route.prefix, route) {
             return Err(InvalidRouteTable::DuplicateRoute {
                 first: first.name.to_string(),
                 second: route.name.to_string(),
