--- a/components/consensus/src/replica.rs
+++ b/components/consensus/src/replica.rs
@@ -53,7 +53,7 @@
     Leader(LeaderState),
 }
 
-/// A replica of the log, from one start of the process to its end.
+/// The state of a replica during one run of its process.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) name: NodeName,
--- a/components/keeper/src/keeper.rs
+++ b/components/keeper/src/keeper.rs
@@ -27,7 +27,7 @@
     Snapshot,
 }
 
-/// A keeper, from one start of the process to its end.
+/// The state of a keeper during one run of its process.
 #[derive(Debug)]
 pub struct Keeper {
     pub(crate) replica: Replica,
--- a/components/keeper/src/registry.rs
+++ b/components/keeper/src/registry.rs
@@ -126,7 +126,7 @@
 
     /// Checks the timers; returns the watchers to answer.
     pub fn tick(&mut self, now: Time) -> Vec<Watcher> {
-        self.expire(now);
+        self.expire_nodes(now);
         let mut expired = self.take_expired(now);
         if self.notify_at.is_some_and(|at| at <= now) {
             self.notify_at = None;
@@ -138,7 +138,7 @@
     }
 
     /// Removes nodes that have been silent for too long.
-    fn expire(&mut self, now: Time) {
+    fn expire_nodes(&mut self, now: Time) {
         if self.next_expiry_at.is_none_or(|at| now < at) {
             return;
         }
--- a/components/keeper/tests/document.rs
+++ b/components/keeper/tests/document.rs
@@ -290,12 +290,12 @@
     single.watch(present.clone(), 0, 0);
     single.run_for(Duration::from_millis(100));
     single.watch(earlier.clone(), 0, 0);
-    let lists = |single: &mut SingleKeeper| {
+    let listed_nodes = |single: &mut SingleKeeper| {
         let call = single.watch(node(1), 0, 0);
         let reply = watch_reply(single.run_for(Duration::from_millis(100)), call);
         whole_list(reply.and_then(|reply| reply.nodes)).nodes
     };
-    assert_eq!(lists(&mut single), [node(1), earlier]);
+    assert_eq!(listed_nodes(&mut single), [node(1), earlier]);
     let pending = single.watch(present.clone(), 0, 0);
     let received =
         watch_reply(single.run_for(Duration::from_millis(100)), pending).expect("a reply");
--- a/components/membership/src/detector.rs
+++ b/components/membership/src/detector.rs
@@ -154,11 +154,11 @@
         for update in message.updates() {
             self.apply_update(now, update, events);
         }
-        self.reply(from, message, events);
+        self.dispatch_message(from, message, events);
         self.record_contact(now, from, events);
     }
 
-    fn reply(&mut self, from: &NodeName, message: Message, events: &mut Vec<Event>) {
+    fn dispatch_message(&mut self, from: &NodeName, message: Message, events: &mut Vec<Event>) {
         match message {
             Message::Ping { number, .. } => {
                 let updates = self.updates_for(from);
