--- a/components/consensus/src/leader.rs
+++ b/components/consensus/src/leader.rs
@@ -14,14 +14,14 @@
 /// Maximum size of the commands in one message, unless a single command is larger. Keeps messages
 /// with large commands far below the longest frame that the transport accepts.
 const BATCH_BYTES_MAX: usize = 1_000_000;
-/// A non-member that has not replied for this long is no longer replicated to until it asks to join
-/// again.
+/// Time without a reply after which the leader stops replicating to a learner, that is a replica
+/// which is not a member, until it asks to join again.
 const LEARNER_TIMEOUT: Duration = Duration::from_secs(3);
 /// A replica whose last acknowledged append was sent longer ago neither becomes a member nor takes
 /// over leadership.
-const LEARNER_ACK_AGE_MAX: Duration = Duration::from_millis(700);
+const ACK_AGE_MAX: Duration = Duration::from_millis(700);
 
-/// The leader's view of one follower.
+/// The leader's view of one follower, which may be a member or a learner.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
     /// The index of the next entry to send.
@@ -30,8 +30,8 @@
     match_index: Index,
     /// When the latest append that the follower acknowledged was sent.
     acked_at: Time,
-    /// The follower started on an empty disk and has not caught up, so it does not count towards a
-    /// quorum.
+    /// Whether the follower started on an empty disk and has not caught up, so that it does not
+    /// count towards a quorum.
     blank: bool,
     /// When the leader started to track this follower.
     tracked_since: Time,
@@ -58,16 +58,17 @@
 #[derive(Debug)]
 pub(crate) struct LeaderState {
     followers: BTreeMap<NodeName, Progress>,
-    pub heartbeat_at: Time,
+    pub heartbeat_due_at: Time,
     /// When this replica became leader.
     elected_at: Time,
-    /// Another replica was asked to take over; this leader no longer relies on its lease.
+    /// Whether another replica was asked to take over; this leader then no longer has a lease.
     resigned: bool,
 }
 
 impl LeaderState {
-    /// The time until which a quorum grants no vote to another candidate; `None` if no quorum has
-    /// acknowledged an append in this term. `excluded` is a follower that is not counted.
+    /// The end of the lease, before which no other replica can be elected. `None` if this leader
+    /// resigned or no quorum has acknowledged an append in this term. `excluded` is a follower that
+    /// is not counted.
     pub fn lease_until(
         &self,
         replica: &Replica,
@@ -105,13 +106,13 @@
         followers.min_by_key(|(_, progress)| progress.match_index).map(|(name, _)| name.clone())
     }
 
-    /// A non-member that has every committed entry and replied recently.
+    /// A learner that has every committed entry and replied recently.
     fn ready_learner(&self, members: &[NodeName], now: Time, commit: Index) -> Option<NodeName> {
         let eligible = |(name, progress): &(&NodeName, &Progress)| {
             !members.contains(name)
                 && !progress.blank
                 && progress.match_index >= commit
-                && now.since(progress.acked_at) < LEARNER_ACK_AGE_MAX
+                && now.since(progress.acked_at) < ACK_AGE_MAX
         };
         self.followers.iter().find(eligible).map(|(name, _)| name.clone())
     }
@@ -120,81 +121,81 @@
 impl Replica {
     /// Becomes leader after a won election. Appends an empty entry, since entries of earlier terms
     /// commit only together with one of the current term.
-    pub(crate) fn become_leader(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn become_leader(&mut self, now: Time, actions: &mut Vec<Action>) {
         let next = self.log.last_index() + 1;
         let initial = Progress::new(next, now);
         let followers = self.others().into_iter().map(|name| (name, initial)).collect();
         let leader_state =
-            LeaderState { followers, heartbeat_at: now, elected_at: now, resigned: false };
+            LeaderState { followers, heartbeat_due_at: now, elected_at: now, resigned: false };
         self.role = Role::Leader(leader_state);
         self.leader = Some(self.name.clone());
-        out.push(Action::Log(LogEvent::BecameLeader(self.term)));
-        self.append_entry(Payload::Empty, out);
-        self.replicate(now, out);
+        actions.push(Action::Log(LogEvent::BecameLeader(self.term)));
+        self.append_entry(Payload::Empty, actions);
+        self.replicate(now, actions);
     }
 
     /// Sends every follower its missing entries or a heartbeat, and commits what a quorum has
     /// stored.
-    pub(crate) fn replicate(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(crate) fn replicate(&mut self, now: Time, actions: &mut Vec<Action>) {
         if let Role::Leader(leader_state) = &mut self.role {
-            leader_state.heartbeat_at = now + self.timing.heartbeat;
+            leader_state.heartbeat_due_at = now + self.timing.heartbeat;
         }
         let Role::Leader(leader_state) = &self.role else { return };
         let followers: Vec<NodeName> = leader_state.followers.keys().cloned().collect();
         for follower in followers {
-            self.send_append(now, &follower, out);
+            self.send_append(now, &follower, actions);
         }
-        self.advance_commit(out);
+        self.advance_commit(actions);
     }
 
-    /// Handles the request of a non-member to be replicated to. A replica that is not the leader
-    /// refers it to the leader.
-    pub(crate) fn handle_join(&mut self, now: Time, from: &NodeName, out: &mut Vec<Action>) {
+    /// Handles the join request of a replica: the leader starts to replicate to it, any other
+    /// replica refers it to the leader.
+    pub(crate) fn handle_join(&mut self, now: Time, from: &NodeName, actions: &mut Vec<Action>) {
         let next = self.log.last_index() + 1;
         if let Role::Leader(leader_state) = &mut self.role {
             leader_state.followers.entry(from.clone()).or_insert(Progress::new(next, now));
         } else if let Some(leader) = self.leader.clone().filter(|leader| leader != from) {
-            out.push(Action::Send(from.clone(), Message::Refer { leader }));
+            actions.push(Action::Send(from.clone(), Message::Refer { leader }));
         }
     }
 
     /// Sends all outstanding entries and then hands over leadership.
-    pub(crate) fn resign(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.replicate(now, out);
-        self.transfer_leadership(now, out);
+    pub(crate) fn resign(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.replicate(now, actions);
+        self.transfer_leadership(now, actions);
     }
 
     /// Asks the most up-to-date recent follower to start an election and stops relying on the
     /// lease. Stores, appends and commits nothing, so that it also works when the disk is full.
-    pub fn transfer_leadership(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub fn transfer_leadership(&mut self, now: Time, actions: &mut Vec<Action>) {
         let term = self.term;
         let members = self.members().to_vec();
         let Role::Leader(leader_state) = &mut self.role else { return };
         let ready = leader_state.followers.iter().filter(|(name, progress)| {
-            !progress.blank
-                && members.contains(name)
-                && now.since(progress.acked_at) < LEARNER_ACK_AGE_MAX
+            !progress.blank && members.contains(name) && now.since(progress.acked_at) < ACK_AGE_MAX
         });
         let Some((successor, _)) = ready.max_by_key(|(_, p)| p.match_index) else { return };
         let successor = successor.clone();
         leader_state.resigned = true;
-        out.push(Action::Send(successor, Message::TakeOver { term }));
+        actions.push(Action::Send(successor, Message::TakeOver { term }));
     }
 
     /// Adds or removes one member if the number of voters is not the configured one, or if a member
     /// has been silent for too long and a replacement has caught up. Only one change is in progress
     /// at a time, and only after an entry of the current term has been committed.
-    fn adjust_members(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn adjust_members(&mut self, now: Time, actions: &mut Vec<Action>) {
         let ready = self.has_committed_in_term() && self.log.last_member_change() <= self.commit;
         if !ready || !self.is_confirmed_leader(now) {
             return;
         }
         let Some(members) = self.next_members(now) else { return };
-        self.append_entry(Payload::Members(members), out);
+        self.append_entry(Payload::Members(members), actions);
         self.update_followers(now);
-        self.replicate(now, out);
+        self.replicate(now, actions);
     }
 
+    /// The members after the next change; `None` if no change is needed or possible now. A silent
+    /// member is replaced in two changes: first a learner is added, then the member is removed.
     fn next_members(&self, now: Time) -> Option<Vec<NodeName>> {
         let Role::Leader(leader_state) = &self.role else { return None };
         let voters = self.timing.voters?;
@@ -213,8 +214,7 @@
         Some(members)
     }
 
-    /// Tracks every other member as a follower, and drops non-members that have not replied
-    /// recently.
+    /// Tracks every other member as a follower, and drops learners that have not replied recently.
     fn update_followers(&mut self, now: Time) {
         let initial = Progress::new(self.log.last_index() + 1, now);
         let others = self.others();
@@ -227,35 +227,35 @@
         }
     }
 
-    /// Sends the periodic heartbeat, or steps down if no quorum has replied within the election
-    /// timeout.
-    pub(crate) fn leader_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Sends the periodic heartbeat, or steps down if the lease expired longer ago than the
+    /// election timeout. Without a lease, the time since the election counts.
+    pub(crate) fn leader_tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Role::Leader(leader_state) = &self.role else { return };
-        if leader_state.heartbeat_at > now {
+        if leader_state.heartbeat_due_at > now {
             return;
         }
-        let last_contact =
+        let lease_end =
             leader_state.lease_until(self, now, None).unwrap_or(leader_state.elected_at);
-        if now.since(last_contact) > self.timing.election {
-            self.step_down(out);
+        if now.since(lease_end) > self.timing.election {
+            self.step_down(actions);
             return self.reset_election_timer(now);
         }
         self.update_followers(now);
-        self.adjust_members(now, out);
-        self.replicate(now, out);
+        self.adjust_members(now, actions);
+        self.replicate(now, actions);
     }
 
-    fn send_append(&mut self, now: Time, to: &NodeName, out: &mut Vec<Action>) {
+    fn send_append(&mut self, now: Time, to: &NodeName, actions: &mut Vec<Action>) {
         let Role::Leader(leader_state) = &self.role else { return };
         let Some(progress) = leader_state.followers.get(to).copied() else { return };
         let leader_confirmed = self.has_committed_in_term()
             && leader_state.lease_until(self, now, Some(to)).is_some_and(|until| now < until);
         let prev_index = progress.next_index - 1;
         let Some(prev_term) = self.log.term(prev_index) else {
-            return self.send_snapshot(now, to, out);
+            return self.send_snapshot(now, to, actions);
         };
         let entries = self.log.batch(progress.next_index, BATCH_ENTRIES_MAX, BATCH_BYTES_MAX);
-        let sent = entries.len() as Index;
+        let entry_count = entries.len() as Index;
         let message = Message::Append {
             term: self.term,
             prev_index,
@@ -265,22 +265,22 @@
             sent: now,
             leader_confirmed,
         };
-        out.push(Action::Send(to.clone(), message));
+        actions.push(Action::Send(to.clone(), message));
         // Assumes delivery; after a loss the follower rejects the next append and reports its last
         // index.
-        self.set_next_index(to, progress.next_index + sent);
+        self.set_next_index(to, progress.next_index + entry_count);
     }
 
-    /// Whether an entry of the current term is committed. Before that, entries of earlier terms may
-    /// be committed without this leader knowing.
+    /// Whether an entry of the current term is committed. Before that, the leader may not know of
+    /// all committed entries of earlier terms.
     pub(crate) fn has_committed_in_term(&self) -> bool {
         self.log.term(self.commit) == Some(self.term)
     }
 
-    fn send_snapshot(&mut self, now: Time, to: &NodeName, out: &mut Vec<Action>) {
+    fn send_snapshot(&mut self, now: Time, to: &NodeName, actions: &mut Vec<Action>) {
         let snapshot = self.log.snapshot.clone();
         let next = snapshot.index + 1;
-        out.push(Action::Send(
+        actions.push(Action::Send(
             to.clone(),
             Message::Install { term: self.term, snapshot, sent: now },
         ));
@@ -294,16 +294,17 @@
         }
     }
 
-    /// Handles a follower's reply to an append or a snapshot.
+    /// Handles a follower's reply to an append or a snapshot. The tuple holds the fields of
+    /// [`Message::AppendReply`] after the term.
     pub(crate) fn handle_append_reply(
         &mut self,
         now: Time,
         from: &NodeName,
         term: Term,
         (matched, index, sent, blank): (bool, Index, Time, bool),
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        self.adopt_term(term, out);
+        self.adopt_term(term, actions);
         let last = self.log.last_index();
         let Role::Leader(leader_state) = &mut self.role else { return };
         if term != self.term {
@@ -328,16 +329,16 @@
         if !commits.is_empty() {
             // Notifies the followers of the new commit index before the leader answers its callers,
             // so that followers can serve the committed state as early as the leader.
-            self.replicate(now, out);
+            self.replicate(now, actions);
         } else if is_behind {
-            self.send_append(now, from, out);
+            self.send_append(now, from, actions);
         }
-        out.append(&mut commits);
+        actions.append(&mut commits);
     }
 
     /// Commits up to the highest index that a quorum has stored, if that entry is of the current
     /// term.
-    fn advance_commit(&mut self, out: &mut Vec<Action>) {
+    fn advance_commit(&mut self, actions: &mut Vec<Action>) {
         let Role::Leader(leader_state) = &self.role else { return };
         let members = self.members();
         let counted = leader_state
@@ -350,7 +351,7 @@
         match_indexes.sort_unstable_by(|a, b| b.cmp(a));
         let Some(index) = match_indexes.get(self.quorum() - 1).copied() else { return };
         if index > self.commit && self.log.term(index) == Some(self.term) {
-            self.commit_to(index, out);
+            self.commit_to(index, actions);
         }
     }
 }
--- a/components/journal/src/format.rs
+++ b/components/journal/src/format.rs
@@ -15,7 +15,7 @@
 /// Prefix of a marker. Interpreted as a record length it exceeds any real record.
 const MARKER_PREFIX: [u8; 4] = [0xC3; 4];
 /// Bits that are set in every byte of a marker after the prefix. With two bits set, a single
-/// flipped bit cannot make a byte zero, the value of a byte that never reached the disk.
+/// flipped bit cannot make a byte zero, which is the value of a byte that never reached the disk.
 const MARKER_SET_BITS: u8 = 0b1000_0001;
 /// Maximum number of differing bytes for which a marker counts as corrupt.
 const MAX_CORRUPT_MARKER_BYTES: usize = 2;
@@ -57,16 +57,16 @@
     }
 }
 
-/// Appends an encoded record to `out`.
-pub(crate) fn encode_record(payload: &[u8], out: &mut Vec<u8>) {
+/// Appends an encoded record to `buffer`.
+pub(crate) fn encode_record(payload: &[u8], buffer: &mut Vec<u8>) {
     let length = u32::try_from(payload.len()).expect("record payload is shorter than 4 GiB");
     let mut header = [0; 8];
     header[..4].copy_from_slice(&length.to_le_bytes());
     header[4..].copy_from_slice(&crc32fast::hash(payload).to_le_bytes());
-    out.extend_from_slice(&header);
-    out.extend_from_slice(&crc32fast::hash(&header).to_le_bytes());
-    out.extend_from_slice(payload);
-    out.push(END_BYTE);
+    buffer.extend_from_slice(&header);
+    buffer.extend_from_slice(&crc32fast::hash(&header).to_le_bytes());
+    buffer.extend_from_slice(payload);
+    buffer.push(END_BYTE);
 }
 
 /// Returns the marker for an offset.
@@ -137,7 +137,7 @@
     (offset + 1..bytes.len()).any(|candidate| is_marker_at(bytes, candidate))
 }
 
-/// Whether the bytes are a marker with flipped bits. A torn marker differs by zero bytes instead.
+/// Whether the bytes are a marker with flipped bits. A torn marker has zero bytes instead.
 fn is_corrupt_marker(bytes: &[u8], offset: usize) -> bool {
     let expected = encode_marker(offset as u64);
     let actual = &bytes[offset..];
