--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -32,8 +32,9 @@
 use crate::config::AgentConfig;
 use crate::event_log::{Budget, EventLog};
 
-/// Time left unused at the end of the platform's stop grace period: runs that outlast the stop end
-/// only when their leases expire, and a replacement process may be running by then.
+/// Time left unused at the end of the platform's stop grace period. Longer than the lease that the
+/// agent requests, so that runs that outlast the agent normally end before a replacement process
+/// starts.
 const STOP_MARGIN: Duration = Duration::from_millis(1_200);
 /// How often a stopping agent checks whether its runs have ended.
 const STOP_POLL: Duration = Duration::from_millis(20);
--- a/daemon/src/capacity/entry_http.rs
+++ b/daemon/src/capacity/entry_http.rs
@@ -1,4 +1,4 @@
-//! The entry's HTTP servers: requests of callers and readiness checks of the balancer.
+//! The entry's HTTP servers: requests of callers and readiness checks of the load balancer.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 
 /// Max open connections of callers.
 const MAX_CONNECTIONS: usize = 3_000;
-/// Limits for the connections of the balancer.
+/// Limits for the connections of the load balancer.
 const READY_LIMITS: Limits = Limits {
     max_header_bytes: net::DEFAULT_MAX_HEADER_BYTES,
     max_body_bytes: 4_096,
@@ -147,7 +147,7 @@
     json_response(&platform::outcome_reply(outcome))
 }
 
-/// Logs a job that arrives after the balancer has noticed the planned stop.
+/// Logs a job that arrives after the load balancer has noticed the planned stop.
 fn log_late_request(entry: &Entry, job: &dispatch::JobRequest) {
     let Some(time_left) = entry.stop.time_left(entry.now()) else { return };
     entry.log.line("late-request", Budget::Full, || {
--- a/daemon/src/capacity/entry_peers.rs
+++ b/daemon/src/capacity/entry_peers.rs
@@ -116,7 +116,7 @@
     }
 
     /// Logs a failed delivery. Agents that serve both entries may still forward the cancellation;
-    /// without one, the job runs to its end.
+    /// without such an agent, the job runs to its end.
     fn log_undelivered(&self, entry: SocketAddr, reason: &str) {
         self.log.line(
             "cancel-untold",
--- a/daemon/src/capacity/entry_stop.rs
+++ b/daemon/src/capacity/entry_stop.rs
@@ -16,8 +16,8 @@
 /// How often a stopping entry checks for its next step.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Readiness checks closer together than this count as one, as clients other than the balancer may
-/// check too.
+/// Readiness checks closer together than this count as one, as clients other than the load balancer
+/// may check too.
 const READINESS_CHECK_GAP: Duration = Duration::from_millis(400);
 
 /// Progress of an entry's planned stop.
@@ -31,7 +31,7 @@
     readiness_checks: Cell<u32>,
     /// When a readiness check was last counted.
     last_readiness_check: Cell<Option<Time>>,
-    /// When every job gets its final answer; `None` until the balancer has noticed the stop.
+    /// When every job gets its final answer; `None` until the load balancer has noticed the stop.
     answer_deadline: Cell<Option<Time>>,
 }
 
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Time left until every job gets its final answer; `None` until the balancer has noticed the
-    /// stop.
+    /// Time left until every job gets its final answer; `None` until the load balancer has noticed
+    /// the stop.
     pub fn time_left(&self, now: Time) -> Option<Duration> {
         self.answer_deadline.get().map(|at| at.since(now))
     }
 
-    fn view(&self, jobs: usize) -> StopStatus {
+    fn status(&self, jobs: usize) -> StopStatus {
         StopStatus {
             notices: self.readiness_checks.get(),
             jobs,
@@ -94,7 +94,8 @@
         self.log_step("draining", stop.started_at());
         loop {
             Timer::after(STOP_POLL).await;
-            while let Some(step) = stop.next_step(self.now(), &self.stop.view(self.active_jobs())) {
+            while let Some(step) = stop.next_step(self.now(), &self.stop.status(self.active_jobs()))
+            {
                 self.execute_step(step, stop.started_at());
                 if step == StopStep::End {
                     return;
--- a/daemon/src/capacity/keeper_watch.rs
+++ b/daemon/src/capacity/keeper_watch.rs
@@ -76,7 +76,9 @@
     seeds: RefCell<BTreeSet<SocketAddr>>,
     /// Keepers that other keepers report, by the reporting keeper.
     reported: RefCell<BTreeMap<SocketAddr, Vec<SocketAddr>>>,
+    /// Keepers that this node connects to or tries to reach.
     followed: RefCell<BTreeSet<SocketAddr>>,
+    /// Nodes listed by the keepers that the list of entries is taken from.
     listings: RefCell<BTreeMap<SocketAddr, Listing>>,
     /// Clients of the connected keepers.
     clients: RefCell<BTreeMap<SocketAddr, KeeperServiceClient>>,
@@ -137,7 +139,7 @@
             let mut bytes = [0; MAX_ANNOUNCEMENT_BYTES];
             loop {
                 let Ok(length) = socket.recv(&mut bytes).await else {
-                    // A lost announcement is only a hint; the keeper repeats it.
+                    // The keeper repeats a lost announcement.
                     Timer::after(RETRY_DELAY).await;
                     continue;
                 };
@@ -195,11 +197,11 @@
                     let _ = dispatch.await;
                 };
                 self.clients.borrow_mut().insert(keeper, client.clone());
-                let answered = self.poll_keeper(keeper, &client).or(async {
+                let polling = self.poll_keeper(keeper, &client).or(async {
                     dispatch.await;
                     false
                 });
-                if answered.await {
+                if polling.await {
                     failures = 0;
                 }
                 self.clients.borrow_mut().remove(&keeper);
--- a/daemon/src/capacity/mod.rs
+++ b/daemon/src/capacity/mod.rs
@@ -1,7 +1,7 @@
 //! Nodes that schedule by reported capacity: an entry, an agent or a keeper in one process.
 //!
-//! Entries and agents run on one thread, besides those for the log and the signals. Hosts beside
-//! targets are small, and each handover between threads costs a wake-up there.
+//! Entries and agents run on one thread, besides those for the log and the signals: hosts are
+//! small, and each handover between threads costs a wake-up.
 
 mod agent;
 mod agent_log;
--- a/daemon/src/capacity/session.rs
+++ b/daemon/src/capacity/session.rs
@@ -21,7 +21,7 @@
     _open: Sender<()>,
 }
 
-/// Messages queued in a session, and a channel that is closed with its sender.
+/// Messages queued in a session, and a channel that closes once the [`SessionSender`] is dropped.
 pub(crate) struct OutboundQueue<M> {
     messages: Receiver<M>,
     open: Receiver<()>,
--- a/daemon/src/capacity/target_http.rs
+++ b/daemon/src/capacity/target_http.rs
@@ -37,10 +37,10 @@
     match (TargetRequest::parse(&head.method, head.uri.path()), body) {
         (Some(TargetRequest::Heartbeat(id)), Ok(body)) => match agent.read_report(&id, &body) {
             Ok(report) => {
-                // A late report is acknowledged too. An instance that has ended ignores the
-                // response, while the current one would count a refusal as a failed report and miss
-                // the acknowledgement that it is leaving. A report is acknowledged only once it is
-                // processed.
+                // Responds only after the report is processed. A late report is acknowledged too:
+                // an instance that has ended ignores the response, while the current one would
+                // count a refusal as a failed report and miss the acknowledgement that it is
+                // leaving.
                 agent.handle_event(Event::TargetReported(report));
                 build_response(200, "{}".to_owned())
             }
