--- a/daemon/src/keeper_role/driver.rs
+++ b/daemon/src/keeper_role/driver.rs
@@ -97,13 +97,13 @@
     pub work: Sender<RosterWork>,
 }
 
-/// The keeper state machine with its journal, waiting calls and outputs.
+/// The keeper state machine with its journal, pending calls and outputs.
 pub(crate) struct KeeperDriver {
     name: NodeName,
     keeper: Keeper,
     storage: Storage,
     peers: Sender<PeersInput>,
-    waiting_calls: HashMap<CallId, Sender<Reply>>,
+    pending_calls: HashMap<CallId, Sender<Reply>>,
     next_call: u64,
     actions: Vec<Action>,
     /// The time of the last input or tick.
@@ -129,7 +129,7 @@
             keeper,
             storage: Storage::new(journal, now),
             peers,
-            waiting_calls: HashMap::new(),
+            pending_calls: HashMap::new(),
             next_call: 0,
             actions: Vec::new(),
             now,
@@ -164,7 +164,7 @@
         }
         self.next_call += 1;
         let call = CallId(self.next_call);
-        self.waiting_calls.insert(call, reply);
+        self.pending_calls.insert(call, reply);
         let event = match request {
             KeeperRequest::Change(request) => Event::Change(call, request),
             KeeperRequest::ReadTree => Event::ReadTree(call),
@@ -201,11 +201,12 @@
         }
     }
 
-    /// Writes the records of the batch with one sync, then performs its other actions. If the disk
-    /// is full, performs only the actions possible without it. On any other journal error performs
-    /// none and ends the keeper, as the content of the disk is unknown.
+    /// Writes the records of the batch with one sync, then executes its other actions. If the disk
+    /// is full, executes only the actions possible without it. On any other journal error executes
+    /// none and ends the keeper, as the content of the disk is unknown. A single keeper ends on a
+    /// full disk too, as no other keeper can replace it.
     fn flush(&mut self) {
-        if let Err(error) = self.retry_store().and_then(|()| self.store_and_perform()) {
+        if let Err(error) = self.retry_store().and_then(|()| self.store_and_execute()) {
             error!("keeper {}: {}", self.name, error);
             self.journal_failed = true;
         }
@@ -215,12 +216,12 @@
     fn retry_store(&mut self) -> Result<(), JournalError> {
         if let Some(full_for) = self.storage.retry_store(self.now)? {
             self.keeper.disk_is_writable();
-            log_lines::log_disk_has_room(self.log.as_ref(), &self.name, full_for);
+            log_lines::log_disk_writable(self.log.as_ref(), &self.name, full_for);
         }
         Ok(())
     }
 
-    fn store_and_perform(&mut self) -> Result<(), JournalError> {
+    fn store_and_execute(&mut self) -> Result<(), JournalError> {
         let actions = std::mem::take(&mut self.actions);
         // The keeper stores nothing while it knows that its disk is full.
         if !self.storage.is_full() {
@@ -232,7 +233,7 @@
                 stored => stored?,
             }
         }
-        self.perform(actions);
+        self.execute(actions);
         Ok(())
     }
 
@@ -241,10 +242,10 @@
         log_lines::log_disk_full(self.log.as_ref(), &self.name);
         let mut actions = Vec::new();
         self.keeper.disk_is_full(self.now, refused, &mut actions);
-        self.perform(actions);
+        self.execute(actions);
     }
 
-    fn perform(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Store(_) | Action::Rewrite(_) => {}
@@ -254,7 +255,7 @@
                     let _ = self.peers.try_send(PeersInput::Message(to, message));
                 }
                 Action::Respond(call, reply) => {
-                    if let Some(caller) = self.waiting_calls.remove(&call) {
+                    if let Some(caller) = self.pending_calls.remove(&call) {
                         // Fails only if the requester has stopped waiting.
                         let _ = caller.try_send(reply);
                     }
@@ -278,6 +279,7 @@
             Input::Resign => self.keeper.handle(now, Event::Resign, &mut self.actions),
             Input::Contacts(contacts) => self.keeper.set_contacts(contacts),
             Input::Status(reply) => {
+                // Fails only if the requester has stopped waiting.
                 let _ = reply.try_send(self.status(now));
             }
         }
--- a/daemon/src/keeper_role/listen.rs
+++ b/daemon/src/keeper_role/listen.rs
@@ -39,7 +39,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long a request waits for its reply while the keeper stops. The last batch may take longer on
-/// a stalled disk; the operator is then answered without it.
+/// a stalled disk; the caller is then answered without the result.
 const STATE_MACHINE_GRACE: Duration = Duration::from_millis(200);
 /// How long the responses to operators that are still outstanding at the stop may take.
 const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_millis(400);
@@ -62,7 +62,7 @@
     pub input_sender: Sender<Input>,
     /// The address on which this keeper listens for operators; other keepers use the same port.
     pub address: SocketAddr,
-    /// Whether the calls of the users' platform are served, as nodes schedule by capacity.
+    /// Whether calls of the platform's operators are served, as with capacity scheduling.
     pub capacity_scheduling: bool,
 }
 
@@ -119,7 +119,7 @@
         net::set_socket_options(&stream);
         let channel = BaseChannel::with_defaults(net::framed_transport(stream));
         let node = NodeService { input_sender: input_sender.clone() };
-        let runner = tasks.clone();
+        let call_tasks = tasks.clone();
         tasks.spawn_rpc(async move {
             let mut calls = std::pin::pin!(channel.execute(node.serve()));
             let idle_timeout = async || {
@@ -127,7 +127,7 @@
                 None
             };
             while let Some(call) = future::or(calls.next(), idle_timeout()).await {
-                runner.spawn_rpc(call);
+                call_tasks.spawn_rpc(call);
             }
         });
     }
--- a/daemon/src/keeper_role/log_lines.rs
+++ b/daemon/src/keeper_role/log_lines.rs
@@ -42,7 +42,7 @@
 }
 
 /// Logs that the disk is writable again.
-pub(super) fn log_disk_has_room(log: Option<&EventLog>, name: &NodeName, full_for: Duration) {
+pub(super) fn log_disk_writable(log: Option<&EventLog>, name: &NodeName, full_for: Duration) {
     let full_for = full_for.as_millis() as u64;
     match log {
         Some(log) => log.line("disk-has-room", Budget::Full, || json!({"full_ms": full_for})),
--- a/daemon/src/keeper_role/mod.rs
+++ b/daemon/src/keeper_role/mod.rs
@@ -151,8 +151,9 @@
             .with_roster(roster);
         let driver_thread =
             spawn("keeper-decide", move |_| crate::event_loop::run(driver, inputs, clock))?;
-        let calls = input_sender.clone();
-        let context = listen::OperatorContext { input_sender: calls, address, capacity_scheduling };
+        let listen_inputs = input_sender.clone();
+        let context =
+            listen::OperatorContext { input_sender: listen_inputs, address, capacity_scheduling };
         let listen_thread = spawn("keeper-listen", move |tasks| {
             listen::run(tasks, listener, node_listener, context)
         })?;
@@ -259,7 +260,8 @@
 }
 
 /// Opens the journal. If it is empty, writes the records of a replica that catches up from the
-/// other keepers before it votes.
+/// other keepers before it votes. Without other keepers, fails if there is no journal. With
+/// capacity scheduling, calls [`open_journal_with_contacts`] instead.
 fn open_or_create_journal(
     name: &NodeName,
     config: &KeeperConfig,
@@ -274,9 +276,9 @@
     if !path.exists() && members.len() == 1 {
         return Err(KeeperError::NotInitialized(path.display().to_string()));
     }
-    let (mut journal, records, cut) = open_journal(&path, disk)?;
-    if cut > 0 {
-        warn!("keeper {}: cut a torn record of {} bytes off the journal", name, cut);
+    let (mut journal, records, cut_bytes) = open_journal(&path, disk)?;
+    if cut_bytes > 0 {
+        warn!("keeper {}: cut a torn record of {} bytes off the journal", name, cut_bytes);
     }
     if !records.is_empty() {
         return Ok((journal, records));
@@ -297,8 +299,8 @@
 }
 
 /// Opens the journal with capacity scheduling. If it is empty, writes the records of a new cluster
-/// where the configuration asks for one and lists this keeper, otherwise those of a replica that
-/// joins the cluster.
+/// if the configuration asks for one and lists this keeper, otherwise those of a replica that joins
+/// an existing cluster.
 fn open_journal_with_contacts(
     name: &NodeName,
     create_cluster: bool,
@@ -306,9 +308,9 @@
     path: &Path,
     disk: Disk,
 ) -> Result<(Journal, Vec<Record>), KeeperError> {
-    let (mut journal, records, cut) = open_journal(path, disk)?;
-    if cut > 0 {
-        warn!("keeper {}: cut a torn record of {} bytes off the journal", name, cut);
+    let (mut journal, records, cut_bytes) = open_journal(path, disk)?;
+    if cut_bytes > 0 {
+        warn!("keeper {}: cut a torn record of {} bytes off the journal", name, cut_bytes);
     }
     if !records.is_empty() {
         return Ok((journal, records));
--- a/daemon/src/keeper_role/peers.rs
+++ b/daemon/src/keeper_role/peers.rs
@@ -22,7 +22,7 @@
 /// Capacity of the queue for one keeper; further messages are dropped.
 const QUEUE_CAPACITY: usize = 256;
 /// Delay between two attempts to connect to a keeper.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long a keeper may take to acknowledge a message, in addition to the message's transfer time.
 /// Longer than TCP's minimum retransmission timeout, shorter than the shortest election timeout, so
 /// that a half-open connection to a follower does not cause an election.
@@ -122,7 +122,7 @@
         let Ok(stream) = net::connect(address).await else {
             // Messages queued for an unreachable keeper are outdated.
             while messages.try_recv().is_ok() {}
-            net::sleep(RETRY_PAUSE).await;
+            net::sleep(RETRY_DELAY).await;
             continue;
         };
         let NewClient { client, dispatch } =
--- a/daemon/src/keeper_role/roster.rs
+++ b/daemon/src/keeper_role/roster.rs
@@ -15,7 +15,7 @@
 use super::log_lines;
 use crate::event_log::EventLog;
 
-/// File name in the data folder.
+/// File name of the stored nodes in the data folder.
 const NODES_FILE: &str = "nodes.json";
 
 /// Reads the stored nodes. They are only a hint, so an unreadable file counts as empty.
@@ -61,7 +61,8 @@
 /// Notifies hosts that this keeper is up. The roster repeats the notice to hosts that do not
 /// respond.
 async fn notify_hosts(socket: &Async<UdpSocket>, own_address: SocketAddr, hosts: &[IpAddr]) {
-    let message = bincode::serialize(&KeeperStarted { keeper: own_address }).expect("an address");
+    let message = bincode::serialize(&KeeperStarted { keeper: own_address })
+        .expect("an address serializes to bincode");
     for host in hosts {
         let address = SocketAddr::new(*host, own_address.port());
         // The host may be down or not listening yet.
