--- a/daemon/src/agent_role/driver.rs
+++ b/daemon/src/agent_role/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the agent state machine: passes inputs to it, answers waiting calls and writes the log.
+//! Drives the agent state machine: passes inputs to it, answers pending calls and writes the log.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
     Counters(Sender<AgentCounters>),
 }
 
-/// The agent state machine with its waiting calls and outputs.
+/// The agent state machine with its pending calls and outputs.
 pub(crate) struct AgentDriver {
     setup: Setup,
     /// `None` until the first settings are received.
@@ -54,7 +54,7 @@
     target_tasks: Sender<TargetTask>,
     /// Dropped on the first settings, so that the serving thread starts to accept calls.
     hold_calls: Option<Sender<()>>,
-    calls: HashMap<CallId, oneshot::Sender<Reply>>,
+    pending_calls: HashMap<CallId, oneshot::Sender<Reply>>,
     next_call: u64,
     actions: Vec<Action>,
     counters_interval: Duration,
@@ -84,7 +84,7 @@
             shared,
             target_tasks,
             hold_calls: Some(hold_calls),
-            calls: HashMap::new(),
+            pending_calls: HashMap::new(),
             next_call: 0,
             actions: Vec::new(),
             counters_interval: options.node.counters_interval,
@@ -97,15 +97,15 @@
         let mut actions = std::mem::take(&mut self.actions);
         agent.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.perform(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    fn perform(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Reply { call, reply } => {
-                if let Some(caller) = self.calls.remove(&call) {
+                if let Some(caller) = self.pending_calls.remove(&call) {
                     // Fails if the connection is closed; the entry then settles the tasks without a
                     // reply.
                     let _ = caller.send(reply);
@@ -147,7 +147,7 @@
         }
     }
 
-    fn settings(&mut self, now: Time, update: SettingsUpdate) {
+    fn apply_settings(&mut self, now: Time, update: SettingsUpdate) {
         let SettingsUpdate::Catalog(catalog) = update else { return };
         let (version, fleet) = (catalog.version(), Arc::new(catalog.fleet().clone()));
         if self.agent.is_some() {
@@ -204,12 +204,12 @@
             Input::Call { session, request, reply } => {
                 self.next_call += 1;
                 let call = CallId(self.next_call);
-                self.calls.insert(call, reply);
+                self.pending_calls.insert(call, reply);
                 self.handle_event(now, Event::Call { session, call, request });
             }
             Input::Closed(session) => self.handle_event(now, Event::Closed { session }),
             Input::Ended(key, outcome) => self.handle_event(now, Event::Ended { key, outcome }),
-            Input::Settings(update) => self.settings(now, update),
+            Input::Settings(update) => self.apply_settings(now, update),
             Input::Leave => self.leave(now),
             Input::Counters(reply) => {
                 if let Some(agent) = &self.agent {
@@ -223,7 +223,7 @@
     fn handle_tick(&mut self, now: Time) {
         self.handle_event(now, Event::Tick);
         // Calls on closed connections need no reply.
-        self.calls.retain(|_, caller| !caller.is_canceled());
+        self.pending_calls.retain(|_, caller| !caller.is_canceled());
         self.log_counters(now);
     }
 
--- a/daemon/src/agent_role/mod.rs
+++ b/daemon/src/agent_role/mod.rs
@@ -48,7 +48,7 @@
     /// Whether no task is running and none is accepted any more.
     drained: AtomicBool,
     /// The number of unanswered `start` and `settle` calls.
-    calls: AtomicU64,
+    unanswered_calls: AtomicU64,
 }
 
 /// A running agent.
@@ -79,10 +79,10 @@
         let target_thread = spawn("agent-target", move |tasks| {
             target::run(tasks, target, target_tasks_receiver, target_inputs, clock)
         })?;
-        let calls = input_sender.clone();
+        let serve_inputs = input_sender.clone();
         let serve_shared = shared.clone();
         let serve_thread = spawn("agent-serve", move |tasks| {
-            serve::run(tasks, listener, calls, serve_shared, calls_released)
+            serve::run(tasks, listener, serve_inputs, serve_shared, calls_released)
         })?;
         let name = options.node.name;
         Ok(Self {
@@ -135,7 +135,7 @@
     pub fn drain(self) {
         self.leave();
         let drained = || self.shared.drained.load(Ordering::Acquire);
-        while !(drained() && self.shared.calls.load(Ordering::Acquire) == 0) {
+        while !(drained() && self.shared.unanswered_calls.load(Ordering::Acquire) == 0) {
             if self.input_sender.is_closed() {
                 break;
             }
--- a/daemon/src/agent_role/serve.rs
+++ b/daemon/src/agent_role/serve.rs
@@ -62,11 +62,11 @@
     let (session, input_sender) = (server.session, server.input_sender.clone());
     let config = Config { pending_response_buffer: CHANNEL_CAPACITY };
     let channel = BaseChannel::new(config, net::framed_transport(stream));
-    let runner = tasks.clone();
+    let call_tasks = tasks.clone();
     let calls = async_compat::Compat::new(async move {
         let mut calls = std::pin::pin!(channel.execute(server.serve()));
         while let Some(call) = calls.next().await {
-            runner.spawn_rpc(call);
+            call_tasks.spawn_rpc(call);
         }
     });
     calls.await;
@@ -87,14 +87,14 @@
 
 impl UnansweredCallGuard {
     fn new(shared: &Arc<SharedState>) -> Self {
-        shared.calls.fetch_add(1, Ordering::AcqRel);
+        shared.unanswered_calls.fetch_add(1, Ordering::AcqRel);
         Self(shared.clone())
     }
 }
 
 impl Drop for UnansweredCallGuard {
     fn drop(&mut self) {
-        self.0.calls.fetch_sub(1, Ordering::AcqRel);
+        self.0.unanswered_calls.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
--- a/daemon/src/agent_role/target.rs
+++ b/daemon/src/agent_role/target.rs
@@ -38,16 +38,17 @@
     tasks: Spawner,
     config: AgentConfig,
     target_tasks: Receiver<TargetTask>,
-    inputs: Sender<Input>,
+    input_sender: Sender<Input>,
     clock: Clock,
 ) {
     let client = Rc::new(Client::new(config.target, tasks.clone()));
     while let Ok(target_task) = target_tasks.recv().await {
-        let (client, inputs, task_timeout) = (client.clone(), inputs.clone(), config.task_timeout);
+        let (client, input_sender, task_timeout) =
+            (client.clone(), input_sender.clone(), config.task_timeout);
         let task = async move {
             let outcome = send_task(&client, &target_task, task_timeout, clock).await;
             // Fails only if the state machine's thread has ended.
-            let _ = inputs.send(Input::Ended(target_task.key, outcome)).await;
+            let _ = input_sender.send(Input::Ended(target_task.key, outcome)).await;
         };
         tasks.spawn(task);
     }
--- a/daemon/src/entry_role/agent_links.rs
+++ b/daemon/src/entry_role/agent_links.rs
@@ -23,7 +23,7 @@
 use crate::event_loop::CHANNEL_CAPACITY;
 
 /// Delay between two attempts to connect to an agent.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Delay between closing the connection to a dead agent and reporting the agent as dead, in which
 /// the calls in progress fail.
@@ -56,12 +56,13 @@
     events: Sender<Input>,
     hosts: RefCell<HashMap<NodeName, Host>>,
     open_connections: RefCell<HashMap<NodeName, OpenConnection>>,
+    /// Agents that have a connection task.
     maintained: RefCell<Vec<NodeName>>,
     last_connection: Cell<u64>,
     peers: Peers,
 }
 
-/// Performs actions and maintains connections until the input channel is closed.
+/// Executes actions and maintains connections until the input channel is closed.
 pub(crate) async fn run(
     node_ref: NodeRef,
     tasks: Spawner,
@@ -80,7 +81,7 @@
     });
     while let Ok(input) = inputs.recv().await {
         match input {
-            AgentLinkInput::Action(action) => links.perform(action),
+            AgentLinkInput::Action(action) => links.execute(action),
             AgentLinkInput::Hosts(list) => links.set_hosts(list),
             AgentLinkInput::Dead(agent) => links.drop_connection(agent),
         }
@@ -127,7 +128,7 @@
                 }
                 Err(_) => {}
             }
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
         self.maintained.borrow_mut().retain(|maintained| *maintained != agent);
         self.send_event(Event::AgentDead { agent }).await;
@@ -205,7 +206,7 @@
     }
 
     /// Calls an agent or another entry and sends the reply to the state machine as an event.
-    fn perform(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         let links = self.clone();
         match action {
             Action::Start { agent, connection, request } => {
--- a/daemon/src/entry_role/driver.rs
+++ b/daemon/src/entry_role/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the entry state machine: passes inputs to it, answers waiting callers and writes logs.
+//! Drives the entry state machine: passes inputs to it, answers pending calls and writes logs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -65,14 +65,14 @@
     pub counters: EntryCounters,
 }
 
-/// The entry state machine with its waiting callers and outputs.
+/// The entry state machine with its pending calls and outputs.
 pub(crate) struct EntryDriver {
     name: String,
     entry: Entry,
     shared: Arc<SharedState>,
     agent_links: Sender<AgentLinkInput>,
     decisions: DecisionLog,
-    callers: HashMap<CallId, oneshot::Sender<RelayReply>>,
+    pending_calls: HashMap<CallId, oneshot::Sender<RelayReply>>,
     next_call: u64,
     actions: Vec<Action>,
     counters_interval: Duration,
@@ -93,7 +93,7 @@
             shared,
             agent_links,
             decisions: options.decisions.clone(),
-            callers: HashMap::new(),
+            pending_calls: HashMap::new(),
             next_call: 0,
             actions: Vec::new(),
             counters_interval: options.node.counters_interval,
@@ -106,7 +106,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.entry.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.perform(action);
+            self.execute(action);
         }
         self.actions = actions;
         if now.since(self.last_ready_check) >= READY_CHECK_INTERVAL {
@@ -119,10 +119,10 @@
         self.entry.is_ready(now) && !self.shared.draining.load(Ordering::Acquire)
     }
 
-    fn perform(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Respond { call, reply } => {
-                if let Some(caller) = self.callers.remove(&call) {
+                if let Some(caller) = self.pending_calls.remove(&call) {
                     // Fails if the caller disconnected; the outcome can still be fetched later.
                     let _ = caller.send(reply);
                 }
@@ -134,7 +134,7 @@
         }
     }
 
-    fn call(
+    fn submit(
         &mut self,
         now: Time,
         request: EntryRequest,
@@ -143,7 +143,7 @@
     ) {
         self.next_call += 1;
         let call = CallId(self.next_call);
-        self.callers.insert(call, reply);
+        self.pending_calls.insert(call, reply);
         let event = match request {
             EntryRequest::Submit(request) => Event::Submit { call, request, relayed },
             EntryRequest::Fetch(submission) => Event::Fetch { call, submission, relayed },
@@ -193,7 +193,7 @@
 
     fn handle_input(&mut self, now: Time, input: Input) {
         match input {
-            Input::Call { request, relayed, reply } => self.call(now, request, relayed, reply),
+            Input::Call { request, relayed, reply } => self.submit(now, request, relayed, reply),
             Input::Event(event) => self.handle_event(now, event),
             Input::Settings(SettingsUpdate::Catalog(catalog)) => {
                 self.handle_event(now, Event::Settings { catalog });
--- a/daemon/src/entry_role/listen.rs
+++ b/daemon/src/entry_role/listen.rs
@@ -80,11 +80,11 @@
         net::set_socket_options(&stream);
         let channel = BaseChannel::with_defaults(net::framed_transport(stream));
         let peer = PeerService { input_sender: input_sender.clone() };
-        let runner = tasks.clone();
+        let call_tasks = tasks.clone();
         tasks.spawn_rpc(async move {
             let mut calls = std::pin::pin!(channel.execute(peer.serve()));
             while let Some(call) = calls.next().await {
-                runner.spawn_rpc(call);
+                call_tasks.spawn_rpc(call);
             }
         });
     }
@@ -148,17 +148,17 @@
         body: Result<Bytes, BodyError>,
         read: fn(&[u8]) -> Result<Submission, Failure>,
     ) -> Response<Body> {
-        let work = body.map_err(body_failure).and_then(|body| read(&body));
-        match work {
+        let parsed = body.map_err(body_failure).and_then(|body| read(&body));
+        match parsed {
             Err(failure) => failure_response(Some(id), failure),
-            Ok(work) => {
+            Ok(parsed) => {
                 let request = RelayRequest {
                     submission: id,
-                    service: work.service,
-                    kind: work.kind,
-                    tasks: work.tasks,
-                    deadline_ms: work.deadline_ms,
-                    repeatable: work.repeatable,
+                    service: parsed.service,
+                    kind: parsed.kind,
+                    tasks: parsed.tasks,
+                    deadline_ms: parsed.deadline_ms,
+                    repeatable: parsed.repeatable,
                 };
                 self.outcome_response(id, EntryRequest::Submit(request)).await
             }
@@ -184,7 +184,7 @@
         let Ok(status) = status.recv().await else {
             return text_response(503, "text/plain", "stopping\n".to_owned());
         };
-        let body = serde_json::to_string(&status).expect("plain structs become JSON");
+        let body = serde_json::to_string(&status).expect("the status serializes to JSON");
         text_response(200, "application/json", body)
     }
 }
--- a/daemon/src/entry_role/mod.rs
+++ b/daemon/src/entry_role/mod.rs
@@ -100,10 +100,10 @@
         let links_thread = spawn("entry-links", move |tasks| {
             agent_links::run(node_ref, tasks, link_inputs, events)
         })?;
-        let callers = input_sender.clone();
+        let listen_inputs = input_sender.clone();
         let listen_shared = shared.clone();
         let listen_thread = spawn("entry-listen", move |tasks| {
-            listen::run(tasks, listener, peer_listener, callers, listen_shared, stopped)
+            listen::run(tasks, listener, peer_listener, listen_inputs, listen_shared, stopped)
         })?;
         Ok(Self {
             address,
