--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -59,7 +59,8 @@
     pub hall: String,
     /// The node's rack.
     pub rack: String,
-    /// The addresses on which keepers listen for nodes.
+    /// The addresses on which keepers listen for nodes. With capacity scheduling, `node_port`
+    /// replaces their ports.
     pub keepers: Vec<SocketAddr>,
     /// The source of the platform's host list: `file:PATH` or `http://IP:PORT/PATH`.
     pub platform: String,
--- a/daemon/src/config/check.rs
+++ b/daemon/src/config/check.rs
@@ -24,7 +24,7 @@
     if config.entry.is_some() && config.node.platform.is_empty() {
         return Err(SettingsError::key(NODE, "platform", "has to be written"));
     }
-    check_ports(config)?;
+    check_duplicate_addresses(config)?;
     if let Some(logs) = &config.node.logs {
         check_writable(NODE, "logs", logs)?;
     }
@@ -50,7 +50,7 @@
     if config.entry.is_some_and(|entry| entry.ready_listen.is_none()) {
         return missing(ENTRY, "ready_listen");
     }
-    check_ports(config)?;
+    check_duplicate_addresses(config)?;
     match &config.keeper {
         Some(keeper) => check_writable(KEEPER, "data", &keeper.data),
         None => Ok(()),
@@ -81,7 +81,8 @@
     Err(SettingsError::key(NODE, "platform", reason))
 }
 
-fn check_ports(config: &Config) -> Result<(), SettingsError> {
+/// Checks that no two addresses of the node's roles are equal.
+fn check_duplicate_addresses(config: &Config) -> Result<(), SettingsError> {
     let mut addresses: Vec<(SocketAddr, &str, &str)> = Vec::new();
     let mut add_address = |address: SocketAddr, section, key| {
         // Port 0 asks for any free port.
--- a/daemon/src/config/keys.rs
+++ b/daemon/src/config/keys.rs
@@ -248,7 +248,9 @@
 
     /// Returns the written value or the default.
     pub fn value(&self, section: &str, name: &str) -> Result<Value, SettingsError> {
-        let key = keys_of(section).and_then(|keys| Key::find(keys, name)).expect("a known key");
+        let key = keys_of(section)
+            .and_then(|keys| Key::find(keys, name))
+            .expect("the key is declared in its section");
         let written = self.written.get(section).and_then(|values| values.get(name));
         let text = written.map_or(key.default, String::as_str);
         key.parse(text).map_err(|reason| SettingsError::key(section, name, reason))
--- a/daemon/src/decisions.rs
+++ b/daemon/src/decisions.rs
@@ -51,26 +51,26 @@
 }
 
 fn write_decisions(file: File, decisions: &Receiver<Decision>, dropped: &AtomicU64) {
-    let mut out = BufWriter::new(file);
+    let mut writer = BufWriter::new(file);
     while let Ok(decision) = decisions.recv_blocking() {
         // A failed write of the log must not stop the dispatcher.
-        let _ = write_batch(&mut out, decision, decisions, dropped);
+        let _ = write_batch(&mut writer, decision, decisions, dropped);
     }
 }
 
 fn write_batch(
-    out: &mut BufWriter<File>,
+    writer: &mut BufWriter<File>,
     first: Decision,
     decisions: &Receiver<Decision>,
     dropped: &AtomicU64,
 ) -> io::Result<()> {
-    writeln!(out, "{first}")?;
+    writeln!(writer, "{first}")?;
     while let Ok(decision) = decisions.try_recv() {
-        writeln!(out, "{decision}")?;
+        writeln!(writer, "{decision}")?;
     }
     let dropped_count = dropped.swap(0, Ordering::Relaxed);
     if dropped_count > 0 {
-        writeln!(out, "dropped {dropped_count} decisions: the log channel was full")?;
+        writeln!(writer, "dropped {dropped_count} decisions: the log channel was full")?;
     }
-    out.flush()
+    writer.flush()
 }
--- a/daemon/src/event_log.rs
+++ b/daemon/src/event_log.rs
@@ -109,7 +109,7 @@
         inner.send(kind, fields);
     }
 
-    /// Returns the number of lines omitted since the start.
+    /// Returns the number of lines over their budget or dropped since the start.
     pub fn omitted(&self) -> u64 {
         self.lock().omitted
     }
@@ -162,18 +162,18 @@
 
 /// Writes lines in batches until the channel is closed and empty.
 fn write_lines(lines: &Receiver<String>) {
-    let mut out = String::new();
+    let mut batch = String::new();
     while let Ok(line) = lines.recv_blocking() {
-        out.push_str(&line);
+        batch.push_str(&line);
         if !lines.is_closed() {
             thread::sleep(BATCH_DELAY);
         }
         while let Ok(line) = lines.try_recv() {
-            out.push_str(&line);
+            batch.push_str(&line);
         }
         let stdout = io::stdout();
         // Fails if standard output is closed; the node continues without a log.
-        let _ = stdout.lock().write_all(out.as_bytes());
-        out.clear();
+        let _ = stdout.lock().write_all(batch.as_bytes());
+        batch.clear();
     }
 }
--- a/daemon/src/failure_detector.rs
+++ b/daemon/src/failure_detector.rs
@@ -34,6 +34,7 @@
 
 /// An event that wakes the detector's thread.
 enum Wake {
+    /// A datagram in the buffer: its length and source address.
     Datagram(usize, SocketAddr),
     List(HostList),
     Timer,
--- a/daemon/src/hosts.rs
+++ b/daemon/src/hosts.rs
@@ -75,8 +75,8 @@
 pub(crate) type ListSubscriber = Box<dyn Fn(&HostList) -> bool + Send>;
 
 /// Starts a thread that reads the list and passes it to the subscribers. It ends when the other
-/// side of `stopped` is dropped or no subscriber is left. If the list can't be read, the last one
-/// stays.
+/// side of `stopped` is dropped or no subscriber is left. If the list can't be read, the
+/// subscribers keep the last one.
 pub(crate) fn watch(
     platform: Platform,
     poll_interval: Duration,
@@ -102,7 +102,7 @@
                     read_failing = true;
                 }
             }
-            // Passes an unchanged list again, so that ended subscribers unsubscribe.
+            // Passes the list again even if it is unchanged, so that ended subscribers unsubscribe.
             if let Some(list) = &last_list {
                 subscribers.retain(|subscriber| subscriber(list));
             }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,8 +1,9 @@
 //! The roles of `dockpassd`, connected to threads, channels and sockets.
 //!
 //! Each role has one thread that listens, one that drives the role's state machine and one that
-//! sends requests to other processes, connected by bounded channels. The state machines are
-//! libraries that do no I/O.
+//! sends requests to other processes, connected by bounded channels. With capacity scheduling,
+//! entries and agents run on a single thread instead. The state machines are libraries that do no
+//! I/O.
 
 mod agent_role;
 mod capacity;
--- a/daemon/src/settings_client.rs
+++ b/daemon/src/settings_client.rs
@@ -17,7 +17,7 @@
 use crate::threads::{ThreadHandle, spawn_until};
 
 /// Delay before the next keeper is tried.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// A change or confirmation of the settings.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
                 });
                 settings_client.pull_from(&client, keeper).await;
             }
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
     })
 }
