--- a/soak/src/keepers/checks.rs
+++ b/soak/src/keepers/checks.rs
@@ -1,4 +1,5 @@
-//! Invariants of the settings, checked only by what operators, nodes and disks observe.
+//! Invariants of elections and settings, checked only by what operators and nodes observe and
+//! keepers log.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -18,7 +19,7 @@
     pub unknown: u64,
     /// Reads of the settings that were answered.
     pub reads: u64,
-    /// Settings that nodes received.
+    /// Snapshots and deltas of the settings that nodes applied.
     pub settings_received: u64,
     /// Elections that were won.
     pub elections: u64,
@@ -36,7 +37,7 @@
     pub moves: u64,
     /// Replaced keepers that returned with their old disk.
     pub repaired: u64,
-    /// Disks that were lost again right after the return of their keeper.
+    /// Disks that were lost a second time right after a restart of their keeper.
     pub wiped_twice: u64,
 }
 
@@ -67,12 +68,13 @@
     pub summary: KeeperSummary,
     /// The leader of each term.
     leaders: HashMap<u64, String>,
-    /// The tree of each version that was seen.
+    /// The tree of each version that a keeper, a node or an operator had.
     trees: BTreeMap<u64, Tree>,
-    /// The version that each accepted change made.
+    /// The version that each accepted change created.
     accepted: HashMap<String, u64>,
-    /// Accepted changes, whose acknowledgement may be repeated.
-    resent: HashSet<String>,
+    /// Changes that were acknowledged as accepted; a repeated acknowledgement may name an old
+    /// version.
+    acknowledged: HashSet<String>,
     /// The highest version that was acknowledged or read.
     newest_reported: u64,
 }
@@ -92,7 +94,7 @@
     }
 
     /// Checks that a version always has the same tree.
-    pub fn version_seen(&mut self, time: Time, version: u64, tree: &Tree) {
+    pub fn version_observed(&mut self, time: Time, version: u64, tree: &Tree) {
         let first = self.trees.entry(version).or_insert_with(|| tree.clone());
         if first != tree {
             self.violation(time, format!("version {version} has two trees"));
@@ -108,7 +110,7 @@
     /// sent.
     pub fn version_read(&mut self, time: Time, version: u64, tree: &Tree, newest: u64) {
         self.summary.reads += 1;
-        self.version_seen(time, version, tree);
+        self.version_observed(time, version, tree);
         if version < newest {
             self.violation(
                 time,
@@ -133,14 +135,14 @@
         if others > 0 {
             self.violation(time, format!("version {version} was assigned to two changes"));
         }
-        let resent = self.resent.contains(change);
-        if version <= newest && !resent {
+        let is_repeated = self.acknowledged.contains(change);
+        if version <= newest && !is_repeated {
             let description = format!(
                 "change {change} was accepted as version {version} after version {newest} was reported"
             );
             self.violation(time, description);
         }
-        self.resent.insert(change.to_owned());
+        self.acknowledged.insert(change.to_owned());
         self.newest_reported = self.newest_reported.max(version);
     }
 
--- a/soak/src/keepers/disks.rs
+++ b/soak/src/keepers/disks.rs
@@ -16,13 +16,14 @@
     pub keeper: Option<Keeper>,
     pub disk: Vec<Record>,
     pub stalled_until: Time,
-    pub cut_off: bool,
+    /// Whether the messages between this keeper and the others are lost.
+    pub isolated: bool,
     pub tick_at: Option<Time>,
     /// Whether the disk refuses writes.
     pub full: bool,
     /// Writes that the full disk refused since the keeper started.
     pub refused_actions: Vec<Action>,
-    /// Whether the keeper was replaced by one on another host.
+    /// Whether the keeper was replaced by one on another host and has not returned.
     pub removed: bool,
 }
 
@@ -34,7 +35,7 @@
             keeper: None,
             disk,
             stalled_until: now,
-            cut_off: false,
+            isolated: false,
             tick_at: None,
             full: false,
             refused_actions: Vec::new(),
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Whether the disk holds all records that the keeper acknowledged.
+    /// Whether the disk holds all records that the keeper acknowledged: `Record::Blank` marks a
+    /// disk that started empty until the keeper has caught up.
     pub fn holds_acknowledged(&self) -> bool {
         let states = self.disk.iter().rev().filter_map(|record| match record {
             Record::Blank(blank) => Some(!blank),
@@ -53,12 +55,12 @@
 
     /// Returns the index of the last log entry on the disk, or 0.
     pub fn last_entry_index(&self) -> u64 {
-        let entries = self.disk.iter().rev().find_map(|record| match record {
+        let last_index = self.disk.iter().rev().find_map(|record| match record {
             Record::Append(entries) => entries.last().map(|entry| entry.index),
             Record::Snapshot(snapshot) => Some(snapshot.index),
             _ => None,
         });
-        entries.unwrap_or(0)
+        last_index.unwrap_or(0)
     }
 }
 
@@ -71,9 +73,9 @@
     /// replaces if its disk is full.
     pub fn store_or_refuse(&mut self, number: usize, actions: Vec<Action>) -> Vec<Action> {
         if self.keepers[number].full && actions.iter().any(is_store) {
-            return self.refuse(number, actions);
+            return self.refuse_writes(number, actions);
         }
-        self.store(number, &actions);
+        self.store_records(number, &actions);
         actions
     }
 
@@ -103,7 +105,7 @@
     }
 
     /// Writes records; they count as synced before any other action.
-    fn store(&mut self, number: usize, actions: &[Action]) {
+    fn store_records(&mut self, number: usize, actions: &[Action]) {
         let disk = &mut self.keepers[number].disk;
         for action in actions {
             match action {
@@ -114,21 +116,24 @@
         }
     }
 
-    /// Refuses all writes among `actions`; returns the actions that the keeper takes instead.
-    fn refuse(&mut self, number: usize, actions: Vec<Action>) -> Vec<Action> {
+    /// Refuses all writes among `actions`; returns the actions that replace them.
+    fn refuse_writes(&mut self, number: usize, actions: Vec<Action>) -> Vec<Action> {
         let now = self.now;
         let keeper = &mut self.keepers[number];
         let Some(machine) = &mut keeper.keeper else { return Vec::new() };
         if !keeper.refused_actions.is_empty() {
-            self.checks.violation(now, "a keeper writes to a disk that it knows to be full");
+            self.checks.violation(
+                now,
+                format!("keeper {number} writes to a disk that it knows to be full"),
+            );
             return Vec::new();
         }
         keeper.refused_actions =
             actions.iter().filter(|action| is_store(action)).cloned().collect();
-        let mut instead = Vec::new();
-        machine.disk_is_full(now, actions, &mut instead);
+        let mut replacement = Vec::new();
+        machine.disk_is_full(now, actions, &mut replacement);
         self.checks.summary.full_disks += 1;
-        instead
+        replacement
     }
 
     /// Ends the refusal of writes and applies the refused ones.
@@ -137,6 +142,6 @@
         self.keepers[number].full = false;
         let Some(machine) = &mut self.keepers[number].keeper else { return };
         machine.disk_is_writable();
-        self.store(number, &refused);
+        self.store_records(number, &refused);
     }
 }
--- a/soak/src/keepers/faults.rs
+++ b/soak/src/keepers/faults.rs
@@ -43,16 +43,16 @@
             self.checks.summary.faults += 1;
             let keeper = self.random_keeper();
             match self.rng.random_range(0..6) {
-                0 | 1 => self.kill(keeper),
-                2 => self.stall(keeper),
-                3 => self.isolate(keeper),
+                0 | 1 => self.kill_keeper(keeper),
+                2 => self.stall_keeper(keeper),
+                3 => self.isolate_keeper(keeper),
                 4 => self.fill_disk(keeper),
                 _ => self.kill_and_lose_disk(keeper),
             }
         }
     }
 
-    fn kill(&mut self, number: usize) {
+    fn kill_keeper(&mut self, number: usize) {
         if self.keepers[number].keeper.take().is_none() {
             return;
         }
@@ -60,13 +60,13 @@
         self.schedule_after(downtime, SimEvent::StartKeeper(number));
     }
 
-    fn stall(&mut self, number: usize) {
+    fn stall_keeper(&mut self, number: usize) {
         let stall = self.random_duration(MAX_STALL);
         self.keepers[number].stalled_until = self.now + stall;
     }
 
-    fn isolate(&mut self, number: usize) {
-        self.keepers[number].cut_off = true;
+    fn isolate_keeper(&mut self, number: usize) {
+        self.keepers[number].isolated = true;
         let time = self.random_duration(MAX_STALL);
         self.schedule_after(time, SimEvent::Reconnect(number));
     }
@@ -80,14 +80,14 @@
     /// Kills a keeper and loses its disk, if the cluster tolerates the loss.
     fn kill_and_lose_disk(&mut self, number: usize) {
         let is_tolerable = self.tolerable_losses(&[number]) > 0;
-        self.kill(number);
+        self.kill_keeper(number);
         if is_tolerable {
             self.lose_disk(number);
         }
     }
 
-    /// Returns how many more disks may be lost before others are repaired, so that a majority with
-    /// all acknowledged records remains beside `to_lose`.
+    /// Returns how many disks may be lost at once, those of `to_lose` included, so that a majority
+    /// with all acknowledged records remains.
     pub(super) fn tolerable_losses(&self, to_lose: &[usize]) -> usize {
         let others =
             self.keepers.iter().enumerate().filter(|(number, _)| !to_lose.contains(number));
@@ -105,8 +105,8 @@
         if !self.topology.membership_changes {
             return true;
         }
-        let living = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
-        let mut replicas = living.map(|keeper| keeper.replica());
+        let running = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
+        let mut replicas = running.map(|keeper| keeper.replica());
         replicas.any(|replica| {
             replica.is_confirmed_leader(self.now) && replica.voters().len() >= self.topology.voters
         })
@@ -131,19 +131,19 @@
         }
         let wiped = self.disks_to_lose();
         self.checks.summary.power_losses += 1;
-        let mut last = self.now;
+        let mut last_start = self.now;
         for number in 0..self.keepers.len() {
             self.crash_while_storing(number);
             self.keepers[number].stalled_until = self.now;
-            self.keepers[number].cut_off = false;
+            self.keepers[number].isolated = false;
             let outage = self.random_duration(MAX_POWER_OUTAGE);
             self.schedule_after(outage, SimEvent::StartKeeper(number));
-            last = last.max(self.now + outage);
+            last_start = last_start.max(self.now + outage);
         }
         wiped.into_iter().for_each(|number| self.lose_disk(number));
-        let due = last + LEADER_DEADLINE;
+        let due = last_start + LEADER_DEADLINE;
         self.faults_start = due;
-        self.schedule_at(last, SimEvent::CheckLeader(due));
+        self.schedule_at(last_start, SimEvent::CheckLeader(due));
     }
 
     /// Chooses the disks to lose: random ones, those with the newest entry, or the leader's first.
--- a/soak/src/keepers/halls.rs
+++ b/soak/src/keepers/halls.rs
@@ -1,8 +1,9 @@
 //! Operators that empty and refill halls.
 //!
-//! Each hall has one operator, who sends a command until it is acknowledged, may lose the answers,
-//! and may then send the opposite. Commands have no version and no id. A separate random stream
-//! keeps other runs unchanged.
+//! Each hall has one operator, who resends a command until it is acknowledged, and may then send
+//! the opposite one. Commands have no version and no id, and their answers may be lost.
+//!
+//! A separate random stream keeps runs without hall commands unchanged.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -35,7 +36,9 @@
     emptied: Option<bool>,
     /// The number of the current command.
     command: u64,
+    /// Whether the current command refills the hall.
     takes_work: bool,
+    /// When the current command was first sent.
     started_at: Time,
 }
 
@@ -44,7 +47,7 @@
 pub(crate) struct HallCommands {
     rng: ChaCha8Rng,
     halls: Vec<HallState>,
-    /// The newest revision that was reported.
+    /// The state with the newest revision that was reported.
     newest: EmptiedHalls,
     /// Number of acknowledged commands.
     pub acknowledged: u64,
--- a/soak/src/keepers/moves.rs
+++ b/soak/src/keepers/moves.rs
@@ -1,8 +1,11 @@
-//! Replacement of keepers by new ones on other hosts, with an empty disk and a new name.
+//! Moves of keepers to other hosts: a new keeper with an empty disk and a new name replaces the old
+//! one.
 //!
-//! The contacts of all keepers then name the present ones. Some replaced keepers return with their
-//! old disk, and some keepers lose their disk a second time right after a restart. A separate
-//! random stream keeps other runs unchanged.
+//! Some replaced keepers return with their old disk. The keepers that were not replaced, or have
+//! returned, are present; after each move, the contacts of all keepers are drawn from them. Some
+//! keepers lose their disk a second time right after a restart.
+//!
+//! A separate random stream keeps runs without moves unchanged.
 
 use std::time::Duration;
 
@@ -101,7 +104,7 @@
     fn wipe_twice(&mut self, number: usize) {
         let Some(moves) = &mut self.moves else { return };
         let delay = moves.random_duration(MAX_SECOND_WIPE_DELAY);
-        self.wipe(number);
+        self.wipe_disk(number);
         self.start_keeper(number);
         self.schedule_after(delay, SimEvent::WipeAgain(number));
     }
@@ -112,19 +115,19 @@
         if self.keepers[number].removed || self.tolerable_losses(&[number]) == 0 {
             return;
         }
-        self.wipe(number);
+        self.wipe_disk(number);
         self.checks.summary.wiped_twice += 1;
         self.start_keeper(number);
     }
 
-    fn wipe(&mut self, number: usize) {
+    fn wipe_disk(&mut self, number: usize) {
         self.keepers[number].keeper = None;
         self.lose_disk(number);
     }
 
-    /// Sets the contacts of all running keepers to a random selection of the present ones.
+    /// Sets the contacts of all keepers to a random selection of the present ones.
     fn update_contacts(&mut self) {
-        let names = self.present();
+        let names = self.present_names();
         let Some(moves) = &mut self.moves else { return };
         let mut contacts = names;
         contacts.shuffle(&mut moves.rng);
@@ -135,7 +138,7 @@
         }
     }
 
-    fn present(&self) -> Vec<NodeName> {
+    fn present_names(&self) -> Vec<NodeName> {
         let present = self.keepers.iter().filter(|keeper| !keeper.removed);
         present.map(|keeper| keeper.name.clone()).collect()
     }
@@ -143,9 +146,9 @@
     /// Returns how many replaced keepers may still vote: all whose removal is not stored by a
     /// majority. A removal that only the leader stores is undone by the loss of its disk.
     pub(super) fn removed_voters(&self, now: Time) -> usize {
-        let living = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
+        let running = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
         let leader =
-            living.map(|keeper| keeper.replica()).find(|replica| replica.is_confirmed_leader(now));
+            running.map(|keeper| keeper.replica()).find(|replica| replica.is_confirmed_leader(now));
         let removed = self.keepers.iter().filter(|keeper| keeper.removed);
         removed
             .filter(|keeper| {
@@ -158,8 +161,8 @@
     fn majority_removed(&self, leader: &Replica, name: &NodeName) -> bool {
         let voters = leader.voters();
         let voting = self.keepers.iter().filter(|keeper| voters.contains(&keeper.name));
-        let living = voting.filter_map(|keeper| keeper.keeper.as_ref());
-        let agree = living.filter(|keeper| !keeper.replica().voters().contains(name)).count();
+        let running = voting.filter_map(|keeper| keeper.keeper.as_ref());
+        let agree = running.filter(|keeper| !keeper.replica().voters().contains(name)).count();
         !voters.contains(name) && agree > voters.len() / 2
     }
 }
--- a/soak/src/keepers/nodes.rs
+++ b/soak/src/keepers/nodes.rs
@@ -28,7 +28,7 @@
 
 impl KeeperSimulation {
     /// Sends a pull request to the keeper of a node.
-    pub fn pull(&mut self, number: usize) {
+    pub fn pull_settings(&mut self, number: usize) {
         let node = &self.nodes[number];
         let (keeper, incarnation) = (node.keeper, node.incarnation);
         let request = PullRequest { node: NodeName::new("n"), have: node.version() };
@@ -41,7 +41,7 @@
         let node = &mut self.nodes[number];
         node.incarnation += 1;
         node.settings = None;
-        self.pull(number);
+        self.pull_settings(number);
     }
 
     /// Applies the reply to a pull, or its loss if `None`, and schedules the next pull.
@@ -67,7 +67,7 @@
         self.schedule_after(pause, SimEvent::Pull(number));
     }
 
-    /// Applies received settings; returns whether the reply was usable.
+    /// Applies the settings of a pull reply; returns whether the reply was useful.
     fn apply_settings(&mut self, number: usize, reply: PullReply) -> bool {
         let have = self.nodes[number].settings.clone();
         let (version, tree) = match reply {
@@ -79,17 +79,23 @@
                 let applied =
                     edits.iter().try_fold(tree.clone(), |tree, edits| tree.with_edits(edits));
                 let Ok(tree) = applied else {
-                    self.checks.violation(self.now, "a delta results in invalid settings");
+                    self.checks.violation(
+                        self.now,
+                        format!("node {number} received a delta that results in invalid settings"),
+                    );
                     return false;
                 };
                 (version, tree)
             }
         };
         if have.is_some_and(|(have, _)| version < have) {
-            self.checks.violation(self.now, format!("node {number} received an older version"));
+            self.checks.violation(
+                self.now,
+                format!("node {number} received version {version} after a newer one"),
+            );
             return false;
         }
-        self.checks.version_seen(self.now, version, &tree);
+        self.checks.version_observed(self.now, version, &tree);
         self.checks.summary.settings_received += 1;
         self.nodes[number].settings = Some((version, tree));
         true
--- a/soak/src/keepers/operators.rs
+++ b/soak/src/keepers/operators.rs
@@ -22,8 +22,8 @@
     Read { operator: usize, newest: u64 },
     /// The operator of a hall, with the number of its command.
     Hall { hall: usize, command: u64 },
-    /// A read of the emptied halls, with the command number and known state of each hall, and the
-    /// highest reported revision, when it was sent.
+    /// A read of the emptied halls, with the command number and the known state of each hall, and
+    /// the highest reported revision at the time of sending.
     ReadHalls { known: Vec<(u64, Option<bool>)>, newest: u64 },
     /// A node that pulls settings, with its incarnation.
     Pull { node: usize, incarnation: u64 },
@@ -49,9 +49,13 @@
         match (self.open_requests.remove(&call_id), reply) {
             (Some(Requester::Read { operator, newest }), Some(Reply::Tree(tree))) => {
                 let Ok(parsed) = Tree::from_ini(&tree.tree) else {
-                    return self
-                        .checks
-                        .violation(self.now, "a read returned settings that cannot be parsed");
+                    return self.checks.violation(
+                        self.now,
+                        format!(
+                            "read version {} of the settings, which cannot be parsed",
+                            tree.version
+                        ),
+                    );
                 };
                 self.checks.version_read(self.now, tree.version, &parsed, newest);
                 self.send_new_change(operator, tree.version);
--- a/soak/src/keepers/simulation.rs
+++ b/soak/src/keepers/simulation.rs
@@ -79,11 +79,11 @@
     /// Number of voters.
     pub voters: usize,
     /// Whether keepers that stay unreachable are replaced as voters. An empty disk then has no
-    /// member names, and a keeper finds the cluster by the contacts in its settings.
+    /// member names, and its keeper joins the cluster through its contacts.
     pub membership_changes: bool,
 }
 
-/// The topologies of which each run has one.
+/// The topologies from which each run draws one.
 const TOPOLOGIES: [Topology; 6] = [
     Topology { initial_members: 3, count: 3, voters: 3, membership_changes: false },
     Topology { initial_members: 5, count: 5, voters: 5, membership_changes: false },
@@ -103,20 +103,24 @@
     pub nodes: Vec<NodeState>,
     pub checks: KeeperChecks,
     pub open_requests: HashMap<CallId, Requester>,
+    /// Number of changes that operators created; the source of their ids.
     pub changes: u64,
     pub topology: Topology,
     /// `None` in runs without hall commands.
     pub halls: Option<HallCommands>,
     /// `None` in runs without moves.
     pub moves: Option<KeeperMoves>,
-    /// The keepers that a keeper without membership contacts, as named in its settings.
+    /// The keepers that a keeper contacts while it knows no members.
     pub contacts: Vec<NodeName>,
-    /// No faults are injected before; after a power loss, they wait for a leader.
+    /// Faults are injected only from this time on. After a power loss, it is the deadline for
+    /// a leader until one is elected.
     pub faults_start: Time,
     loss_rate: f64,
     max_delay: Duration,
     last_call_id: u64,
+    /// Seed of the keeper that started last.
     last_seed: u64,
+    /// Times and sequence numbers of the events in `scheduled`.
     event_queue: BinaryHeap<Reverse<(Time, u64)>>,
     scheduled: HashMap<u64, SimEvent>,
     sequence: u64,
@@ -224,8 +228,8 @@
         }
     }
 
-    pub fn schedule_after(&mut self, time: Duration, event: SimEvent) {
-        self.schedule_at(self.now + time, event);
+    pub fn schedule_after(&mut self, delay: Duration, event: SimEvent) {
+        self.schedule_at(self.now + delay, event);
     }
 
     pub fn schedule_at(&mut self, time: Time, event: SimEvent) {
@@ -239,12 +243,12 @@
     }
 
     /// Draws whether a message is lost; none is in the period without faults.
-    pub fn loses_frame(&mut self) -> bool {
+    pub fn loses_message(&mut self) -> bool {
         self.now < self.calm_start && self.rng.random_bool(self.loss_rate)
     }
 
     /// Draws the delay of a message.
-    pub fn frame_delay(&mut self) -> Duration {
+    pub fn message_delay(&mut self) -> Duration {
         Duration::from_micros(50) + self.random_duration(self.max_delay)
     }
 
@@ -252,23 +256,23 @@
         match event {
             SimEvent::Message { to, from, message } => {
                 let from = self.keepers[from].name.clone();
-                self.deliver(to, Event::PeerMessage(from, message));
+                self.deliver_to_keeper(to, Event::PeerMessage(from, message));
             }
-            SimEvent::Request { to, event } => self.deliver(to, event),
+            SimEvent::Request { to, event } => self.deliver_to_keeper(to, event),
             SimEvent::Reply { call_id, reply } => self.deliver_reply(call_id, Some(reply)),
             SimEvent::RequestLost { call_id } => self.deliver_reply(call_id, None),
             SimEvent::Tick(keeper) => {
                 self.keepers[keeper].tick_at = None;
-                self.deliver(keeper, Event::Tick);
+                self.deliver_to_keeper(keeper, Event::Tick);
             }
             SimEvent::ReadTree(operator) => self.read_tree(operator),
-            SimEvent::Pull(node) => self.pull(node),
+            SimEvent::Pull(node) => self.pull_settings(node),
             SimEvent::RestartNode(node) => self.restart_node(node),
             SimEvent::StartHallCommand(hall) => self.start_hall_command(hall),
             SimEvent::HallCommandTimeout(hall, command) => self.retry_hall_command(hall, command),
             SimEvent::Fault => self.inject_faults(),
             SimEvent::StartKeeper(keeper) => self.start_keeper(keeper),
-            SimEvent::Reconnect(keeper) => self.keepers[keeper].cut_off = false,
+            SimEvent::Reconnect(keeper) => self.keepers[keeper].isolated = false,
             SimEvent::FreeDisk(keeper) => self.free_disk(keeper),
             SimEvent::MoveKeeper => self.move_random_keeper(),
             SimEvent::ReturnKeeper(keeper) => self.return_keeper(keeper),
@@ -294,9 +298,9 @@
                 recovered.set_contacts(contacts);
                 keeper.keeper = Some(recovered);
             }
-            Err(error) => {
-                self.checks.violation(now, format!("keeper cannot recover from its disk: {error}"))
-            }
+            Err(error) => self
+                .checks
+                .violation(now, format!("keeper {number} cannot recover from its disk: {error}")),
         }
         self.schedule_tick(number);
     }
@@ -315,13 +319,13 @@
         messages.min_by_key(|(scheduled_at, _)| *scheduled_at).map(|(_, event)| event)
     }
 
-    /// Whether a keeper is the confirmed leader.
+    /// Whether any keeper is a confirmed leader.
     pub fn has_leader(&self) -> bool {
         let keepers = self.keepers.iter().filter_map(|keeper| keeper.keeper.as_ref());
         keepers.into_iter().any(|keeper| keeper.replica().is_confirmed_leader(self.now))
     }
 
-    fn deliver(&mut self, number: usize, event: Event) {
+    fn deliver_to_keeper(&mut self, number: usize, event: Event) {
         let now = self.now;
         let keeper = &mut self.keepers[number];
         if keeper.keeper.is_none() {
@@ -351,14 +355,14 @@
         let name = self.keepers[number].name.to_string();
         match action {
             Action::Store(_) | Action::Rewrite(_) => {}
-            Action::Send(to, message) => self.send(number, &to, message),
+            Action::Send(to, message) => self.send_message(number, &to, message),
             Action::Respond(call_id, reply) => {
                 self.maybe_lose_power(&reply);
-                let frame_delay = self.frame_delay();
-                if self.loses_frame() {
-                    return self.schedule_after(frame_delay, SimEvent::RequestLost { call_id });
+                let message_delay = self.message_delay();
+                if self.loses_message() {
+                    return self.schedule_after(message_delay, SimEvent::RequestLost { call_id });
                 }
-                self.schedule_after(frame_delay, SimEvent::Reply { call_id, reply });
+                self.schedule_after(message_delay, SimEvent::Reply { call_id, reply });
             }
             Action::Log(LogEvent::Replica(consensus::LogEvent::BecameLeader(term))) => {
                 self.checks.leader_elected(self.now, &name, term);
@@ -376,25 +380,25 @@
             Action::Log(LogEvent::SettingsVersion(version)) => {
                 let state = self.keepers[number].keeper.as_ref().map(|k| k.state().clone());
                 if let Some(state) = state.filter(|state| state.version() == version) {
-                    self.checks.version_seen(self.now, version, state.tree());
+                    self.checks.version_observed(self.now, version, state.tree());
                 }
             }
             Action::Log(_) => {}
         }
     }
 
-    fn send(&mut self, from: usize, to: &NodeName, message: Message) {
+    fn send_message(&mut self, from: usize, to: &NodeName, message: Message) {
         let Some(to) = self.keepers.iter().position(|keeper| keeper.name == *to) else { return };
-        if self.loses_frame() || self.keepers[from].cut_off || self.keepers[to].cut_off {
+        if self.loses_message() || self.keepers[from].isolated || self.keepers[to].isolated {
             return;
         }
-        let frame_delay = self.frame_delay();
+        let message_delay = self.message_delay();
         if self.now < self.calm_start && self.rng.random_bool(0.03) {
-            let later = frame_delay + self.random_duration(Duration::from_secs(2));
+            let later = message_delay + self.random_duration(Duration::from_secs(2));
             let message = message.clone();
             self.schedule_after(later, SimEvent::Message { to, from, message });
         }
-        self.schedule_after(frame_delay, SimEvent::Message { to, from, message });
+        self.schedule_after(message_delay, SimEvent::Message { to, from, message });
     }
 
     fn schedule_tick(&mut self, number: usize) {
@@ -420,14 +424,14 @@
         self.last_call_id += 1;
         let call_id = CallId(self.last_call_id);
         self.open_requests.insert(call_id, requester);
-        let frame_delay = self.frame_delay();
+        let message_delay = self.message_delay();
         // An isolated keeper is still reachable for clients, and may believe that it leads.
         let unreachable = self.keepers[to].keeper.is_none();
-        if unreachable || self.loses_frame() {
-            self.schedule_after(frame_delay, SimEvent::RequestLost { call_id });
+        if unreachable || self.loses_message() {
+            self.schedule_after(message_delay, SimEvent::RequestLost { call_id });
             return call_id;
         }
-        self.schedule_after(frame_delay, SimEvent::Request { to, event: event(call_id) });
+        self.schedule_after(message_delay, SimEvent::Request { to, event: event(call_id) });
         // A keeper that crashes with the request never replies.
         self.schedule_after(Duration::from_secs(6), SimEvent::RequestLost { call_id });
         call_id
@@ -450,10 +454,10 @@
             self.checks.violation(self.end, description);
         }
         for number in 0..self.nodes.len() {
-            let have = self.nodes[number].version();
-            if have != Some(version) {
+            let node_version = self.nodes[number].version();
+            if node_version != Some(version) {
                 let description = format!(
-                    "node {number} has version {have:?}, but the leader has version {version}"
+                    "node {number} has version {node_version:?}, but the leader has version {version}"
                 );
                 self.checks.violation(self.end, description);
             }
