--- a/soak/src/capacity/checks.rs
+++ b/soak/src/capacity/checks.rs
@@ -1,4 +1,4 @@
-//! Invariants of runs with capacity scheduling, checked only by what targets and clients observe.
+//! Invariants of scheduling by reported capacity, checked only by what targets and clients observe.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -44,7 +44,7 @@
     pub faults: u64,
     /// Jobs that were cancelled.
     pub cancelled: u64,
-    /// Jobs submitted after the last fault that completed.
+    /// Jobs submitted after the last fault that completed within their deadline.
     pub completed_after_faults: u64,
     /// Target crashes caused by a task.
     pub target_crashes: u64,
@@ -77,7 +77,9 @@
     /// Time of the last submission.
     submitted: Time,
     answered: Option<(Time, Outcome)>,
+    /// Indexes of the tasks that ended as done since the last submission.
     done: BTreeSet<u32>,
+    /// Number of failures of each task since the last submission.
     failures: BTreeMap<u32, u32>,
     tasks: u32,
     max_attempts: u32,
@@ -204,9 +206,11 @@
             }
             Outcome::Failed(_) => {
                 self.summary.failed += 1;
-                let attempts = record.failures.values().any(|count| *count >= record.max_attempts);
-                let crashes = record.crashes.values().any(|count| *count >= CRASHES_BEFORE_FAILURE);
-                !attempts && !crashes
+                let attempts_used =
+                    record.failures.values().any(|count| *count >= record.max_attempts);
+                let crashed_often =
+                    record.crashes.values().any(|count| *count >= CRASHES_BEFORE_FAILURE);
+                !attempts_used && !crashed_often
             }
             Outcome::NotRun { .. } => {
                 self.summary.not_run += 1;
--- a/soak/src/capacity/client.rs
+++ b/soak/src/capacity/client.rs
@@ -10,7 +10,7 @@
 
 /// Time from a failed try to the next submission.
 pub(super) const RESEND_DELAY: Duration = Duration::from_millis(1_300);
-/// Submissions of one job at most.
+/// Most submissions of one job.
 pub(super) const MAX_TRIES: u32 = 3;
 
 /// One client with its job.
@@ -25,7 +25,8 @@
     /// Whether the job is submitted after the last fault.
     pub after_faults: bool,
     pub first_submitted: Time,
-    /// Time within which the job counts as in time, by the true duration of its tasks.
+    /// Time after the first submission within which a job of a load counts as in time; the request
+    /// has an estimate of it.
     pub objective: Duration,
     /// Weight of the job in the results of a load.
     pub worth: f64,
@@ -40,15 +41,15 @@
 impl Client {
     pub fn new(number: u32, rng: &mut ChaCha8Rng, now: Time, after_faults: bool) -> Self {
         let kinds = [(60_u64, 8_u32, 0_u8, 4_u32), (900, 4, 2, 2), (200, 2, 1, 3)];
-        let (mean, width, priority, max_attempts) = kinds[rng.random_range(0..kinds.len())];
-        let count = rng.random_range(1..=width);
+        let (mean_ms, max_tasks, priority, max_attempts) = kinds[rng.random_range(0..kinds.len())];
+        let count = rng.random_range(1..=max_tasks);
         let work = (0..count)
             .map(|_| {
-                let mean_ms = mean as f64 * rng.random_range(0.6..1.6);
-                (Duration::from_secs_f64(mean_ms / 1e3), rng.random_bool(0.005))
+                let task_ms = mean_ms as f64 * rng.random_range(0.6..1.6);
+                (Duration::from_secs_f64(task_ms / 1e3), rng.random_bool(0.005))
             })
             .collect();
-        let estimated_ms = (mean as f64 * rng.random_range(0.7..1.4)) as u32;
+        let estimated_ms = (mean_ms as f64 * rng.random_range(0.7..1.4)) as u32;
         let objective = Duration::from_millis(u64::from(estimated_ms) * 16 / 10 + 60);
         let request = JobRequest {
             id: JobId::new(&format!("{number:016x}")),
--- a/soak/src/capacity/commands.rs
+++ b/soak/src/capacity/commands.rs
@@ -107,7 +107,7 @@
         let now = self.now;
         for agent in 0..self.agents.len() {
             let Some(target) = &mut self.agents[agent].target else { continue };
-            let ended = target.advance(now);
+            let ended = target.end_due_runs(now);
             let running = target.running().into_iter().cloned().collect::<Vec<TaskId>>();
             running.iter().for_each(|task| self.checks.still_running(now, task));
             for end in &ended {
@@ -121,13 +121,13 @@
         self.schedule_after(TARGET_TICK, SimEvent::AdvanceTargets);
     }
 
-    pub(super) fn heartbeat(&mut self, agent: usize) {
+    pub(super) fn send_heartbeat(&mut self, agent: usize) {
         let now = self.now;
         let report = self.agents[agent].target.as_ref().map(|target| target.report(now));
         if let Some(report) = report {
             if self.rng.random_bool(DELAYED_REPORT_SHARE) {
-                let duration = Duration::from_millis(self.rng.random_range(1..MAX_REPORT_DELAY_MS));
-                self.schedule_after(duration, SimEvent::DelayedReport(agent, report));
+                let delay = Duration::from_millis(self.rng.random_range(1..MAX_REPORT_DELAY_MS));
+                self.schedule_after(delay, SimEvent::DelayedReport(agent, report));
             } else {
                 self.deliver_report(agent, report);
             }
@@ -135,17 +135,17 @@
         self.schedule_after(HEARTBEAT_INTERVAL, SimEvent::Heartbeat(agent));
     }
 
-    /// Delivers a report, possibly of an earlier instance of the target. A drain notice of the
-    /// present instance is acknowledged by its delivery.
+    /// Delivers a report, possibly of an earlier instance of the target. The first report of a
+    /// draining present instance is the drain notice.
     pub(super) fn deliver_report(&mut self, agent: usize, report: TargetReport) {
         let now = self.now;
         let process = &mut self.agents[agent];
         if process.runner.is_none() || process.paused_until > now {
             return;
         }
-        let is_there =
+        let is_current =
             process.target.as_ref().is_some_and(|target| target.instance == report.instance);
-        if is_there && report.draining {
+        if is_current && report.draining {
             process.draining_since.get_or_insert(now);
         }
         self.deliver_to_agent(agent, runner::Event::TargetReported(report));
--- a/soak/src/capacity/documents.rs
+++ b/soak/src/capacity/documents.rs
@@ -20,7 +20,7 @@
                 FetchStep::Request(source, request) => {
                     let DocumentSource::Agent(id) = source else { continue };
                     if let Some(session) = self.entries[entry].sessions.get(&id).copied() {
-                        self.send(session, Packet::ToAgent(ToAgent::SendPart(request)));
+                        self.send_packet(session, Packet::ToAgent(ToAgent::SendPart(request)));
                     }
                     let incarnation = self.entries[entry].incarnation;
                     self.schedule_after(PART_TIMEOUT, SimEvent::PartTimeout(entry, incarnation));
--- a/soak/src/capacity/entry_link.rs
+++ b/soak/src/capacity/entry_link.rs
@@ -36,7 +36,7 @@
         self.queues.remove(&session);
     }
 
-    /// Completes the current segment; returns the session and the packet if it was the last of one.
+    /// Completes the current segment; returns the packet and its session if the packet is complete.
     fn segment_sent(&mut self) -> Option<(usize, Packet)> {
         let session = self.sending?;
         let queue = self.queues.get_mut(&session)?;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Queues a packet at the link of its entry; returns it where it needs no queueing.
+    /// Queues a packet at the link of its entry; returns it if it needs no queueing.
     pub(super) fn send_by_link(&mut self, number: usize, packet: Packet) -> Option<Packet> {
         let entry = self.sessions[number].entry;
         let Some(link) = &mut self.entries[entry].link else { return Some(packet) };
@@ -81,7 +81,7 @@
                 let bytes =
                     bincode::serialized_size(message).expect("wire messages can be serialized");
                 if let Some(time) = link.enqueue(number, bytes, packet) {
-                    self.schedule_after(time, SimEvent::LinkSent(entry));
+                    self.schedule_after(time, SimEvent::SegmentSent(entry));
                 }
                 None
             }
@@ -94,14 +94,14 @@
     }
 
     /// Completes a segment on the link of an entry.
-    pub(super) fn link_sent(&mut self, entry: usize) {
+    pub(super) fn link_segment_sent(&mut self, entry: usize) {
         let Some(link) = &mut self.entries[entry].link else { return };
         let completed = link.segment_sent();
         if let Some(time) = link.next_segment() {
-            self.schedule_after(time, SimEvent::LinkSent(entry));
+            self.schedule_after(time, SimEvent::SegmentSent(entry));
         }
         if let Some((session, packet)) = completed {
-            self.transmit(session, packet);
+            self.transmit_packet(session, packet);
         }
     }
 }
--- a/soak/src/capacity/fault_injection.rs
+++ b/soak/src/capacity/fault_injection.rs
@@ -77,7 +77,7 @@
         for session in sessions.into_values() {
             self.sessions[session].open_at_entry = false;
             if !silent {
-                self.send(session, Packet::CloseAtAgent);
+                self.send_packet(session, Packet::CloseAtAgent);
             }
         }
         for id in jobs {
@@ -99,7 +99,7 @@
         let sessions = std::mem::take(&mut process.sessions);
         for session in sessions.into_values() {
             self.sessions[session].open_at_agent = false;
-            self.send(session, Packet::CloseAtEntry);
+            self.send_packet(session, Packet::CloseAtEntry);
         }
         self.schedule_after(downtime, SimEvent::StartAgent(agent));
     }
@@ -107,7 +107,7 @@
     pub(super) fn reset_connection(&mut self, entry: usize, agent: usize) {
         let find = |session: &Session| session.entry == entry && session.agent == agent;
         let Some(number) = self.sessions.iter().rposition(find) else { return };
-        self.send(number, Packet::CloseAtAgent);
-        self.send(number, Packet::CloseAtEntry);
+        self.send_packet(number, Packet::CloseAtAgent);
+        self.send_packet(number, Packet::CloseAtEntry);
     }
 }
--- a/soak/src/capacity/halls.rs
+++ b/soak/src/capacity/halls.rs
@@ -1,8 +1,10 @@
 //! Halls that operators empty and refill during faults.
 //!
-//! Agents are assigned to halls in turn. The simulation plays the keepers: after a command is
+//! Agents are assigned to halls in turn. The simulation acts as the keepers: after a command is
 //! acknowledged, it notifies some of the processes, also those that restart later; the others
-//! receive the change from their sessions. A separate random stream keeps other runs unchanged.
+//! receive the change from their sessions.
+//!
+//! A separate random stream keeps runs without hall commands unchanged.
 
 use std::time::Duration;
 
--- a/soak/src/capacity/load.rs
+++ b/soak/src/capacity/load.rs
@@ -1,4 +1,4 @@
-//! Simulated loads: the results that callers get when many entries place tasks at many targets.
+//! Simulated loads: how many jobs end in time when many entries place tasks at many targets.
 //!
 //! The scheduling code is the real one; only links and tasks take virtual time. Used to compare
 //! policies and sizes, and by tests that guard their effect.
@@ -27,8 +27,8 @@
 const LATE_WORTH_SHARE: f64 = 0.2;
 /// Standard deviation of the logarithm of the task count, the task duration and the estimate error.
 const LOG_STD_DEV: f64 = 0.4;
-/// Ratio of a job's objective to the duration of its longest task, to which the target latency is
-/// added.
+/// The objective of a job is the duration of its longest task times `OBJECTIVE_FACTOR`, plus
+/// `TARGET_LATENCY_MS`.
 const OBJECTIVE_FACTOR: f64 = 1.6;
 const TARGET_LATENCY_MS: f64 = 60.0;
 
@@ -84,7 +84,7 @@
 /// A temporary increase in the rate of jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct Surge {
-    /// Start, counted from the first job.
+    /// Start, counted from the start of the submissions.
     pub start: Duration,
     /// Length of the increase.
     pub duration: Duration,
@@ -95,9 +95,9 @@
 /// A temporary loss of the connections of some agents.
 #[derive(Clone, Copy, Debug)]
 pub struct Cut {
-    /// Start, counted from the first job.
+    /// Start, counted from the start of the submissions.
     pub start: Duration,
-    /// Length of the loss.
+    /// Length of the interruption.
     pub duration: Duration,
     /// Share of the agents that are disconnected.
     pub share: f64,
@@ -229,11 +229,11 @@
     let jobs = schedule_clients(&mut simulation, load);
     schedule_cuts(&mut simulation, load);
     simulation.run_until(START + WARM_UP);
-    let before = (simulation.load_stats.messages, session_counts(&simulation));
+    let at_warm_up_end = (simulation.load_stats.messages, session_counts(&simulation));
     simulation.run_until(START + WARM_UP + load.duration);
-    let messages = simulation.load_stats.messages - before.0;
+    let messages = simulation.load_stats.messages - at_warm_up_end.0;
     simulation.run_until(START + WARM_UP + load.duration + COOL_DOWN);
-    collect_result(&mut simulation, jobs, messages, before.1)
+    collect_result(&mut simulation, jobs, messages, at_warm_up_end.1)
 }
 
 fn subsets_of(load: &Load) -> Vec<BTreeSet<usize>> {
@@ -274,17 +274,17 @@
         let rate = jobs_per_ms * surge.map_or(1.0, |surge| surge.factor);
         after -= (1.0 - simulation.rng.random::<f64>()).ln() / rate;
         number += 1;
-        let first = START + WARM_UP + Duration::from_secs_f64(after / 1e3);
-        let mut client = draw_client(simulation, &load.workload, number, first);
-        let mut share = simulation.rng.random_range(0.0..all_shares);
+        let submitted_at = START + WARM_UP + Duration::from_secs_f64(after / 1e3);
+        let mut client = draw_client(simulation, &load.workload, number, submitted_at);
+        let mut remaining_share = simulation.rng.random_range(0.0..all_shares);
         let entry = shares.iter().position(|own| {
-            share -= own;
-            share < 0.0
+            remaining_share -= own;
+            remaining_share < 0.0
         });
         client.fixed_entry = Some(entry.unwrap_or(0));
         let id = client.request.id.clone();
         simulation.clients.insert(id.clone(), client);
-        simulation.schedule_at(first, SimEvent::Submit(id));
+        simulation.schedule_at(submitted_at, SimEvent::Submit(id));
     }
     u64::from(number)
 }
@@ -293,16 +293,16 @@
     simulation: &mut Simulation,
     workload: &Workload,
     number: u32,
-    first: Time,
+    submitted_at: Time,
 ) -> Client {
     let rng = &mut simulation.rng;
-    let mut kind = rng.random::<f64>();
+    let mut remaining_share = rng.random::<f64>();
     let kind = workload
         .job_kinds
         .iter()
         .find(|candidate| {
-            kind -= candidate.share;
-            kind < 0.0
+            remaining_share -= candidate.share;
+            remaining_share < 0.0
         })
         .unwrap_or(&workload.job_kinds[1]);
     let count = (f64::from(kind.tasks) * log_uniform_factor(rng)).round().max(1.0) as u32;
@@ -337,7 +337,7 @@
         objective: estimated_objective,
         deadline: objective * 3,
     };
-    let mut client = Client::with_request(request, work, first);
+    let mut client = Client::with_request(request, work, submitted_at);
     client.objective = objective;
     client.worth = kind.worth;
     client
@@ -394,14 +394,14 @@
         let index = (load_stats.first_starts.len() as f64 * quantile) as usize;
         load_stats.first_starts.get(index).map_or(0.0, |time| time.as_secs_f64() * 1e3)
     };
-    let (asked, earned) = load_stats
+    let (submitted, earned) = load_stats
         .worth
         .iter()
-        .fold((0.0, 0.0), |(asked, earned), kind| (asked + kind.0, earned + kind.1));
+        .fold((0.0, 0.0), |(submitted, earned), kind| (submitted + kind.0, earned + kind.1));
     LoadResult {
         jobs,
-        worth: earned / asked,
-        worth_by_priority: load_stats.worth.map(|(asked, earned)| earned / asked),
+        worth: earned / submitted,
+        worth_by_priority: load_stats.worth.map(|(submitted, earned)| earned / submitted),
         in_time: load_stats.in_time,
         late: load_stats.late,
         not_run: load_stats.not_run,
--- a/soak/src/capacity/processes.rs
+++ b/soak/src/capacity/processes.rs
@@ -23,7 +23,7 @@
             match action {
                 dispatch::Action::Send(id, message) => {
                     if let Some(session) = self.entries[entry].sessions.get(&id.0).copied() {
-                        self.send(session, Packet::ToAgent(message));
+                        self.send_packet(session, Packet::ToAgent(message));
                     }
                 }
                 dispatch::Action::Close(id) => {
@@ -44,7 +44,9 @@
                     let source = DocumentSource::Agent(id.0);
                     self.drive_fetch(entry, |fetch, now| fetch.part_answered(now, source, part));
                 }
-                dispatch::Action::Answer(call_id, outcome) => self.answer(entry, call_id, outcome),
+                dispatch::Action::Answer(call_id, outcome) => {
+                    self.deliver_outcome(entry, call_id, outcome)
+                }
                 dispatch::Action::Log(dispatch::LogEvent::Breach(breach)) => {
                     self.checks.violation(self.now, breach.to_string());
                 }
@@ -65,7 +67,7 @@
             match action {
                 runner::Action::Send(id, message) => {
                     if let Some(session) = self.agents[agent].sessions.get(&id.0).copied() {
-                        self.send(session, Packet::ToEntry(message));
+                        self.send_packet(session, Packet::ToEntry(message));
                     }
                 }
                 runner::Action::Close(id) => {
--- a/soak/src/capacity/simulation.rs
+++ b/soak/src/capacity/simulation.rs
@@ -33,10 +33,11 @@
 pub(super) const FAULT_PERIOD: Duration = Duration::from_secs(8);
 /// Start of the period without faults.
 pub(super) const CALM_START: Duration = Duration::from_millis(13_500);
-/// End of the last submissions.
+/// Time by which all jobs are submitted.
 const CALM_END: Duration = Duration::from_millis(15_500);
 /// End of the run; all jobs have to be answered by then.
 const RUN_END: Duration = Duration::from_secs(24);
+/// Interval at which targets end the runs that are due.
 pub(super) const TARGET_TICK: Duration = Duration::from_millis(5);
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// The hall of all targets in runs without hall commands.
@@ -52,14 +53,15 @@
     AgentTick(usize, u64),
     /// A packet arrives at the other end of a session.
     Packet(usize, Packet),
-    /// The link of an entry has sent a segment.
-    LinkSent(usize),
+    /// The link of an entry completes a segment.
+    SegmentSent(usize),
     /// The timeout of a requested part of the configuration, with the incarnation of the entry.
     PartTimeout(usize, u64),
     /// A start arrives at its target; `true` if it is carried out late, without an answer.
     Start(Call, StartCommand, bool),
     /// A stop arrives at its target; `true` if it is carried out late, without an answer.
     Stop(Call, StopCommand, bool),
+    /// A hold, which waits for the end of a run, arrives at its target.
     Hold(Call, HoldCommand),
     /// The wait time of a hold ends, so that the target answers it.
     HoldTimeout(Call),
@@ -123,8 +125,11 @@
     pub dispatcher: Option<Dispatcher>,
     pub incarnation: u64,
     pub paused_until: Time,
+    /// Indexes of the open sessions, by their ids at the entry.
     pub sessions: BTreeMap<u64, usize>,
+    /// Jobs of open requests.
     pub jobs: BTreeMap<CallId, JobId>,
+    /// Last id of a session or a call.
     pub last_id: u64,
     /// `None` where messages take no transmission time.
     pub link: Option<EntryLink>,
@@ -136,10 +141,13 @@
     pub incarnation: u64,
     pub paused_until: Time,
     pub target: Option<Target>,
+    /// Number of target instances that were started.
     pub target_instances: u64,
     pub capacity: Resources,
     pub slow_clock: bool,
+    /// Indexes of the open sessions, by their ids at the agent.
     pub sessions: BTreeMap<u64, usize>,
+    /// Last id of a session.
     pub last_id: u64,
     /// When the agent received the drain notice of its target.
     pub draining_since: Option<Time>,
@@ -155,9 +163,11 @@
     pub(super) entries: Vec<EntryProcess>,
     pub(super) agents: Vec<AgentProcess>,
     pub(super) sessions: Vec<Session>,
+    /// When the link between an entry and an agent carries messages again.
     pub(super) cut_until: BTreeMap<(usize, usize), Time>,
     pub(super) clients: BTreeMap<JobId, Client>,
     pub(super) checks: Checks,
+    /// Numbers of the calls without an answer.
     pub(super) open_calls: BTreeSet<u64>,
     pub(super) trace: Option<String>,
     pub(super) timing: CapacityTiming,
@@ -394,13 +404,11 @@
                     }
                 }
             }
-            SimEvent::Packet(session, packet) => self.deliver(session, packet),
-            SimEvent::LinkSent(entry) => self.link_sent(entry),
+            SimEvent::Packet(session, packet) => self.deliver_packet(session, packet),
+            SimEvent::SegmentSent(entry) => self.link_segment_sent(entry),
             SimEvent::PartTimeout(entry, incarnation) => self.part_timed_out(entry, incarnation),
             SimEvent::Start(call, command, late) => self.start_at_target(call, command, late),
-
             SimEvent::Stop(call, command, late) => self.stop_at_target(call, &command, late),
-
             SimEvent::Hold(call, command) => self.hold_at_target(call, command),
             SimEvent::HoldTimeout(call) => self.hold_timed_out(call),
             SimEvent::StartAnswered(call, key, reply) => {
@@ -413,7 +421,7 @@
                 self.deliver_answer(call, runner::Event::HoldAnswered(command.target, reply));
             }
             SimEvent::AdvanceTargets => self.advance_targets(),
-            SimEvent::Heartbeat(agent) => self.heartbeat(agent),
+            SimEvent::Heartbeat(agent) => self.send_heartbeat(agent),
             SimEvent::DelayedReport(agent, report) => self.deliver_report(agent, report),
             SimEvent::Dial(agent, entry) => self.dial(agent, entry),
             SimEvent::DisconnectAgent(agent, duration) => {
@@ -427,11 +435,11 @@
                 self.deliver_hall_notice(is_entry, number, emptied);
             }
             SimEvent::ChangeSubset(agent, all) => self.change_subset(agent, all),
-            SimEvent::Cancel(id) => self.cancel(&id),
+            SimEvent::Cancel(id) => self.cancel_job(&id),
             SimEvent::CancelNotice(entry, incarnation, job) => {
                 self.deliver_cancel(entry, incarnation, job)
             }
-            SimEvent::Submit(id) => self.submit(&id),
+            SimEvent::Submit(id) => self.submit_job(&id),
             SimEvent::QueuedSubmit(entry, incarnation, call_id, request) => {
                 let paused_until = self.entries[entry].paused_until;
                 if paused_until > self.now {
@@ -477,7 +485,8 @@
                 }
             }
             SimEvent::StartTarget(agent) => {
-                // A target that crashed again during its downtime is replaced by this instance.
+                // Two crashes in one downtime schedule two starts. The second one replaces a
+                // running instance, which counts as a crash.
                 self.checks.target_crashed(self.agents[agent].target.as_ref());
                 let process = &mut self.agents[agent];
                 process.target_instances += 1;
@@ -504,7 +513,7 @@
             SimEvent::NoListener(agent, incarnation, target) => {
                 self.deliver_no_listener(agent, incarnation, target)
             }
-            SimEvent::Resize(agent, percent) => self.resize(agent, percent),
+            SimEvent::Resize(agent, percent) => self.resize_target(agent, percent),
             SimEvent::CrashTarget(agent, instance) => self.crash_target(agent, &instance),
             SimEvent::RestoreBehavior(agent) => {
                 if let Some(target) = &mut self.agents[agent].target {
--- a/soak/src/capacity/submissions.rs
+++ b/soak/src/capacity/submissions.rs
@@ -8,7 +8,7 @@
 use super::simulation::{SimEvent, Simulation};
 
 impl Simulation {
-    pub(super) fn submit(&mut self, id: &JobId) {
+    pub(super) fn submit_job(&mut self, id: &JobId) {
         let entry = self.entry_of(id);
         let Some(client) = self.clients.get_mut(id).filter(|client| !client.cancelled) else {
             return;
@@ -69,17 +69,20 @@
         }
     }
 
-    pub(super) fn answer(&mut self, entry: usize, call_id: CallId, outcome: Outcome) {
+    /// Delivers the outcome of a job to its client, which may submit the job again.
+    pub(super) fn deliver_outcome(&mut self, entry: usize, call_id: CallId, outcome: Outcome) {
         let Some(id) = self.entries[entry].jobs.remove(&call_id) else { return };
         let now = self.now;
         self.checks.job_answered(now, &id, outcome);
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.pending_call = None;
         self.load_stats.job_answered(now, client, outcome);
-        let after_faults =
+        let in_time_after_faults =
             client.after_faults && now.since(client.first_submitted) < client.request.deadline;
         match outcome {
-            Outcome::Completed if after_faults => self.checks.summary.completed_after_faults += 1,
+            Outcome::Completed if in_time_after_faults => {
+                self.checks.summary.completed_after_faults += 1
+            }
             Outcome::MayHaveRun(_) => self.send_again(&id),
             _ => {}
         }
--- a/soak/src/capacity/subsets.rs
+++ b/soak/src/capacity/subsets.rs
@@ -25,7 +25,7 @@
 pub(super) struct EntrySubsets {
     rng: ChaCha8Rng,
     serves: Vec<BTreeSet<usize>>,
-    /// Subsets never change, so that agents dial only the entries that they serve.
+    /// Whether subsets never change; agents then dial only the entries that they serve.
     fixed: bool,
 }
 
@@ -77,10 +77,10 @@
             .filter(|client| !client.after_faults)
             .map(|client| (client.request.id.clone(), client.first_submitted.since(self.now)))
             .collect();
-        for (id, first_submitted) in jobs {
+        for (id, submitted_after) in jobs {
             if self.subsets.rng.random_bool(CANCELLED_SHARE) {
                 let after = Duration::from_millis(self.subsets.rng.random_range(0..400));
-                self.schedule_after(first_submitted + after, SimEvent::Cancel(id));
+                self.schedule_after(submitted_after + after, SimEvent::Cancel(id));
             }
         }
     }
@@ -108,7 +108,7 @@
     }
 
     /// A client cancels its job at a random entry.
-    pub(super) fn cancel(&mut self, id: &JobId) {
+    pub(super) fn cancel_job(&mut self, id: &JobId) {
         let entry = self.subsets.rng.random_range(0..self.entries.len());
         let process = &self.entries[entry];
         if process.dispatcher.is_none() || process.paused_until > self.now {
--- a/soak/src/capacity/target.rs
+++ b/soak/src/capacity/target.rs
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(crate) struct Target {
     pub instance: TargetInstance,
-    /// The hall in which the target stands.
+    /// The hall of the target's host.
     pub hall: &'static str,
     pub capacity: Resources,
     /// Whether the target refuses starts that exceed its capacity.
@@ -57,10 +57,14 @@
     pub unresponsive: bool,
     started_at: Time,
     slow_clock: bool,
+    /// The highest token of a command; commands with a lower one are refused.
     fencing_token: u64,
+    /// End of the lease, on the target's clock.
     lease_end_ms: u64,
     pub runs: BTreeMap<TaskId, Run>,
+    /// Ends of runs that the agent has not acknowledged by a hold.
     ends: Vec<TargetEnd>,
+    /// Number of the next end.
     next_end: u64,
     /// For each task, the highest run number that was stopped or has ended.
     highest_closed_run: BTreeMap<TaskId, u64>,
@@ -115,12 +119,12 @@
     }
 
     /// Ends all runs that are due, or all runs once the lease has expired.
-    pub fn advance(&mut self, now: Time) -> Vec<EndedRun> {
+    pub fn end_due_runs(&mut self, now: Time) -> Vec<EndedRun> {
         if self.clock_ms(now) > self.lease_end_ms {
             let runs: Vec<TaskId> = self.runs.keys().cloned().collect();
             return runs
                 .into_iter()
-                .filter_map(|task| self.end(&task, EndReason::LeaseExpired))
+                .filter_map(|task| self.end_run(&task, EndReason::LeaseExpired))
                 .collect();
         }
         let due: Vec<(TaskId, EndReason)> = self
@@ -129,10 +133,10 @@
             .filter(|(_, run)| run.ends_at.is_some_and(|ends_at| ends_at <= now))
             .map(|(task, run)| (task.clone(), run.reason))
             .collect();
-        due.into_iter().filter_map(|(task, reason)| self.end(&task, reason)).collect()
+        due.into_iter().filter_map(|(task, reason)| self.end_run(&task, reason)).collect()
     }
 
-    fn end(&mut self, task: &TaskId, reason: EndReason) -> Option<EndedRun> {
+    fn end_run(&mut self, task: &TaskId, reason: EndReason) -> Option<EndedRun> {
         let run = self.runs.remove(task)?;
         self.close_run(task, run.run);
         let number = self.next_end;
@@ -147,9 +151,9 @@
         *highest_closed_run = (*highest_closed_run).max(run);
     }
 
-    fn renew(&mut self, clock: u64, deadline_ms: u64) {
+    fn renew_lease(&mut self, clock_ms: u64, deadline_ms: u64) {
         self.lease_end_ms =
-            self.lease_end_ms.max(deadline_ms.min(clock + MAX_LEASE.as_millis() as u64));
+            self.lease_end_ms.max(deadline_ms.min(clock_ms + MAX_LEASE.as_millis() as u64));
     }
 
     /// Carries out a start, where `work` is the duration of the task and `fails` whether it fails.
@@ -175,7 +179,7 @@
         if command.deadline_ms <= clock_ms {
             return refused(StartRefusal::DeadlinePassed);
         }
-        self.renew(clock_ms, command.deadline_ms);
+        self.renew_lease(clock_ms, command.deadline_ms);
         if self.runs.get(task).is_some_and(|run| run.run == command.key.run) {
             return (StartReply::Accepted { clock_ms }, false);
         }
@@ -237,7 +241,7 @@
         if let Some(deadline_ms) = command.deadline_ms
             && deadline_ms > clock_ms
         {
-            self.renew(clock_ms, deadline_ms);
+            self.renew_lease(clock_ms, deadline_ms);
         }
         self.ends.retain(|end| end.number > command.last_seen);
         if self.ends.is_empty() && !timed_out {
--- a/soak/src/capacity/transport.rs
+++ b/soak/src/capacity/transport.rs
@@ -8,6 +8,8 @@
 use super::simulation::{DIAL_INTERVAL, SimEvent, Simulation};
 
 impl Simulation {
+    /// Opens a session if the agent serves the entry and both are reachable; schedules the next
+    /// try.
     pub(super) fn dial(&mut self, agent: usize, entry: usize) {
         self.schedule_after(DIAL_INTERVAL, SimEvent::Dial(agent, entry));
         let now = self.now;
@@ -41,16 +43,16 @@
         self.deliver_to_agent(agent, runner::Event::SessionOpened(runner::SessionId(at_agent)));
     }
 
-    /// Sends a packet in a session, by the link of the entry where that is limited.
-    pub(super) fn send(&mut self, number: usize, packet: Packet) {
+    /// Sends a packet in a session, through the link of the entry if its bandwidth is limited.
+    pub(super) fn send_packet(&mut self, number: usize, packet: Packet) {
         self.load_stats.messages += 1;
         if let Some(packet) = self.send_by_link(number, packet) {
-            self.transmit(number, packet);
+            self.transmit_packet(number, packet);
         }
     }
 
     /// Schedules the arrival of a packet: in order, and after any cut has ended.
-    pub(super) fn transmit(&mut self, number: usize, packet: Packet) {
+    pub(super) fn transmit_packet(&mut self, number: usize, packet: Packet) {
         let delay = self.network_delay();
         let session = self.sessions[number];
         let cut = self.cut_until.get(&(session.entry, session.agent)).copied().unwrap_or_default();
@@ -64,15 +66,15 @@
 
     pub(super) fn close_at_entry(&mut self, number: usize) {
         self.sessions[number].open_at_entry = false;
-        self.send(number, Packet::CloseAtAgent);
+        self.send_packet(number, Packet::CloseAtAgent);
     }
 
     pub(super) fn close_at_agent(&mut self, number: usize) {
         self.sessions[number].open_at_agent = false;
-        self.send(number, Packet::CloseAtEntry);
+        self.send_packet(number, Packet::CloseAtEntry);
     }
 
-    pub(super) fn deliver(&mut self, number: usize, packet: Packet) {
+    pub(super) fn deliver_packet(&mut self, number: usize, packet: Packet) {
         let Session { entry, agent, open_at_entry, open_at_agent, .. } = self.sessions[number];
         let to_agent = matches!(packet, Packet::ToAgent(_) | Packet::CloseAtAgent);
         let paused_until = if to_agent {
--- a/soak/src/capacity/unstable_targets.rs
+++ b/soak/src/capacity/unstable_targets.rs
@@ -1,6 +1,6 @@
 //! Targets that restart under the same id, change their capacity, and crash under some tasks.
 //!
-//! A separate random stream keeps the other events of a seed unchanged.
+//! A separate random stream keeps runs with stable targets unchanged.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 /// Most target crashes under one task, over all submissions of its job.
 const MAX_CRASHES: u32 = 5;
 
-/// The changes at the targets of a run.
+/// The random stream and the state of unstable targets.
 pub(super) struct UnstableTargets {
     rng: ChaCha8Rng,
     /// Whether each target refuses starts that exceed its capacity.
@@ -40,8 +40,9 @@
 }
 
 impl UnstableTargets {
-    /// Whether an unanswered command was received by an earlier instance of the target.
-    fn is_gone(&mut self, call: Call, present: &TargetInstance) -> bool {
+    /// Returns whether an earlier instance of the target received an unanswered command, and
+    /// forgets the command.
+    fn was_for_earlier_instance(&mut self, call: Call, present: &TargetInstance) -> bool {
         self.unanswered.remove(&call.number).is_some_and(|received_by| received_by != *present)
     }
 
@@ -89,10 +90,10 @@
         else {
             return false;
         };
-        unstable.is_gone(call, &target.instance)
+        unstable.was_for_earlier_instance(call, &target.instance)
     }
 
-    pub(super) fn resize(&mut self, agent: usize, percent: u64) {
+    pub(super) fn resize_target(&mut self, agent: usize, percent: u64) {
         let Some(unstable) = &mut self.unstable_targets else { return };
         let process = &mut self.agents[agent];
         let Some(target) = &mut process.target else { return };
@@ -142,9 +143,9 @@
     }
 
     pub(super) fn crash_target(&mut self, agent: usize, instance: &TargetInstance) {
-        let is_there =
+        let is_current =
             self.agents[agent].target.as_ref().is_some_and(|target| target.instance == *instance);
-        let Some(unstable) = self.unstable_targets.as_mut().filter(|_| is_there) else { return };
+        let Some(unstable) = self.unstable_targets.as_mut().filter(|_| is_current) else { return };
         let downtime = Duration::from_millis(unstable.rng.random_range(RESTART_DELAY_MS));
         self.checks.summary.target_crashes += 1;
         self.inject_fault(Fault::CrashTarget { agent, downtime });
