--- a/soak/src/agents.rs
+++ b/soak/src/agents.rs
@@ -74,7 +74,7 @@
     }
 
     fn apply_agent_action(&mut self, number: usize, action: agent::Action) {
-        self.trace("agent", number, &action);
+        self.trace_event("agent", number, &action);
         match action {
             agent::Action::Reply { call, reply } => self.send_reply(call, reply),
             agent::Action::Run { key, task, .. } => self.run_task(number, key, &task),
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! Invariants of runs with slots, checked only by what targets and clients observe.
+//! Invariants of scheduling by slots, checked only by what targets and clients observe.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -82,7 +82,7 @@
     pub summary: Summary,
 }
 
-/// Returns the answer of a target to a task.
+/// Returns the answer that targets give to a task.
 pub(crate) fn expected_answer(task: &str) -> String {
     format!("done: {task}")
 }
--- a/soak/src/clients.rs
+++ b/soak/src/clients.rs
@@ -13,7 +13,7 @@
 use crate::script::Outcome;
 use crate::simulation::{CLOCK_SKEW, SimEvent, Simulation};
 
-/// Longest time after its deadline that an outcome may take without stalls.
+/// Longest delay of an outcome past its deadline in a run without faults.
 const OUTCOME_SLACK: Duration = Duration::from_millis(500);
 /// Time before the end in which clients make no new submissions.
 const QUIET_BEFORE_END: Duration = Duration::from_secs(5);
@@ -25,7 +25,7 @@
 const SETTLING_TIME: Duration = Duration::from_secs(8);
 
 impl Simulation {
-    /// Creates a submission, sends it to one or two entries, and schedules the next one.
+    /// Creates a submission, sends it once or twice, and schedules the next one.
     pub fn new_submission(&mut self) {
         if self.now + QUIET_BEFORE_END < self.end {
             let pause = if self.now < self.calm_start { MAX_FAULTY_PAUSE } else { MAX_CALM_PAUSE };
@@ -38,7 +38,7 @@
         let tasks = (0..tasks).map(|index| format!("{id} task {index}")).collect();
         self.checks.register(id, SubmissionSpec { tasks, repeatable });
         let copies = if self.rng.random_bool(0.15) { 2 } else { 1 };
-        (0..copies).for_each(|_| self.submit(id));
+        (0..copies).for_each(|_| self.submit_to_random_entry(id));
         if self.now < self.calm_start && self.rng.random_bool(0.3) {
             let wait = self.random_duration(Duration::from_secs(20));
             self.schedule_after(wait, SimEvent::Resubmit(id));
@@ -49,19 +49,19 @@
         }
     }
 
-    /// Sends a submission again.
+    /// Sends a submission again, to a random entry and with a new deadline.
     pub fn resubmit(&mut self, id: SubmissionId) {
-        self.submit(id);
+        self.submit_to_random_entry(id);
     }
 
-    fn submit(&mut self, id: SubmissionId) {
+    fn submit_to_random_entry(&mut self, id: SubmissionId) {
         let Some(entry) = self.random_live_entry() else { return };
         let deadline = Duration::from_millis(self.rng.random_range(300..4_000));
         let deadline = if self.is_settled() { Duration::from_secs(12) } else { deadline };
         self.submit_at(entry, id, deadline);
     }
 
-    /// Submits at a given entry.
+    /// Sends a submission to a given entry.
     pub fn submit_at(&mut self, entry: usize, id: SubmissionId, deadline: Duration) {
         let Some(spec) = self.checks.spec(id).cloned() else { return };
         let kind = if spec.repeatable { "lookups" } else { "holds" };
@@ -108,7 +108,7 @@
         self.now >= self.calm_start + SETTLING_TIME
     }
 
-    /// Checks the outcome of a client's request.
+    /// Checks the outcome of a client's request; a client may retry one that did not run.
     pub fn client_answered(
         &mut self,
         id: SubmissionId,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Checks that no request without faults is left without an outcome at the end.
+    /// Checks that every request whose deadline has passed at the end has an outcome.
     pub fn check_end(&mut self) {
         let mut unanswered = Vec::new();
         for entry in &self.entries {
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -77,9 +77,9 @@
 
     fn apply_entry_action(&mut self, number: usize, action: entry::Action) {
         use entry::Action;
-        self.trace("entry", number, &action);
+        self.trace_event("entry", number, &action);
         match action {
-            Action::Respond { call, reply } => self.respond(number, call, reply),
+            Action::Respond { call, reply } => self.respond_to_caller(number, call, reply),
             Action::Claim { holder, request } => {
                 self.call_agent(number, &holder, Request::Claim(request));
             }
@@ -95,7 +95,9 @@
             Action::Sync { agent, connection, request } => {
                 self.call_on_connection(number, &agent, connection, Request::Sync(request));
             }
-            Action::Relay { call, owner, request } => self.relay(number, call, &owner, request),
+            Action::Relay { call, owner, request } => {
+                self.relay_request(number, call, &owner, request)
+            }
             Action::Fetch { call, owner, submission } => {
                 self.fetch_from_owner(number, call, &owner, submission);
             }
@@ -137,9 +139,9 @@
         }
     }
 
-    /// Sends a call on a connection, sometimes duplicated.
+    /// Sends a call on a connection; its frame may be dropped or duplicated.
     fn send_call(&mut self, link: u64, request: Request) {
-        let call = self.network.call(link, pending_call(&request));
+        let call = self.network.register_call(link, pending_call(&request));
         let frame = match request {
             Request::Claim(_) => Some(Frame::Claim),
             Request::Start(_) => Some(Frame::Start),
@@ -255,7 +257,7 @@
         self.schedule_after(wait, SimEvent::ToEntry(entry, incarnation, event(call)));
     }
 
-    fn respond(&mut self, entry: usize, call: entry::CallId, reply: RelayReply) {
+    fn respond_to_caller(&mut self, entry: usize, call: entry::CallId, reply: RelayReply) {
         match self.entries[entry].callers.remove(&call) {
             Some(Caller::Client { id, requested_at, deadline }) => {
                 self.client_answered(id, requested_at, deadline, &reply);
@@ -267,11 +269,19 @@
                     SimEvent::PeerReply(entry, incarnation, call, id, Some(reply)),
                 );
             }
-            None => self.checks.violation(self.now, "a request was answered twice".to_owned()),
+            None => self
+                .checks
+                .violation(self.now, format!("entry {entry} answered request {} twice", call.0)),
         }
     }
 
-    fn relay(&mut self, from: usize, call: OwnerCall, owner: &NodeRef, request: RelayRequest) {
+    fn relay_request(
+        &mut self,
+        from: usize,
+        call: OwnerCall,
+        owner: &NodeRef,
+        request: RelayRequest,
+    ) {
         let id = request.submission;
         self.send_to_peer(from, call, owner, id, |call| Event::Submit {
             call,
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -164,7 +164,7 @@
     }
 
     /// Removes one member from the claim view. As when a keeper changes the view, the previous view
-    /// has to agree as well, here for the rest of the run.
+    /// has to agree as well, for longer than the retention of claims.
     fn change_claim_view(&mut self) {
         let (section, members) = self.claim_view();
         if self.catalogs.len() > 1 || members.len() < 4 {
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -53,7 +53,7 @@
             Arg::new("load")
                 .long("load")
                 .action(ArgAction::SetTrue)
-                .help("Run a load without faults and print the results of callers"),
+                .help("Simulate a load without random faults and print its results"),
         )
         .arg(
             Arg::new("small-tasks")
--- a/soak/src/network.rs
+++ b/soak/src/network.rs
@@ -23,7 +23,7 @@
     pub late_delivery_rate: f64,
 }
 
-/// The kind of a call without a reply, from which the event of its reply is built.
+/// A call that waits for its reply, with what the event of the reply needs.
 #[derive(Clone, Debug)]
 pub(crate) enum PendingCall {
     Hello,
@@ -44,6 +44,7 @@
     pub open: bool,
     /// Calls without a reply.
     pub pending_calls: BTreeMap<CallId, PendingCall>,
+    /// Arrival of the last frame in each direction that overtook no other.
     last_to_agent: Time,
     last_to_entry: Time,
 }
@@ -79,7 +80,7 @@
         &self.links[&id]
     }
 
-    /// Returns the open connection between an entry and an agent, if any.
+    /// Returns the newest open connection between an entry and an agent, if any.
     pub fn open_link(&self, entry: usize, agent: usize) -> Option<u64> {
         let open_link = |link: &Link| link.open && link.entry == entry && link.agent == agent;
         self.links.iter().filter(|(_, link)| open_link(link)).map(|(id, _)| *id).max()
@@ -105,7 +106,7 @@
     }
 
     /// Registers a call on a connection and returns its id.
-    pub fn call(&mut self, id: u64, pending_call: PendingCall) -> CallId {
+    pub fn register_call(&mut self, id: u64, pending_call: PendingCall) -> CallId {
         self.last_call_id += 1;
         let call = CallId(self.last_call_id);
         self.links_by_call.insert(call, id);
@@ -156,7 +157,7 @@
     Session(link)
 }
 
-/// Returns the event at the entry for a reply, or for its loss if `None`.
+/// Returns the event that notifies an entry of a reply, or of its loss if `None`.
 pub(crate) fn reply_event(
     agent: &NodeName,
     link: u64,
@@ -206,7 +207,7 @@
     })
 }
 
-/// Returns the kind of a request.
+/// Returns the pending call of a request.
 pub(crate) fn pending_call(request: &Request) -> PendingCall {
     match request {
         Request::Hello(_) | Request::Status => PendingCall::Hello,
--- a/soak/src/nodes.rs
+++ b/soak/src/nodes.rs
@@ -7,7 +7,7 @@
 use entry::{CallId, Entry, OwnerCall};
 use model::{Incarnation, NodeName, NodeRef, SubmissionId, Time};
 
-/// Exceeds the number of incarnations of a node in a run.
+/// Bound on the number of incarnations of a node in a run.
 const INCARNATIONS_PER_NODE: u64 = 1_000;
 
 /// The common state of entries and agents.
--- a/soak/src/script.rs
+++ b/soak/src/script.rs
@@ -1,7 +1,7 @@
-//! Scripted traces: a sequence of steps and the outcomes that must follow.
+//! Scripts: sequences of steps and the outcomes that must follow.
 //!
-//! A trace is a JSON file. It is replayed by the same code as the randomised runs, but
-//! deterministically: frames have a fixed delay, and only the frames that the trace names are lost.
+//! A script is a JSON file. It is replayed by the same code as the randomised runs, but with a
+//! fixed seed, and only the frames that the script names are lost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::checks::Violation;
 use crate::simulation::{SimEvent, Simulation};
 
-/// Delay of all frames in a trace.
-const FRAME_TIME: Duration = Duration::from_millis(1);
+/// Longest delay of a frame in a replay.
+const MAX_FRAME_DELAY: Duration = Duration::from_millis(1);
 
-/// Errors of parsing or replaying a trace.
+/// Errors of parsing or replaying a script.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ScriptError {
-    /// The file is not a valid trace.
-    #[error("invalid trace: {0}")]
+    /// The file is not a valid script.
+    #[error("invalid script: {0}")]
     Malformed(String),
     /// The replay violated invariants.
     #[error("invariants violated: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
@@ -28,7 +28,7 @@
     /// A submission had other outcomes than expected.
     #[error("submission {submission}: expected {expected:?}, got {actual:?}")]
     UnexpectedOutcome {
-        /// The submission's number in the trace.
+        /// The submission's number in the script.
         submission: u32,
         /// The expected outcomes, in the order of the answers.
         expected: Vec<Outcome>,
@@ -38,7 +38,7 @@
     /// A submission started another number of tasks than expected.
     #[error("submission {submission}: expected {expected} task starts, got {actual}")]
     UnexpectedStarts {
-        /// The submission's number in the trace.
+        /// The submission's number in the script.
         submission: u32,
         /// The expected number of task starts.
         expected: usize,
@@ -47,7 +47,7 @@
     },
 }
 
-/// The kinds of frames that a trace can drop.
+/// The kinds of frames that a script can drop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Frame {
@@ -69,13 +69,13 @@
     ToEntry,
 }
 
-/// A step of a trace.
+/// A step of a script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "step", deny_unknown_fields)]
 pub enum Step {
-    /// A client submits, or submits again.
+    /// A client sends a submission, for the first time or again.
     Submit {
-        /// The submission's number in the trace.
+        /// The submission's number in the script.
         submission: u32,
         /// Index of the entry.
         entry: usize,
@@ -86,7 +86,7 @@
     },
     /// A client fetches the outcome.
     Fetch {
-        /// The submission's number in the trace.
+        /// The submission's number in the script.
         submission: u32,
         /// Index of the entry.
         entry: usize,
@@ -158,7 +158,7 @@
     pub step: Step,
 }
 
-/// An outcome as written in a trace.
+/// An outcome as written in a script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
@@ -172,7 +172,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
-    /// The submission's number in the trace.
+    /// The submission's number in the script.
     pub submission: u32,
     /// The outcomes of its requests, in the order of the answers.
     pub outcomes: Vec<Outcome>,
@@ -180,7 +180,7 @@
     pub starts: usize,
 }
 
-/// A trace: the cluster, the steps and the expected results.
+/// A script: the cluster, the steps and the expected results.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
@@ -194,7 +194,7 @@
     pub slots: u32,
     /// Duration of each task, in milliseconds.
     pub task_ms: u64,
-    /// The steps of the trace.
+    /// The steps of the script.
     pub steps: Vec<TimedStep>,
     /// Length of the replay, in milliseconds.
     pub end_ms: u64,
@@ -212,14 +212,14 @@
 }
 
 impl Script {
-    /// Parses a trace from JSON.
+    /// Parses a script from JSON.
     pub fn parse(text: &str) -> Result<Self, ScriptError> {
         serde_json::from_str(text).map_err(|error| ScriptError::Malformed(error.to_string()))
     }
 
-    /// Replays the trace; fails on violations and on other results than expected.
+    /// Replays the script; fails on violations and on other results than expected.
     pub fn replay(&self) -> Result<(), ScriptError> {
-        let mut simulation = Simulation::for_script(self, FRAME_TIME);
+        let mut simulation = Simulation::for_script(self, MAX_FRAME_DELAY);
         simulation.start_nodes();
         for timed in &self.steps {
             let at = simulation.start_time() + Duration::from_millis(timed.at_ms);
@@ -256,7 +256,7 @@
 }
 
 impl Simulation {
-    /// Applies a step of a trace.
+    /// Applies a step of a script.
     pub fn apply_step(&mut self, step: Step) {
         match step {
             Step::Submit { submission, entry, tasks, deadline_ms } => {
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Returns the id of a submission by its number in the trace; creates it at its first use.
+    /// Returns the id of a submission by its number in the script; creates it at its first use.
     fn submission_id(&mut self, submission: u32, tasks: u32) -> SubmissionId {
         let now: Time = self.now;
         let Some(replay) = &mut self.replay else { return SubmissionId::from_parts(now, 0) };
@@ -306,16 +306,16 @@
         id
     }
 
-    /// Whether the trace drops this frame; each requested loss applies to one frame.
+    /// Returns whether the script drops this frame; each lose step drops one frame.
     pub fn drops_frame(
         &mut self,
         frame: Option<Frame>,
-        way: Direction,
+        direction: Direction,
         entry: usize,
         agent: usize,
     ) -> bool {
         let (Some(replay), Some(frame)) = (&mut self.replay, frame) else { return false };
-        let wanted = (frame, way, entry, agent);
+        let wanted = (frame, direction, entry, agent);
         let Some(position) =
             replay.frames_to_drop.iter().position(|frame_to_drop| *frame_to_drop == wanted)
         else {
--- a/soak/src/simulation.rs
+++ b/soak/src/simulation.rs
@@ -31,9 +31,10 @@
 pub struct Options {
     /// Seed of all random choices.
     pub seed: u64,
-    /// Length of the period in which faults are injected.
+    /// Length of the period in which faults are injected; runs of capacity have a fixed one.
     pub fault_period: Duration,
-    /// Length of the final period without faults, in which everything has to recover.
+    /// Length of the final period without faults, in which everything has to recover; runs of
+    /// capacity have a fixed one.
     pub calm_period: Duration,
     /// Whether operators empty and refill halls; only for runs of capacity or keepers.
     pub halls: bool,
@@ -42,7 +43,8 @@
     /// Whether targets keep their ids over restarts, change their capacity, and crash under some
     /// tasks; only for runs of capacity.
     pub unstable_targets: bool,
-    /// Prints all events that contain this text, such as the id of a submission.
+    /// Prints all events that contain this text, such as the id of a submission; not for runs of
+    /// keepers.
     pub trace: Option<String>,
 }
 
@@ -83,13 +85,13 @@
     AgentTick(usize),
     /// A client creates a submission.
     NewSubmission,
-    /// A client submits again.
+    /// A client sends a submission again.
     Resubmit(SubmissionId),
     /// A client fetches an outcome.
     Fetch(SubmissionId),
     /// Injects faults.
     Fault,
-    /// A step of a trace.
+    /// A step of a script.
     ScriptStep(Step),
     /// A stopped entry starts.
     StartEntry(usize),
@@ -124,14 +126,17 @@
     pub network: Network,
     pub conditions: NetworkConditions,
     pub checks: Checks,
+    /// The settings by version; the first version is 1.
     pub catalogs: Vec<Arc<Catalog>>,
+    /// The newest settings.
     pub tree: Tree,
+    /// Times and sequence numbers of the events in `scheduled`.
     event_queue: BinaryHeap<Reverse<(Time, u64)>>,
     scheduled: HashMap<u64, SimEvent>,
     sequence: u64,
     pub last_call_id: u64,
     trace: Option<String>,
-    /// The state of a trace's replay; `None` in randomised runs.
+    /// The state of a script's replay; `None` in randomised runs.
     pub replay: Option<Replay>,
 }
 
@@ -213,13 +218,13 @@
         }
     }
 
-    /// Creates the simulation of a trace, without random faults.
-    pub fn for_script(script: &Script, frame_time: Duration) -> Self {
+    /// Creates the simulation of a script, without random faults.
+    pub fn for_script(script: &Script, max_frame_delay: Duration) -> Self {
         let time = Duration::from_millis(script.end_ms);
         let options =
             Options { fault_period: time, calm_period: Duration::ZERO, ..Options::new(0) };
         let conditions = NetworkConditions {
-            max_delay: frame_time,
+            max_delay: max_frame_delay,
             duplicate_rate: 0.0,
             reorder_rate: 0.0,
             late_delivery_rate: 0.0,
@@ -240,7 +245,6 @@
         simulation
     }
 
-    /// Returns the time at the start of the run.
     pub fn start_time(&self) -> Time {
         START
     }
@@ -270,16 +274,14 @@
         }
     }
 
-    /// Schedules an event at a time.
     pub fn schedule_at(&mut self, time: Time, event: SimEvent) {
         self.sequence += 1;
         self.event_queue.push(Reverse((time, self.sequence)));
         self.scheduled.insert(self.sequence, event);
     }
 
-    /// Schedules an event after a delay.
-    pub fn schedule_after(&mut self, time: Duration, event: SimEvent) {
-        self.schedule_at(self.now + time, event);
+    pub fn schedule_after(&mut self, delay: Duration, event: SimEvent) {
+        self.schedule_at(self.now + delay, event);
     }
 
     /// Draws a duration up to a bound.
@@ -288,17 +290,17 @@
         Duration::from_micros(self.rng.random_range(0..=micros))
     }
 
-    /// Prints a value if it contains the text to trace.
-    pub fn trace(&self, kind: &str, node: usize, value: &dyn std::fmt::Debug) {
+    /// Prints an event or action if it contains the text to trace.
+    pub fn trace_event(&self, kind: &str, node: usize, event: &dyn std::fmt::Debug) {
         let Some(wanted) = &self.trace else { return };
-        let text = format!("{value:?}");
+        let text = format!("{event:?}");
         if text.contains(wanted) {
             println!("{} {kind} {node}: {text}", self.now);
         }
     }
 
     fn handle_event(&mut self, event: SimEvent) {
-        self.trace("event", 0, &event);
+        self.trace_event("event", 0, &event);
         match event {
             SimEvent::ToEntry(entry, incarnation, event) => {
                 self.deliver_to_entry(entry, incarnation, event)
--- a/soak/tests/traces.rs
+++ b/soak/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Replays all scripted traces and checks their expected outcomes.
+//! Replays the scripts in `tests/traces` and checks their expected outcomes.
 
 use std::fs;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use soak::Script;
 
 #[test]
-fn traces_have_their_expected_outcomes() {
+fn scripts_have_their_expected_outcomes() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces");
     let mut paths: Vec<_> =
         fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
@@ -20,5 +20,5 @@
         }
     }
     assert!(failures.is_empty(), "{}", failures.join("\n"));
-    assert!(paths.len() >= 12, "traces are missing");
+    assert!(paths.len() >= 12, "scripts are missing");
 }
