--- a/soak/tests/load.rs
+++ b/soak/tests/load.rs
@@ -1,4 +1,4 @@
-//! Simulated loads: checks the results of callers, and that policies improve them.
+//! Simulated loads: checks how many jobs end in time, and that policies improve this.
 
 use std::time::Duration;
 
@@ -44,20 +44,20 @@
     run_load(&Load { timing: CapacityTiming { policy, ..load.timing }, ..load })
 }
 
-/// Share of their worth that the most urgent jobs and all jobs earn.
+/// Earned share of the worth of the most urgent jobs and of all jobs.
 #[derive(Debug)]
 struct Worth {
     urgent: f64,
     all: f64,
 }
 
-fn run_four_seeds(play: impl Fn(Load) -> LoadResult, load: &Load) -> Vec<LoadResult> {
-    (1..5).map(|seed| play(Load { seed, ..load.clone() })).collect()
+fn run_four_seeds(runner: impl Fn(Load) -> LoadResult, load: &Load) -> Vec<LoadResult> {
+    (1..5).map(|seed| runner(Load { seed, ..load.clone() })).collect()
 }
 
-/// Averages over several seeds, as single runs vary too much.
-fn mean_worth(play: impl Fn(Load) -> LoadResult, load: &Load) -> Worth {
-    let results = run_four_seeds(play, load);
+/// Returns the mean over four seeds.
+fn mean_worth(runner: impl Fn(Load) -> LoadResult, load: &Load) -> Worth {
+    let results = run_four_seeds(runner, load);
     let mean = |of: fn(&LoadResult) -> f64| results.iter().map(of).sum::<f64>() / 4.0;
     Worth { urgent: mean(|result| result.worth_by_priority[0]), all: mean(|result| result.worth) }
 }
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! Seeds that every change has to pass.
+//! Randomised runs that must violate no invariant, and broken configurations that must violate one.
 
 use std::thread;
 
@@ -9,13 +9,13 @@
     run_capacity_with, run_keepers,
 };
 
-/// Seeds of runs of entries and agents, and of keepers.
+/// Number of seeds for runs of entries and agents, and for runs of keepers.
 const SEEDS: u64 = 200;
-/// Seeds of capacity runs.
+/// Number of seeds for capacity runs.
 const CAPACITY_SEEDS: u64 = 300;
-/// Seeds of keeper runs with hall commands.
+/// Number of seeds for keeper runs with hall commands.
 const HALL_SEEDS: u64 = 250;
-/// Seeds of keeper runs with moves.
+/// Number of seeds for keeper runs with moves.
 const MOVE_SEEDS: u64 = 250;
 /// Threads that share the seeds; each run is single-threaded and deterministic.
 const THREADS: u64 = 8;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn entry_and_agent_seeds_hold() {
+fn entry_and_agent_runs_keep_invariants() {
     let total = run_all(SEEDS, run, Summary::add);
     // The runs must cover these events.
     assert!(total.complete > 10_000, "{total:?}");
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn keeper_seeds_hold() {
+fn keeper_runs_keep_invariants() {
     let total = run_all(SEEDS, |options| run_keepers(&options), KeeperSummary::add);
     // The runs must cover these events.
     assert!(total.accepted > 2_000 && total.refused > 500, "{total:?}");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn keeper_seeds_with_hall_commands_hold() {
+fn keeper_runs_with_hall_commands_keep_invariants() {
     let runner = |options| run_keepers(&Options { halls: true, ..options });
     let total = run_all(HALL_SEEDS, runner, KeeperSummary::add);
     // The runs must cover these events.
@@ -76,11 +76,11 @@
     assert!(total.disks_lost > 100 && total.full_disks > 200, "{total:?}");
 }
 
-/// The run let a keeper carry out a late copy of a hall command whose sender had disconnected.
+/// Seeds in which a keeper carried out a late copy of a hall command whose sender had disconnected.
 const HALL_COMMAND_REGRESSIONS: [u64; 1] = [102_950];
 
 #[test]
-fn hall_command_regressions_hold() {
+fn hall_command_regressions_keep_invariants() {
     for seed in HALL_COMMAND_REGRESSIONS {
         let run = run_keepers(&Options { halls: true, ..Options::new(seed) });
         assert!(run.is_ok(), "seed {seed}: {:?}", run.err());
@@ -90,7 +90,7 @@
 /// Replaces keepers while disks fill up or are lost and all power fails; some replaced keepers
 /// return, and some lose their disk twice.
 #[test]
-fn keeper_seeds_with_moves_hold() {
+fn keeper_runs_with_moves_keep_invariants() {
     let runner = |options| run_keepers(&Options { moves: true, halls: true, ..options });
     let total = run_all(MOVE_SEEDS, runner, KeeperSummary::add);
     // The runs must cover these events.
@@ -98,12 +98,12 @@
     assert!(total.power_losses > 150 && total.full_disks > 200, "{total:?}");
 }
 
-/// No leader was elected after a power loss, as the run counted a keeper as removed that no
-/// majority had removed.
+/// Seeds in which no leader was elected after a power loss, as the harness counted a keeper as
+/// removed that no majority had removed.
 const KEEPER_MOVE_REGRESSIONS: [u64; 1] = [30_107_758];
 
 #[test]
-fn keeper_move_regressions_hold() {
+fn keeper_move_regressions_keep_invariants() {
     for seed in KEEPER_MOVE_REGRESSIONS {
         let run = run_keepers(&Options { moves: true, halls: true, ..Options::new(seed) });
         assert!(run.is_ok(), "seed {seed}: {:?}", run.err());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn capacity_seeds_with_hall_commands_hold() {
+fn capacity_runs_with_hall_commands_keep_invariants() {
     let runner = |options| run_capacity(&Options { halls: true, ..options });
     let total = run_all(CAPACITY_SEEDS, runner, CapacitySummary::add);
     // The runs must cover these events.
@@ -121,7 +121,7 @@
 
 /// Targets restart under the same id, change their capacity, and crash under some tasks.
 #[test]
-fn capacity_seeds_with_unstable_targets_hold() {
+fn capacity_runs_with_unstable_targets_keep_invariants() {
     let runner = |options| run_capacity(&Options { unstable_targets: true, ..options });
     let total = run_all(CAPACITY_SEEDS, runner, CapacitySummary::add);
     // The runs must cover these events.
@@ -140,7 +140,7 @@
 ];
 
 #[test]
-fn unstable_target_regressions_hold() {
+fn unstable_target_regressions_keep_invariants() {
     for (seed, cause) in UNSTABLE_TARGET_REGRESSIONS {
         let run = run_capacity(&Options { unstable_targets: true, ..Options::new(seed) });
         assert!(run.is_ok(), "seed {seed} ({cause}): {:?}", run.err());
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn capacity_seeds_hold() {
+fn capacity_runs_keep_invariants() {
     let total = run_all(CAPACITY_SEEDS, |options| run_capacity(&options), CapacitySummary::add);
     // The runs must cover these events.
     assert!(total.completed > 20_000 && total.completed_after_faults > 2_000, "{total:?}");
@@ -194,7 +194,7 @@
 ];
 
 #[test]
-fn capacity_regressions_hold() {
+fn capacity_regressions_keep_invariants() {
     for (seed, cause) in CAPACITY_REGRESSIONS {
         let violations = run_capacity(&Options::new(seed)).err().unwrap_or_default();
         assert!(violations.is_empty(), "seed {seed} ({cause}): {violations:?}");
