--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -128,16 +128,16 @@
     let tasks: usize = jobs.jobs.iter().map(|job| job.tasks.len()).sum();
     let per_task = |count: u64| count as f64 / tasks.max(1) as f64;
     let mut ratios = LatencyHistogram::default();
-    // `Latency` only holds durations: a ratio of 1 is recorded as one second.
+    // A histogram holds only durations, so a ratio of 1 is recorded as one second.
     results
         .iter()
         .for_each(|result| ratios.record(Duration::from_secs_f64(response_ratio(result))));
-    let at = |quantile| ratios.quantile(quantile).as_secs_f64();
+    let ratio_at = |quantile| ratios.quantile(quantile).as_secs_f64();
     let (sent, wasted) = (per_task(messages.total_sent()), per_task(messages.total_wasted()));
     if json {
         let line = serde_json::json!({
-            "jobs": results.len(), "tasks": tasks, "over_ideal_p50": at(0.5),
-            "over_ideal_p99": at(0.99), "messages_per_task": sent, "wasted_per_task": wasted,
+            "jobs": results.len(), "tasks": tasks, "over_ideal_p50": ratio_at(0.5),
+            "over_ideal_p99": ratio_at(0.99), "messages_per_task": sent, "wasted_per_task": wasted,
         });
         return print_line!("{line}");
     }
@@ -145,7 +145,7 @@
         "{} jobs, {tasks} tasks: response over ideal p50 {:.3}, p99 {:.3}; \
          messages per task {sent:.2}, wasted per task {wasted:.2}",
         results.len(),
-        at(0.5),
-        at(0.99),
+        ratio_at(0.5),
+        ratio_at(0.99),
     );
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -50,7 +50,7 @@
     #[error(transparent)]
     Cluster(#[from] testbed::ClusterError),
     /// A file or socket operation failed.
-    #[error("{0}")]
+    #[error("I/O error: {0}")]
     Io(#[from] std::io::Error),
     /// A request to the agent at this address failed (message of the transport).
     #[error("cannot read the status of agent {0}: {1}")]
--- a/src/cmd/service.rs
+++ b/src/cmd/service.rs
@@ -21,7 +21,7 @@
     submit_change(matches, |tree| {
         if !tree.paths().any(|path| *path == section) {
             return Err(CommandError::BadInput(format!(
-                "the settings tree has no service '{section}'"
+                "the settings tree has no service or job kind '{section}'"
             )));
         }
         let (section, key) = (section.clone(), "state".to_owned());
