--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn failing_target_fails_the_job_as_ran() {
+fn failing_target_fails_the_job_with_verdict_ran() {
     let cluster =
         start_cluster(testbed::ClusterOptions { behaviour: Behaviour::Fail, ..cluster_options() });
     let entry = cluster.entry_address(0);
--- a/tests/node_shutdown.rs
+++ b/tests/node_shutdown.rs
@@ -59,7 +59,8 @@
     cluster.mark_agent_leaving(1);
     let entries = [cluster.entry_address(0), cluster.entry_address(1)];
     let both_entries_run = |cluster: &Cluster| {
-        // No counter shows that the nodes know of the leaving agent.
+        // No counter shows when the entries learn that the agent is leaving, so jobs are repeated
+        // below until none of their tasks start there.
         cluster.entry_counters().len() == 2
     };
     cluster.wait_for(both_entries_run).unwrap();
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn killing_an_agent_fails_its_job_as_may_have_run() {
+fn killing_an_agent_fails_its_job_with_verdict_may_have_run() {
     let mut cluster = start_cluster(ClusterOptions { service_time: SLOW, ..cluster_options() });
     let submission = submit_and_wait(&cluster);
     // Two agents have capacity for the whole job, so the third may run no task.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -75,13 +75,13 @@
 }
 
 /// Starts a small cluster with three keepers.
-fn three_keepers() -> Cluster {
+fn start_three_keepers() -> Cluster {
     start_cluster(testbed::ClusterOptions { keepers: 3, ..cluster_options() })
 }
 
 #[test]
 fn three_keepers_accept_changes_while_any_one_is_down() {
-    let mut cluster = three_keepers();
+    let mut cluster = start_three_keepers();
     assert_eq!(submit_change(&cluster, "c1", 1, "deadline_ms=900"), accepted(2));
     for (index, version) in [(0, 3), (1, 4), (2, 5)] {
         cluster.kill_keeper(index);
@@ -99,7 +99,7 @@
 
 #[test]
 fn losing_two_keeper_disks_one_after_the_other_loses_no_change() {
-    let mut cluster = three_keepers();
+    let mut cluster = start_three_keepers();
     assert_eq!(submit_change(&cluster, "c1", 1, "deadline_ms=900"), accepted(2));
     for (index, version) in [(0, 3), (1, 4)] {
         cluster.kill_keeper(index);
