--- a/bench/src/policy/report.rs
+++ b/bench/src/policy/report.rs
@@ -10,7 +10,7 @@
 /// Measurements of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Measurements {
-    /// Response time over the ideal; a ratio of 1 is recorded as one second.
+    /// Ratios of response time to ideal; a ratio of 1 is recorded as one second.
     pub ratios: LatencyHistogram,
     /// Jobs with an answer for every task.
     pub complete: u64,
@@ -24,7 +24,7 @@
     pub tasks: u64,
     /// Number of messages between entries and agents.
     pub messages: u64,
-    /// Number of messages that led to no progress.
+    /// Number of those messages that led to no progress.
     pub wasted: u64,
 }
 
--- a/bench/src/policy/tokens.rs
+++ b/bench/src/policy/tokens.rs
@@ -43,7 +43,7 @@
 
 struct Simulation<'a> {
     workload: &'a Workload,
-    /// Whether jobs need a claim, as they are not repeatable.
+    /// Whether jobs need a claim before their first start, as jobs that are not repeatable do.
     claims: bool,
     events: EventQueue<SimEvent>,
     entries: Vec<Entry>,
@@ -51,10 +51,11 @@
     /// Calls without a reply: the agent's index and the kind of call.
     pending_calls: HashMap<CallId, (usize, CallKind)>,
     next_call: u64,
-    /// Index of each job in the workload.
+    /// Index in the workload of each submission.
     job_indices: HashMap<SubmissionId, usize>,
     /// Submission id of each job of the workload.
     submission_ids: Vec<SubmissionId>,
+    /// Virtual time at which the run ends.
     end: Time,
     measurements: Measurements,
 }
@@ -230,6 +231,7 @@
 
     fn send_call(&mut self, entry: usize, agent: usize, request: Request, call_kind: CallKind) {
         self.next_call += 1;
+        // The low byte holds the index of the entry, which receives the reply.
         let call = CallId(self.next_call << 8 | entry as u64);
         self.pending_calls.insert(call, (agent, call_kind));
         self.events.schedule_after(
@@ -285,7 +287,8 @@
         self.deliver_to_entry(entry, event);
     }
 
-    /// Kills a worker: its connections break, its pending calls fail, and it accepts no new ones.
+    /// Kills a worker with its agent: connections break, pending calls fail, and new ones get no
+    /// reply.
     fn kill_agent(&mut self, index: usize) {
         self.agents[index] = None;
         let name = agent_node(index).name;
--- a/bench/src/policy/workload.rs
+++ b/bench/src/policy/workload.rs
@@ -1,4 +1,5 @@
-//! Synthetic workloads of the clients Kyushu and Blue Mountain, at a given share of the capacity.
+//! Synthetic workloads of the clients Kyushu (booking) and Blue Mountain (shown as `matchdesk`), at
+//! a given share of the capacity.
 
 use std::time::Duration;
 
@@ -165,6 +166,7 @@
         ClientMix::Kyushu => (0.4 * 2.5) + 0.3 + 0.3,
         ClientMix::BlueMountain => 0.6 + (0.2 * 5.0) + 0.2,
     };
+    // The factor is the mean service time of a task.
     tasks * 0.275
 }
 
--- a/bench/src/slopes/agent.rs
+++ b/bench/src/slopes/agent.rs
@@ -43,7 +43,7 @@
 /// Measures the memory and time per claim held.
 pub fn measure_claims() {
     print_header(
-        "agent: claims held (64-bit names, one entry incarnation)",
+        "agent: claims held (all of one entry)",
         "    claims       bytes  bytes/claim   us/claim",
     );
     let mut points = Vec::new();
@@ -52,7 +52,7 @@
         let owner = node("e1");
         let digest = Digest::of("booking", "holds", false, ["seat"].into_iter());
         let now = START + Duration::from_secs(3);
-        let mut out = Vec::with_capacity(4);
+        let mut actions = Vec::with_capacity(4);
         let (bytes, seconds) = measure_bytes(|| {
             let claim_all = || {
                 for index in 0..count {
@@ -60,8 +60,12 @@
                     let request = ClaimRequest { submission: submission(index), claim };
                     let request = Request::Claim(request);
                     let call = CallId(index as u64);
-                    agent.handle(now, Event::Call { session: SESSION, call, request }, &mut out);
-                    out.clear();
+                    agent.handle(
+                        now,
+                        Event::Call { session: SESSION, call, request },
+                        &mut actions,
+                    );
+                    actions.clear();
                 }
             };
             measure_seconds(claim_all).0
@@ -86,9 +90,9 @@
     let mut points = Vec::new();
     for count in [10_000, 30_000, 100_000] {
         let mut agent = agent();
-        let mut out: Vec<Action> = Vec::with_capacity(8);
+        let mut actions: Vec<Action> = Vec::with_capacity(8);
         let (bytes, seconds) =
-            measure_bytes(|| measure_seconds(|| run_tasks(&mut agent, count, &mut out)).0);
+            measure_bytes(|| measure_seconds(|| run_tasks(&mut agent, count, &mut actions)).0);
         points.push((count as f64, bytes as f64));
         let bytes_each = bytes as f64 / count as f64;
         println!(
@@ -100,7 +104,7 @@
     println!("slope: {:.1} bytes a task (outcomes are kept up to 4 MiB)", slope(&points));
 }
 
-fn run_tasks(agent: &mut Agent, count: usize, out: &mut Vec<Action>) {
+fn run_tasks(agent: &mut Agent, count: usize, actions: &mut Vec<Action>) {
     let now = START + Duration::from_secs(3);
     let task: Arc<str> = Arc::from("hold seat 4A of coach 7");
     for index in 0..count {
@@ -115,9 +119,9 @@
             wanted: 0,
         });
         let call = CallId(index as u64);
-        agent.handle(now, Event::Call { session: SESSION, call, request }, out);
+        agent.handle(now, Event::Call { session: SESSION, call, request }, actions);
         let outcome = TaskOutcome::Answer("done: hold seat 4A..".into());
-        agent.handle(now, Event::Ended { key, outcome }, out);
-        out.clear();
+        agent.handle(now, Event::Ended { key, outcome }, actions);
+        actions.clear();
     }
 }
--- a/bench/src/slopes/entry.rs
+++ b/bench/src/slopes/entry.rs
@@ -21,8 +21,11 @@
     now: Time,
     events: VecDeque<Event>,
     actions: Vec<Action>,
+    /// Number of jobs submitted so far.
     submissions: u64,
+    /// Number of jobs answered so far.
     answered: u64,
+    /// Number of tasks started so far.
     started: u64,
 }
 
