--- a/daemon/tests/keeper_discovery.rs
+++ b/daemon/tests/keeper_discovery.rs
@@ -41,7 +41,7 @@
         nodes.matches("\"host\"").count() == names.len()
     });
     drop(processes);
-    names.iter().for_each(|name| fleet.name_only_absent_keeper(name));
+    names.iter().for_each(|name| fleet.replace_keepers_with_absent_one(name));
     let _processes = start_all(&fleet);
     fleet.wait_until_ready();
     let answer =
--- a/daemon/tests/stops/client.rs
+++ b/daemon/tests/stops/client.rs
@@ -26,11 +26,11 @@
     Some(Duration::from_secs(8)),
     Some(Duration::from_secs(8)),
 ];
-/// Estimated run times of a task, and the maximum number of tasks of such a job.
+/// Estimated run times of a task in milliseconds, and the maximum number of tasks of such a job.
 const ESTIMATES: [(u64, u32); 3] = [(60, 8), (200, 4), (900, 3)];
 /// Run time of a task relative to its estimate; some tasks far exceed it.
 const WORK_PER_ESTIMATE: [std::ops::Range<f64>; 3] = [0.5..1.5, 0.5..1.5, 3.0..4.0];
-/// Delay after an answer that may be the last one of a stop, in milliseconds.
+/// Delay in milliseconds after an answer that may be the last one before an entry exits.
 const AFTER_ANSWER_MS: std::ops::Range<u64> = 0..60;
 /// Time between changes of the configuration in milliseconds.
 const CHANGE_GAP_MS: std::ops::Range<u64> = 0..200;
@@ -40,10 +40,10 @@
     test_run: &'a TestRun<'a>,
     number: u64,
     rng: ChaCha8Rng,
-    /// Number of requests so far.
+    /// Number of requests created so far, which makes job identifiers unique.
     requests: u64,
     connection: Option<Connection>,
-    /// Whether the client is an operator, who talks to the keeper.
+    /// Whether the client is an operator, which connects to the keeper instead of an entry.
     is_operator: bool,
 }
 
@@ -228,13 +228,14 @@
     }
 
     fn job(&mut self, id: u64) -> Job {
-        let (estimated_ms, most) = *ESTIMATES.choose(&mut self.rng).expect("the list is not empty");
+        let (estimated_ms, max_count) =
+            *ESTIMATES.choose(&mut self.rng).expect("the list is not empty");
         let factor =
             WORK_PER_ESTIMATE.choose(&mut self.rng).expect("the list is not empty").clone();
         let work_ms = (estimated_ms as f64 * self.rng.random_range(factor)) as u64;
-        // Rarely: targets with repeated failures are excluded from placement.
+        // Failures are rare, as targets with repeated failures are excluded from placement.
         let fails = estimated_ms < 900 && self.rng.random_bool(0.03);
-        let count = if fails { 1 } else { self.rng.random_range(1..=most) };
+        let count = if fails { 1 } else { self.rng.random_range(1..=max_count) };
         let deadline = *DEADLINES.choose(&mut self.rng).expect("the list is not empty");
         Job { id, count, work_ms, estimated_ms, fails, deadline }
     }
--- a/daemon/tests/stops/mod.rs
+++ b/daemon/tests/stops/mod.rs
@@ -26,11 +26,11 @@
 pub struct TestRun<'a> {
     pub seed: u64,
     pub fleet: &'a Fleet,
-    /// Actions applied to processes.
+    /// Actions from which the run chooses at random.
     pub actions: Actions,
     pub balancer: Balancer,
     pub finished: AtomicBool,
-    /// When each entry, and last the keeper, was asked to stop; `None` once it is back.
+    /// When each entry, and last the keeper, was asked to stop; `None` once it has exited.
     pub stop_requested: Vec<Mutex<Option<Instant>>>,
     /// When each entry, and last the keeper, last answered.
     pub answered: Vec<Mutex<Instant>>,
@@ -51,6 +51,7 @@
         }
     }
 
+    /// When an entry, or the keeper, was asked to stop; `None` once it has exited.
     pub fn stop_requested(&self, entry: Option<usize>) -> Option<Instant> {
         *self.stop_requested[self.index_of(entry)].lock().expect("the mutex is not poisoned")
     }
--- a/daemon/tests/stops/node.rs
+++ b/daemon/tests/stops/node.rs
@@ -25,7 +25,7 @@
     Reload,
 }
 
-/// Actions by role, each as likely as it is listed.
+/// Actions by role. An action that is listed several times is chosen more often.
 pub type Actions = &'static [(&'static str, Action)];
 
 /// A process that actions are applied to.
@@ -37,7 +37,7 @@
     stop_requested: Option<Instant>,
     /// Time from the exit of the process to its restart.
     downtime: Duration,
-    /// When the process was last seen to have exited.
+    /// When the process was killed or found to have exited.
     down_since: Instant,
 }
 
@@ -76,7 +76,8 @@
         process.signal("HUP");
     }
 
-    /// Checks whether the process has exited, and restarts it when due. Returns what went wrong.
+    /// Checks whether the process has exited, and restarts it when due. Returns a fault if it
+    /// exited unexpectedly, with a failure, or too late.
     fn poll(&mut self, test_run: &TestRun) -> Option<String> {
         let Some(process) = &mut self.process else {
             if self.down_since.elapsed() >= self.downtime {
@@ -128,11 +129,11 @@
     let mut faults = Vec::new();
     loop {
         faults.extend(nodes.iter_mut().filter_map(|node| node.poll(test_run)));
-        let stopping = started.elapsed() < ACTIONS_TIME;
-        if !stopping && nodes.iter().all(Node::accepts_actions) {
+        let applies_actions = started.elapsed() < ACTIONS_TIME;
+        if !applies_actions && nodes.iter().all(Node::accepts_actions) {
             return faults;
         }
-        if stopping && Instant::now() >= next {
+        if applies_actions && Instant::now() >= next {
             next = Instant::now() + Duration::from_millis(rng.random_range(GAP_MS));
             apply_random_action(test_run, nodes, &mut rng);
         }
--- a/daemon/tests/stops/record.rs
+++ b/daemon/tests/stops/record.rs
@@ -41,11 +41,11 @@
     });
     let unread = count(&|record| matches!(record.exchange, Exchange::ResetUnread));
     let not_sent = count(&|record| matches!(record.exchange, Exchange::NotSent));
-    let [served, refused, open] =
+    let [served, refused, undecided] =
         [200, 503, 504].map(|status| count(&|record| record.is_answered(status)));
     println!(
         "{} tries, {in_stops} in stops, {late} of them late: {served} with 200, {refused} with 503, \
-         {open} with 504, {unread} reset unread, {not_sent} not sent completely",
+         {undecided} with 504, {unread} reset unread, {not_sent} not sent completely",
         requests.len()
     );
     let unread =
--- a/daemon/tests/support/balancer.rs
+++ b/daemon/tests/support/balancer.rs
@@ -14,7 +14,7 @@
 const MAX_MISSES: u32 = 2;
 /// Timeout of a readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Interval at which the end of the run is checked.
+/// Interval at which a sleeping thread checks whether the run has finished.
 const POLL: Duration = Duration::from_millis(10);
 
 /// Readiness of the entries of a fleet.
--- a/daemon/tests/support/exchange.rs
+++ b/daemon/tests/support/exchange.rs
@@ -30,9 +30,9 @@
     JobState(u64),
     /// Query for the number of waiting jobs.
     WaitingCount,
-    /// Job for a route that does not exist.
+    /// Submission of a job to a route that does not exist.
     UnknownRoute,
-    /// Job with a malformed body.
+    /// Submission of a job with a malformed body.
     MalformedJob(u64),
     /// An operator sets a configuration with this version.
     ReplaceConfiguration(u64),
@@ -63,7 +63,7 @@
 }
 
 impl Request {
-    /// Returns the head and the body of the HTTP request.
+    /// Formats the head and the body of the HTTP request.
     fn serialize(&self) -> (String, String) {
         let (method, path, body) = match self {
             Self::Job(job) => ("POST", format!("/q/{}", job.name()), job_document(job)),
@@ -122,6 +122,7 @@
     stream: TcpStream,
     /// Number of the entry; `None` for a keeper.
     pub entry: Option<usize>,
+    /// When the connection was opened.
     pub opened: Instant,
     /// Number of requests answered so far.
     pub answered: u32,
@@ -148,12 +149,12 @@
     }
 
     /// Sends a request, pausing before its body, and waits for the complete answer.
-    pub fn exchange(&mut self, request: &Request, pause: Duration, time: Duration) -> Exchange {
+    pub fn exchange(&mut self, request: &Request, pause: Duration, timeout: Duration) -> Exchange {
         let (head, body) = request.serialize();
         if !self.send(&head, &body, pause) {
             return Exchange::NotSent;
         }
-        self.read_answer(time)
+        self.read_answer(timeout)
     }
 
     fn send(&mut self, head: &str, body: &str, pause: Duration) -> bool {
@@ -168,8 +169,8 @@
         !self.is_closed() && self.stream.write_all(body.as_bytes()).is_ok()
     }
 
-    fn read_answer(&mut self, time: Duration) -> Exchange {
-        let until = Instant::now() + time;
+    fn read_answer(&mut self, timeout: Duration) -> Exchange {
+        let until = Instant::now() + timeout;
         let mut bytes = Vec::new();
         let mut chunk = [0; READ_CHUNK];
         loop {
@@ -211,7 +212,7 @@
     let head = head.to_lowercase();
     let status = head.split_whitespace().nth(1)?.parse().expect("the answer has a status");
     let length = header(&head, "content-length").expect("the answer has a content length");
-    let length: usize = length.parse().expect("the value is a number");
+    let length: usize = length.parse().expect("the content length is a number");
     assert!(body.len() <= length, "the body is longer than announced: {text}");
     (body.len() == length).then(|| Answer { status, head: head.clone(), body: body.to_owned() })
 }
@@ -241,8 +242,9 @@
     document["version"].as_u64().filter(|_| answer.status == 200)
 }
 
-/// Checks an answer against what the targets had observed at that time; returns the reason if it is
-/// wrong. Answers carry no job id, so a mix-up shows in the state of the job's tasks.
+/// Checks an answer that arrived at `at` against what the targets had observed by then; returns
+/// what is wrong with it. Answers carry no job id, so an answer to another job shows only as a
+/// state that the job's tasks contradict.
 pub fn find_fault(
     request: &Request,
     answer: &Answer,
--- a/daemon/tests/support/fake_target.rs
+++ b/daemon/tests/support/fake_target.rs
@@ -24,6 +24,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval at which a waiting hold checks for ended runs.
 const POLL: Duration = Duration::from_millis(5);
+/// CPU capacity of a target in thousandths of a core; each task takes one core.
 const CPU_MILLI: u64 = 8_000;
 /// Spec prefix of a task that fails.
 pub const FAILS_PREFIX: &str = "fails ";
@@ -55,7 +56,7 @@
     pub max_running: usize,
     /// The runs in the order of their starts.
     pub runs: Vec<TaskRun>,
-    /// Commands for earlier instances: time of arrival and instance.
+    /// Commands for other instances: time of arrival and instance.
     pub misdirected: Vec<(Instant, String)>,
     /// When the agent first acknowledged a heartbeat of the present instance.
     pub acknowledged: Option<Instant>,
@@ -75,20 +76,26 @@
 }
 
 struct ActiveRun {
+    /// Number of the run among those of its task.
     number: u64,
     ends_at: Instant,
-    /// Outcome unless the run is ended earlier.
+    /// Outcome unless the run is stopped, crashes or loses its lease before `ends_at`.
     outcome: &'static str,
     leased_until: Instant,
 }
 
 struct State {
     instance: Instance,
+    /// Highest fencing token received; commands with a lower one are refused.
     fence: u64,
+    /// Active runs by task.
     runs: BTreeMap<String, ActiveRun>,
+    /// Run number by task up to which no run may start any more.
     barred: BTreeMap<String, u64>,
+    /// Ended runs that the agent has not acknowledged: sequence number, task, run and outcome.
     ended: Vec<(u64, String, u64, &'static str)>,
-    next_number: u64,
+    /// Sequence number of the next ended run.
+    next_sequence: u64,
 }
 
 impl FakeTarget {
@@ -202,7 +209,7 @@
         runs: BTreeMap::new(),
         barred: BTreeMap::new(),
         ended: Vec::new(),
-        next_number: 1,
+        next_sequence: 1,
     }));
     let crashed_state = state.clone();
     let polled_state = state.clone();
@@ -214,7 +221,7 @@
         };
         tasks.spawn(net::serve(listener, tasks.clone(), move || limits, handler));
         tasks.spawn(async move {
-            // End due runs and expired leases even without incoming commands.
+            // Ends completed runs and runs with expired leases even without incoming commands.
             loop {
                 let polled_at = Instant::now();
                 polled_state.borrow_mut().end_due_runs();
@@ -260,7 +267,7 @@
     state.borrow_mut().end_due_runs();
     state.borrow_mut().renew_leases(number("deadline_ms"));
     let last_seen = number("last_seen");
-    state.borrow_mut().ended.retain(|(number, ..)| *number > last_seen);
+    state.borrow_mut().ended.retain(|(sequence, ..)| *sequence > last_seen);
     loop {
         state.borrow_mut().end_due_runs();
         if !state.borrow().ended.is_empty() || Instant::now() >= until {
@@ -331,8 +338,8 @@
         }
         drop(observed);
         self.barred.insert(task.to_owned(), run.number);
-        self.ended.push((self.next_number, task.to_owned(), run.number, outcome));
-        self.next_number += 1;
+        self.ended.push((self.next_sequence, task.to_owned(), run.number, outcome));
+        self.next_sequence += 1;
     }
 
     fn start(&mut self, command: &Value) -> Response<Body> {
@@ -388,7 +395,7 @@
         let ended: Vec<Value> = self
             .ended
             .iter()
-            .map(|(number, task, run, outcome)| json!([number, task, run, outcome, ""]))
+            .map(|(sequence, task, run, outcome)| json!([sequence, task, run, outcome, ""]))
             .collect();
         let clock_ms = self.clock_ms();
         respond(200, &json!({"clock_ms": clock_ms, "running": running, "ended": ended}))
--- a/daemon/tests/support/http.rs
+++ b/daemon/tests/support/http.rs
@@ -18,10 +18,10 @@
     method: &str,
     path: &str,
     body: &str,
-    time: Duration,
+    timeout: Duration,
 ) -> Option<Answer> {
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
-    stream.set_read_timeout(Some(time)).ok()?;
+    stream.set_read_timeout(Some(timeout)).ok()?;
     let request = format!(
         "{method} {path} HTTP/1.1\r\nHost: queue.example\r\nConnection: close\r\n\
          Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
--- a/daemon/tests/support/keep_alive.rs
+++ b/daemon/tests/support/keep_alive.rs
@@ -36,16 +36,16 @@
     }
 
     /// Sends a complete request and waits for its answer.
-    pub fn request(&mut self, request: &str, time: Duration) -> Result<Answer, ResponseError> {
+    pub fn request(&mut self, request: &str, timeout: Duration) -> Result<Answer, ResponseError> {
         if !self.send(request.as_bytes()) {
             return Err(ResponseError::Closed);
         }
-        self.read_answer(time)
+        self.read_answer(timeout)
     }
 
     /// Reads one answer with a content length.
-    pub fn read_answer(&mut self, time: Duration) -> Result<Answer, ResponseError> {
-        self.stream.set_read_timeout(Some(time)).expect("the timeout is not zero");
+    pub fn read_answer(&mut self, timeout: Duration) -> Result<Answer, ResponseError> {
+        self.stream.set_read_timeout(Some(timeout)).expect("the timeout is not zero");
         let mut bytes = Vec::new();
         loop {
             if let Some(answer) = parse_answer(&bytes) {
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -27,6 +27,7 @@
 
 /// Longest wait for a condition or an answer.
 const TIMEOUT: Duration = Duration::from_secs(20);
+/// Port for connections between processes.
 const NODE_PORT: u16 = 7_101;
 /// Host number of a keeper address where nothing listens.
 const ABSENT_KEEPER_HOST: usize = 250;
@@ -40,7 +41,7 @@
 const VERSION_METRIC: &str = "dockpass_configuration_version ";
 /// Environment variable with the parent of the keeper's data folder.
 const KEEPER_FOLDER_VARIABLE: &str = "DOCKPASS_KEEPER_FOLDER";
-/// A file system in memory.
+/// Folder of a file system in memory.
 const MEMORY_FOLDER: &str = "/dev/shm";
 /// Environment variable with the folder in which process logs are kept, also when a test passes.
 const LOGS_VARIABLE: &str = "DOCKPASS_SOAK_LOGS";
@@ -102,7 +103,8 @@
         Self::create(entries, agents, false, temporary_folder())
     }
 
-    /// Creates a fleet with additional settings for its agents.
+    /// Creates a fleet with additional settings for its agents, which replace those from the
+    /// environment.
     pub fn with_agent_settings(entries: usize, agents: usize, settings: &str) -> Self {
         let mut fleet = Self::with_entries(entries, agents);
         fleet.agent_settings = settings.to_owned();
@@ -328,8 +330,8 @@
         fs::rename(new_file, self.file(name)).expect("the configuration file is replaced");
     }
 
-    /// Replaces the keepers in the configuration file of a process by the absent one.
-    pub fn name_only_absent_keeper(&self, name: &str) {
+    /// Replaces the keeper in the configuration file of a process with the absent one.
+    pub fn replace_keepers_with_absent_one(&self, name: &str) {
         let present = keepers_line(&[self.keeper_address()]);
         let absent = keepers_line(&[self.absent_keeper_address()]);
         let text = fs::read_to_string(self.file(name)).expect("the configuration file exists");
@@ -389,8 +391,8 @@
     /// Sends a configuration once, padded with spaces; returns whether the keeper acknowledged it.
     pub fn try_configure(&self, version: u64, padding: usize) -> bool {
         let body = document(version) + &" ".repeat(padding);
-        let time = Duration::from_secs(1);
-        call(self.keeper_address(), "POST", "/configuration/replace", &body, time)
+        let timeout = Duration::from_secs(1);
+        call(self.keeper_address(), "POST", "/configuration/replace", &body, timeout)
             .is_some_and(|answer| answer.status == 200)
     }
 
@@ -429,19 +431,19 @@
         self.submit_job_within(0, id, count, work_ms, TIMEOUT)
     }
 
-    /// Submits a job of equal tasks to an entry and waits for the answer for at most `time`.
+    /// Submits a job of equal tasks to an entry and waits for the answer until a timeout.
     pub fn submit_job_within(
         &self,
         entry: usize,
         id: u64,
         count: u32,
         work_ms: u64,
-        time: Duration,
+        timeout: Duration,
     ) -> Option<Answer> {
         let body = serde_json::json!({"spec": work_ms.to_string(), "best_effort": true,
             "steps": [{"count": count, "cpu": 1000, "mem_mb": 64, "estimated_ms": work_ms}]});
         let path = format!("/q/{id:016x}");
-        call(self.entry_address_of(entry), "POST", &path, &body.to_string(), time)
+        call(self.entry_address_of(entry), "POST", &path, &body.to_string(), timeout)
     }
 }
 
@@ -484,7 +486,7 @@
     let Ok(text) = std::env::var(variable) else {
         return [DEFAULT_SEED].into_iter().chain(regressions.iter().copied()).collect();
     };
-    let (first, end) = text.split_once("..").expect("FIRST..END");
+    let (first, end) = text.split_once("..").expect("the value has the form FIRST..END");
     let first: u64 = first.parse().expect("the value is a number");
     (first..end.parse().expect("the value is a number")).collect()
 }
--- a/daemon/tests/support/process.rs
+++ b/daemon/tests/support/process.rs
@@ -89,10 +89,11 @@
     }
 }
 
-/// A process that faults are injected into, with its pending recovery.
+/// A process that faults are injected into.
 pub struct FaultyProcess {
     pub name: String,
     pub process: Option<Process>,
+    /// When the process is restarted or resumed; `None` without a pending fault.
     pub recover_at: Option<Instant>,
     paused: bool,
 }
--- a/daemon/tests/support/proxy.rs
+++ b/daemon/tests/support/proxy.rs
@@ -14,6 +14,7 @@
 
 /// Interval at which a blocked copy checks whether the fault is over.
 const POLL: Duration = Duration::from_millis(2);
+/// Size of the read buffer.
 const CHUNK: usize = 16 * 1024;
 
 /// The direction that a fault affects.
@@ -59,6 +60,7 @@
 #[derive(Debug, Default)]
 struct State {
     active_fault: Option<ActiveFault>,
+    /// Number of injected resets; a change resets the connections that are open.
     resets: u64,
     /// Number of connections accepted.
     accepted: u64,
@@ -166,7 +168,7 @@
     let connection = ConnectionGuard::open(state);
     let to_server = copy(&client, &server, Direction::ToServer, &connection);
     let to_client = copy(&server, &client, Direction::ToClient, &connection);
-    let ended = async {
+    let both_closed = async {
         future::zip(to_server, to_client).await;
     };
     let reset = async {
@@ -177,10 +179,10 @@
             let _ = SockRef::from(side.get_ref()).set_linger(Some(Duration::ZERO));
         }
     };
-    future::or(ended, reset).await;
+    future::or(both_closed, reset).await;
 }
 
-/// Entry of an open connection in the shared state; removed when dropped.
+/// Registration of an open connection in the shared state; removed when dropped.
 struct ConnectionGuard {
     state: Arc<Mutex<State>>,
     number: u64,
@@ -223,7 +225,8 @@
         let read = from.read(&mut chunk).await.unwrap_or(0);
         wait_for_link(direction, read, connection).await;
         match connection.silence() {
-            // The peer keeps its end open until it closes it by itself.
+            // The end of the stream is not forwarded, so the other side stays open until it closes
+            // the connection itself.
             Some(Silence::Dropped) if read == 0 => return,
             Some(Silence::Dropped) => continue,
             Some(Silence::NotRead) => future::pending().await,
