--- a/daemon/tests/emptied_halls.rs
+++ b/daemon/tests/emptied_halls.rs
@@ -157,13 +157,14 @@
 /// Timeout of a client.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Commands for one hall, as known to its operator.
+/// Commands for the hall `north`, as known to the operator that sends them.
 #[derive(Default)]
 struct HallCommands {
     /// Time of the acknowledgement that the hall is emptied; `None` once a refill was sent.
     emptied_since: Option<Instant>,
     /// Periods in which no task may start in the hall.
     closed_periods: Vec<(Instant, Instant)>,
+    /// Number of acknowledged commands.
     acknowledged: u32,
 }
 
--- a/daemon/tests/keeper_cluster/mod.rs
+++ b/daemon/tests/keeper_cluster/mod.rs
@@ -23,7 +23,7 @@
 /// Number of keepers listed as seeds.
 const SEED_KEEPERS: usize = 3;
 
-/// A file system in memory, so that tests do not depend on the speed of a disk.
+/// Folder of a file system in memory, so that tests do not depend on the speed of a disk.
 const MEMORY_FOLDER: &str = "/dev/shm";
 
 /// Creates the folder of a cluster, in memory where possible.
@@ -198,6 +198,7 @@
         });
     }
 
+    /// Simulates the loss of a stopped keeper's disk by emptying its data folder.
     pub fn lose_disk(&self, number: usize) {
         fs::remove_dir_all(self.data_folder(number)).expect("the folder is removed");
         fs::create_dir(self.data_folder(number)).expect("the folder is created");
--- a/daemon/tests/keeper_stops.rs
+++ b/daemon/tests/keeper_stops.rs
@@ -35,6 +35,7 @@
         Ok(stream)
     }
 
+    /// Sends a configuration; returns the status of the answer.
     fn configure_status(&self, version: u64) -> Option<u16> {
         read_status(self.send_configuration(version).ok()?)
     }
@@ -55,8 +56,8 @@
     }
 }
 
-fn start_keepers(folder: &std::path::Path, net: u32) -> Vec<Keeper> {
-    let net = format!("127.{}.{net}", 1 + std::process::id() % 250);
+fn start_keepers(folder: &std::path::Path, subnet: u32) -> Vec<Keeper> {
+    let net = format!("127.{}.{subnet}", 1 + std::process::id() % 250);
     let seeds: Vec<String> = (1..=3).map(|host| format!("{net}.{host}:7100")).collect();
     (1..=3)
         .map(|host| {
@@ -83,11 +84,11 @@
         .collect()
 }
 
-/// Waits for a leader; returns its number.
-fn leader_of(keepers: &[Keeper]) -> usize {
+/// Waits until a keeper accepts a configuration, which only the leader does; returns its number.
+fn wait_for_leader(keepers: &[Keeper]) -> usize {
     let started = Instant::now();
     loop {
-        assert!(started.elapsed() < Duration::from_secs(15), "no leader");
+        assert!(started.elapsed() < Duration::from_secs(15), "no keeper accepts a configuration");
         let leads = |keeper: &Keeper| keeper.configure_status(1) == Some(200);
         if let Some(number) = keepers.iter().position(leads) {
             return number;
@@ -102,7 +103,7 @@
 fn a_pending_change_is_answered_when_the_leader_stops() {
     let folder = tempfile::tempdir().unwrap();
     let keepers = start_keepers(folder.path(), 251);
-    let leader = leader_of(&keepers);
+    let leader = wait_for_leader(&keepers);
     keepers.iter().enumerate().filter(|(number, _)| *number != leader).for_each(|(_, keeper)| {
         keeper.signal("STOP");
     });
@@ -115,13 +116,13 @@
     assert!(status.is_some(), "the connection ended with no answer, {:?}", stopped.elapsed());
 }
 
-/// Guards against changes left unanswered while a leader of a healthy cluster stops. Only the last
-/// one may be, if its connection was opened but not accepted before the listener closed.
+/// Guards against changes left unanswered while the leader of a healthy cluster stops. Only the
+/// last one may be, if the listener closed before it accepted the connection of that change.
 #[test]
 fn changes_sent_while_the_leader_stops_are_answered() {
     let folder = tempfile::tempdir().unwrap();
     let mut keepers = start_keepers(folder.path(), 252);
-    let leader = leader_of(&keepers);
+    let leader = wait_for_leader(&keepers);
     keepers[leader].signal("TERM");
     let mut answers = Vec::new();
     let stopped = Instant::now();
@@ -131,8 +132,8 @@
     }
     let _ = keepers[leader].child.wait();
     let unanswered = |(_, status): &(u128, Option<u16>)| status.is_none();
-    let last_crossed = answers.last().is_some_and(unanswered);
+    let last_is_unanswered = answers.last().is_some_and(unanswered);
     println!("{} sent, last {:?}", answers.len(), answers.last());
-    answers.truncate(answers.len() - usize::from(last_crossed));
+    answers.truncate(answers.len() - usize::from(last_is_unanswered));
     assert!(answers.len() > 10 && !answers.iter().any(unanswered), "{answers:?}");
 }
--- a/daemon/tests/keepers_power_loss.rs
+++ b/daemon/tests/keepers_power_loss.rs
@@ -29,9 +29,9 @@
         keepers.kill_all();
         // The acknowledging keeper loses its disk first, the others in a different order each
         // round.
-        let next = (0..count).map(|step| (acknowledged + step * (round + 1)) % count);
+        let candidates = (0..count).map(|step| (acknowledged + step * (round + 1)) % count);
         let mut wiped: Vec<usize> = Vec::new();
-        next.for_each(|number| {
+        candidates.for_each(|number| {
             if wiped.len() < tolerated_losses && !wiped.contains(&number) {
                 wiped.push(number);
             }
@@ -45,13 +45,13 @@
         for step in 0..count {
             keepers.start_keeper((acknowledged + round + step) % count);
         }
-        let back = Instant::now();
+        let restarted = Instant::now();
         let mut read = None;
         eventually("the configuration is read back", || {
             read = keepers.read_configuration();
             read.is_some()
         });
-        let took = back.elapsed();
+        let took = restarted.elapsed();
         let read = read.expect("the configuration is read");
         assert!(read.contains(&format!("\"version\":{version}")), "round {round}: {read}");
         assert!(took < RECOVERY_TIMEOUT, "round {round}: read after {took:?}");
@@ -61,11 +61,11 @@
 
 /// Guards against a keeper that takes a torn write for a damaged journal and does not start.
 #[test]
-fn a_lost_disk_of_three_and_a_loss_of_all_power_lose_no_configuration() {
+fn three_keepers_keep_the_configuration_after_a_lost_disk_and_a_power_loss() {
     run_rounds(3, 1, 3);
 }
 
 #[test]
-fn two_lost_disks_of_six_keepers_and_a_loss_of_all_power_lose_no_configuration() {
+fn six_keepers_keep_the_configuration_after_two_lost_disks_and_a_power_loss() {
     run_rounds(6, 2, 2);
 }
--- a/daemon/tests/planned_stop.rs
+++ b/daemon/tests/planned_stop.rs
@@ -15,8 +15,8 @@
 const COMPLETED: &str = "{\"state\":\"completed\"}";
 /// Grace period between the stop signal and the kill by the platform.
 const GRACE: Duration = Duration::from_secs(6);
-/// Clients that connect after the balancer has seen the entry as not ready.
-const CALLERS_AFTER_NOTICE: u32 = 20;
+/// Clients that are served after the balancer has noticed that the entry is not ready.
+const CLIENTS_AFTER_NOTICE: u32 = 20;
 /// Timeout for an answer, longer than any stop.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -125,7 +125,7 @@
 /// Guards against refused connections while all entries of a data hall stop and the balancer sends
 /// to entries that are not ready.
 #[test]
-fn a_caller_that_the_balancer_still_sends_is_served_while_there_is_time() {
+fn a_busy_stopping_entry_serves_clients_that_the_balancer_still_sends() {
     let served = ServingFleet::start();
     let _busy = served.start_long_job();
     served.stop();
@@ -315,13 +315,13 @@
 
 /// Guards against an idle entry that exits while the balancer still sends clients to it.
 #[test]
-fn callers_that_the_balancer_still_sends_are_served_without_a_long_job() {
+fn an_idle_stopping_entry_serves_clients_that_the_balancer_still_sends() {
     let served = ServingFleet::start();
     let balancer_noticed = AtomicBool::new(false);
     thread::scope(|scope| {
         // Clients connect one after the other, each over a new connection.
-        let callers = scope.spawn(|| {
-            let mut after = 0;
+        let clients = scope.spawn(|| {
+            let mut served_after_notice = 0;
             for id in 1.. {
                 let mut connection = KeepAliveConnection::open(served.fleet.entry_address())
                     .expect("the address accepts connections");
@@ -329,22 +329,22 @@
                     .request(&job_request(id, 1, 20, 20), ANSWER_TIMEOUT)
                     .expect("the request is answered");
                 assert_eq!((answer.status, answer.body.as_str()), (200, COMPLETED));
-                after += u32::from(balancer_noticed.load(Ordering::Relaxed));
-                if after == CALLERS_AFTER_NOTICE {
+                served_after_notice += u32::from(balancer_noticed.load(Ordering::Relaxed));
+                if served_after_notice == CLIENTS_AFTER_NOTICE {
                     return;
                 }
             }
         });
         served.stop();
         balancer_noticed.store(true, Ordering::Relaxed);
-        callers.join().expect("every client is served");
+        clients.join().expect("every client is served");
     });
 }
 
 /// Guards against an entry with little CPU time that exits before it has checked every open
 /// connection for a request.
 #[test]
-fn every_connection_is_checked_before_the_end_on_a_tenth_of_a_core() {
+fn an_entry_with_a_tenth_of_a_core_checks_every_connection_before_it_exits() {
     let mut served = ServingFleet::start();
     let request = "GET /q/00000000000000aa HTTP/1.1\r\nHost: queue.example\r\n\r\n";
     let mut connections = Vec::new();
--- a/daemon/tests/silent_connection_faults.rs
+++ b/daemon/tests/silent_connection_faults.rs
@@ -47,12 +47,12 @@
 const LONGEST_TASK: Duration = Duration::from_millis(200);
 /// Maximum number of tries per job.
 const MAX_TRIES: u32 = 3;
-/// Jobs submitted to each entry after the replacement time; their tasks fit beside those of the
-/// clients.
+/// Jobs submitted to each entry after the replacement time. Their tasks fit into the capacity that
+/// the clients' tasks leave free.
 const PROBES: u64 = 3;
 const PROBE_TASKS: u32 = 4;
 const PROBE_MS: u64 = 40;
-/// Maximum number of tries of a probe while the host stalls processes.
+/// Maximum number of tries of a probe if the host stalls processes.
 const MAX_PROBES: u32 = 5;
 /// Time until a log line is written and a stalled target records the stall.
 const LOG_DELAY: Duration = Duration::from_millis(100);
@@ -137,7 +137,7 @@
     All,
 }
 
-/// The choices, each with the same probability.
+/// Links from which each round chooses with equal probability.
 const SILENCED: [SilencedLinks; 5] = [
     SilencedLinks::Sessions,
     SilencedLinks::AllSessions,
@@ -359,12 +359,12 @@
 }
 
 fn print_summary(records: &[Record]) {
-    let [served, refused, open] = [200, 503, 504].map(|status| {
+    let [served, refused, undecided] = [200, 503, 504].map(|status| {
         let has = |record: &&Record| {
             matches!(&record.exchange, Exchange::Answered(answer) if answer.status == status)
         };
         records.iter().filter(has).count()
     });
     let tries = records.len();
-    println!("{tries} tries: {served} with 200, {refused} with 503, {open} with 504");
+    println!("{tries} tries: {served} with 200, {refused} with 503, {undecided} with 504");
 }
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -35,6 +35,7 @@
 #[allow(unused_imports)]
 mod support;
 
+// Private modules of the daemon, included to test them directly.
 #[path = "../src/keeper_role/peers.rs"]
 #[allow(dead_code)]
 mod peers;
@@ -46,7 +47,7 @@
 const TIMEOUT: Duration = Duration::from_secs(15);
 /// Time in which a message between keepers arrives although a connection is silent.
 const REPLACED_WITHIN: Duration = Duration::from_secs(2);
-/// Far below the timeout of the kernel for unacknowledged data.
+/// Time in which a closed session ends, far below the kernel's timeout for unacknowledged data.
 const ENDED_WITHIN: Duration = Duration::from_millis(500);
 
 fn listener() -> (TcpListener, SocketAddr) {
@@ -81,13 +82,13 @@
     received
 }
 
-/// Runs the sender of a keeper until its input channel is dropped.
+/// Runs the task that sends a keeper's messages to its peers, until its input channel is dropped.
 fn start_sender() -> async_channel::Sender<PeersInput> {
-    let (inputs, taken) = async_channel::bounded(64);
+    let (inputs, receiver) = async_channel::bounded(64);
     thread::spawn(move || {
         net::block_on(|tasks| async move {
             let own = NodeName::new("own");
-            peers::run(own, tasks.clone(), Default::default(), taken, |_, _| {}).await;
+            peers::run(own, tasks.clone(), Default::default(), receiver, |_, _| {}).await;
         });
     });
     inputs
@@ -139,12 +140,12 @@
 async fn serve_one_message_per_connection(
     listener: TcpListener,
     tasks: Spawner,
-    taken: mpsc::Sender<()>,
+    closed: mpsc::Sender<()>,
 ) {
     let listener = Async::new(listener).expect("the socket is registered with the reactor");
     loop {
         let (stream, _) = listener.accept().await.expect("a connection is established");
-        let (tasks, taken) = (tasks.clone(), taken.clone());
+        let (tasks, closed) = (tasks.clone(), closed.clone());
         tasks.clone().spawn_rpc(async move {
             let raw = stream.get_ref().try_clone().expect("the socket handle is duplicated");
             let mut raw = Async::new(raw).expect("the socket is registered with the reactor");
@@ -160,7 +161,7 @@
             raw.get_ref().shutdown(Shutdown::Write).expect("the connection is open");
             while raw.read(&mut [0; 64]).await.is_ok_and(|read| read > 0) {}
             // The test may have finished and dropped the receiver.
-            let _ = taken.send(());
+            let _ = closed.send(());
         });
     }
 }
@@ -169,9 +170,9 @@
 #[test]
 fn no_message_is_lost_on_a_connection_closed_by_its_peer() {
     let (listener, address) = listener();
-    let (taken, received) = mpsc::channel();
+    let (closed, received) = mpsc::channel();
     thread::spawn(move || {
-        net::block_on(|tasks| serve_one_message_per_connection(listener, tasks, taken));
+        net::block_on(|tasks| serve_one_message_per_connection(listener, tasks, closed));
     });
     let to = NodeName::new(&address.to_string());
     let inputs = start_sender();
@@ -210,12 +211,12 @@
     };
     inputs.send_blocking(PeersInput::Message(to, append)).expect("the sender runs");
     let (mut stream, _) = listener.accept().expect("a connection is established");
-    let mut taken = 0;
+    let mut total_read = 0;
     let mut chunk = vec![0; SLOW_LINK_CHUNK];
-    while taken < LARGE_MESSAGE_BYTES {
+    while total_read < LARGE_MESSAGE_BYTES {
         let read = stream.read(&mut chunk).expect("the connection is not reset");
-        assert!(read > 0, "closed after {taken} bytes");
-        taken += read;
+        assert!(read > 0, "closed after {total_read} bytes");
+        total_read += read;
         thread::sleep(SLOW_LINK_PAUSE * read as u32 / SLOW_LINK_CHUNK as u32);
     }
 }
@@ -224,7 +225,7 @@
 #[test]
 fn a_closed_session_ends_although_its_peer_reads_nothing() {
     let (listener, address) = listener();
-    let (outgoing, waiting) = SessionSender::<Vec<u8>>::new();
+    let (outgoing, queue) = SessionSender::<Vec<u8>>::new();
     // Exceeds the buffers of both kernels, within the frame size limit.
     for _ in 0..16 {
         assert!(outgoing.send(vec![0; 1024 * 1024]));
@@ -235,7 +236,7 @@
         let _unread = listener.accept().expect("the connection is accepted");
         let (end_guard, ended_signal) = async_channel::bounded::<()>(1);
         tasks.spawn(async move {
-            session::run(stream, waiting, |_: ()| {}).await;
+            session::run(stream, queue, |_: ()| {}).await;
             drop(end_guard);
         });
         // Lets the session fill the buffers.
--- a/daemon/tests/target_restarts.rs
+++ b/daemon/tests/target_restarts.rs
@@ -83,7 +83,7 @@
     let mut agent = Some(fleet.start("agent0"));
     fleet.configure(7);
     fleet.wait_until_ready();
-    let mut probes = 1;
+    let mut next_probe = 1;
     let mut earlier = Vec::new();
     let mut faults = Vec::new();
     for number in 1..=RESTARTS {
@@ -98,12 +98,12 @@
                 clock_ms,
             });
         }
-        wait_until_serving(fleet, &target[0], seed, &mut probes);
+        wait_until_serving(fleet, &target[0], seed, &mut next_probe);
         if rng.random_bool(AGENT_RESTART_PROBABILITY) {
             println!("{:.3}: the agent is killed and restarted", unix_seconds());
             agent.take();
             agent = Some(fleet.start("agent0"));
-            wait_until_serving(fleet, &target[0], seed, &mut probes);
+            wait_until_serving(fleet, &target[0], seed, &mut next_probe);
         }
         faults.extend(run_job_with_late_heartbeats(
             fleet, &target[0], seed, number, &earlier, &mut rng,
@@ -116,13 +116,13 @@
 }
 
 /// Waits until the agent acknowledged the new instance and it completes jobs.
-fn wait_until_serving(fleet: &Fleet, target: &FakeTarget, seed: u64, probes: &mut u64) {
+fn wait_until_serving(fleet: &Fleet, target: &FakeTarget, seed: u64, next_probe: &mut u64) {
     eventually("the new instance is acknowledged", || {
         target.observed.lock().expect("the mutex is not poisoned").acknowledged.is_some()
     });
     eventually("the new instance completes jobs", || {
-        let id = (seed << 32) | *probes;
-        *probes += 1;
+        let id = (seed << 32) | *next_probe;
+        *next_probe += 1;
         fleet.submit_job(id, 1, 20).is_some_and(|answer| answer.body == COMPLETED)
     });
 }
@@ -136,12 +136,12 @@
     earlier: &[EarlierInstance],
     rng: &mut ChaCha8Rng,
 ) -> Vec<String> {
-    let first = (seed << 32) | (number as u64) << 16;
+    let first_id = (seed << 32) | (number as u64) << 16;
     let mut faults = Vec::new();
-    let mut late = Vec::new();
+    let mut late_heartbeats = Vec::new();
     let answer = thread::scope(|scope| {
-        let job = scope.spawn(|| fleet.submit_job(first, TASKS, WORK_MS));
-        let name = format!("{first:016x}");
+        let job = scope.spawn(|| fleet.submit_job(first_id, TASKS, WORK_MS));
+        let name = format!("{first_id:016x}");
         eventually("the tasks of the job are running", || {
             observed_runs(target).starts_of(&name) == TASKS as usize
         });
@@ -150,8 +150,8 @@
             let instance = &earlier[rng.random_range(0..earlier.len())];
             println!("{:.3}: a late heartbeat of {}", unix_seconds(), instance.id);
             target.send_late_heartbeat(&instance.id, instance.clock_ms);
-            late.push((Instant::now(), instance.id.clone()));
-            let after = fleet.submit_job(first + heartbeat as u64, 1, 20);
+            late_heartbeats.push((Instant::now(), instance.id.clone()));
+            let after = fleet.submit_job(first_id + heartbeat as u64, 1, 20);
             faults.extend(completion_fault("a job after a late heartbeat", &after));
             thread::sleep(Duration::from_millis(rng.random_range(HEARTBEAT_GAP_MS)));
         }
@@ -159,14 +159,14 @@
     });
     faults.extend(completion_fault("a job that ran during a late heartbeat", &answer));
     let observed_runs = observed_runs(target);
-    let name = format!("{first:016x}");
+    let name = format!("{first_id:016x}");
     let (starts, done) =
         (observed_runs.starts_of(&name), observed_runs.done_by(&name, Instant::now()));
     if (starts, done) != (TASKS as usize, TASKS as usize) {
         faults.push(format!("job {name}: {starts} starts, {done} of {TASKS} tasks done"));
     }
     thread::sleep(IN_FLIGHT);
-    faults.extend(misdirected_fault(target, &late));
+    faults.extend(misdirected_fault(target, &late_heartbeats));
     faults
 }
 
@@ -184,11 +184,13 @@
 
 /// Reports commands for earlier instances that arrived outside the allowed time after a late
 /// heartbeat.
-fn misdirected_fault(target: &FakeTarget, late: &[(Instant, String)]) -> Option<String> {
+fn misdirected_fault(target: &FakeTarget, late_heartbeats: &[(Instant, String)]) -> Option<String> {
     let observed = target.observed.lock().expect("the mutex is not poisoned");
-    let first = late.first().map(|(at, _)| *at)?;
+    let first = late_heartbeats.first().map(|(at, _)| *at)?;
     let in_flight = |at: &Instant| {
-        late.iter().any(|(heartbeat, _)| at >= heartbeat && *at <= *heartbeat + IN_FLIGHT)
+        late_heartbeats
+            .iter()
+            .any(|(heartbeat, _)| at >= heartbeat && *at <= *heartbeat + IN_FLIGHT)
     };
     let misdirected =
         observed.misdirected.iter().filter(|(at, _)| *at > first && !in_flight(at)).count();
