--- a/daemon/tests/emptied_halls.rs
+++ b/daemon/tests/emptied_halls.rs
@@ -216,10 +216,10 @@
     let mut commands = HallCommands::default();
     let command_seed = rng.random();
     std::thread::scope(|scope| {
-        for caller in 0..2_u64 {
+        for client in 0..2_u64 {
             let fleet = &fleet;
             scope.spawn(move || {
-                let mut id = seed << 32 | caller << 24;
+                let mut id = seed << 32 | client << 24;
                 while Instant::now() < end {
                     id += 1;
                     let entry = (id % 2) as usize;
--- a/daemon/tests/fault_injection.rs
+++ b/daemon/tests/fault_injection.rs
@@ -50,6 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkFaults {
     None,
+    /// Links delay data, hold it back or reset connections.
     Mixed,
     /// Connections go silent permanently.
     Silent,
@@ -248,7 +249,7 @@
     fleet.proxies()[number].inject(Fault::Slow(bytes_per_s), Direction::Both, until);
 }
 
-/// Share of link faults among all faults.
+/// Probability that an injected fault is a link fault, in runs with link faults.
 const LINK_FAULT_PROBABILITY: f64 = 0.6;
 
 fn inject_link_fault(fleet: &Fleet, rng: &mut ChaCha8Rng, until: Instant) {
--- a/daemon/tests/silent_connections.rs
+++ b/daemon/tests/silent_connections.rs
@@ -1,8 +1,6 @@
 //! Connections between processes that go silent permanently, without a reset, while new ones work.
 //! The kernel of the peer may still acknowledge data, so only an answer shows that the peer is
 //! alive.
-//!
-//! The fake peers accept connections over real sockets and never answer.
 
 // Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
--- a/daemon/tests/support/fake_target.rs
+++ b/daemon/tests/support/fake_target.rs
@@ -22,7 +22,7 @@
 
 /// Interval between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval at which a waiting hold checks for ended runs.
+/// Interval at which a waiting hold (a long poll of the agent) checks for ended runs.
 const POLL: Duration = Duration::from_millis(5);
 /// CPU capacity of a target in thousandths of a core; each task takes one core.
 const CPU_MILLI: u64 = 8_000;
@@ -235,6 +235,7 @@
     });
 }
 
+/// Executes a command unless it is for another instance or its fencing token is too low.
 async fn handle(
     state: &Rc<RefCell<State>>,
     request: Request<Result<Bytes, BodyError>>,
@@ -260,6 +261,8 @@
     }
 }
 
+/// Answers a hold, the agent's long poll: it renews the leases of all runs and is answered once a
+/// run has ended or its waiting time has passed.
 async fn hold(state: &Rc<RefCell<State>>, command: &Value) -> Response<Body> {
     let number = |name: &str| command[name].as_u64().unwrap_or_default();
     let until = Instant::now() + Duration::from_millis(number("wait_ms"));
