--- a/components/keeper/src/state.rs
+++ b/components/keeper/src/state.rs
@@ -141,6 +141,7 @@
         if let Some(conflict) = self.find_conflict(request) {
             return conflict;
         }
+        // Replicas store the reason, so its text must not differ between releases.
         let invalid = |reason: String| ChangeResult::Invalid { reason };
         if request.edits.is_empty() {
             return invalid("no edits".to_owned());
@@ -203,7 +204,7 @@
         };
         let keys: Vec<String> = edits.iter().filter_map(key_of).collect();
         if keys.iter().any(|key| key.starts_with("previous_claim_view")) {
-            return Err("[fleet] previous_claim_view: only the keeper sets this key".to_owned());
+            return Err("[fleet] previous_claim_view: written by the keeper only".to_owned());
         }
         let previous = Catalog::new(self.version, &self.tree).fleet().clone();
         if !keys.iter().any(|key| key == "claim_view") || previous.claim_view.is_empty() {
@@ -211,9 +212,7 @@
         }
         if change.accepted_at <= previous.previous_claim_view_until {
             let remaining = previous.previous_claim_view_until.since(change.accepted_at).as_secs();
-            return Err(format!(
-                "[fleet] claim_view: changed too recently; retry in {remaining} s"
-            ));
+            return Err(format!("[fleet] claim_view: changed before; again in {remaining} s"));
         }
         let until = change.accepted_at
             + previous.retention
--- a/components/settings/src/schema.rs
+++ b/components/settings/src/schema.rs
@@ -70,6 +70,8 @@
 
 impl Key {
     /// Parses a value; the error is a clause that names the reason.
+    ///
+    /// Keeper replicas store the reason, so its text must not differ between releases.
     pub fn parse(&self, text: &str) -> Result<Value, String> {
         match self.value_type {
             ValueType::Integer { min, max, unit } => parse_integer(text, min, max, unit),
@@ -240,7 +242,7 @@
 
 fn parse_text(text: &str) -> Result<Value, String> {
     if text.contains(['\n', '\r']) {
-        return Err("the value contains a line break".to_owned());
+        return Err("a value has one line".to_owned());
     }
     Ok(Value::Text(text.to_owned()))
 }
@@ -256,7 +258,7 @@
     }
     names.sort_unstable();
     if let Some(duplicate) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-        return Err(format!("'{}' is listed twice", duplicate[0]));
+        return Err(format!("'{}' stands twice", duplicate[0]));
     }
     Ok(Value::List(words))
 }
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -90,6 +90,8 @@
     /// Returns a copy of the tree with `edits` applied in order, or the first error.
     ///
     /// Parent sections are checked only after the last edit.
+    ///
+    /// Keeper replicas store the text of the error, so it must not differ between releases.
     pub fn with_edits(&self, edits: &[Edit]) -> Result<Self, SettingsError> {
         let mut updated = self.clone();
         for edit in edits {
@@ -112,7 +114,7 @@
             Edit::Unset { section, key } => {
                 let values = self.section_mut(section)?;
                 if values.remove(key).is_none() {
-                    let reason = "not set in this section";
+                    let reason = "not written here";
                     return Err(SettingsError::key(section.as_str(), key, reason));
                 }
             }
@@ -127,7 +129,7 @@
     }
 
     fn section_mut(&mut self, path: &SectionPath) -> Result<&mut Section, SettingsError> {
-        let not_found = || SettingsError::section(path.as_str(), "the section does not exist");
+        let not_found = || SettingsError::section(path.as_str(), "no such section");
         self.sections.get_mut(path).ok_or_else(not_found)
     }
 
