--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -1,11 +1,9 @@
 //! Decisions of an entry that places tasks by the free capacity which targets report.
 //!
-//! The entry holds a job while its client waits: it places the tasks at agents with free capacity,
-//! collects their results, and gives one answer for the whole job. Nothing is stored: if the entry
-//! dies, its jobs are lost and the agents stop their tasks.
-//!
-//! The crate uses no clock, socket or thread: [`Dispatcher::handle`] takes a time and an event and
-//! returns the actions that follow.
+//! The entry holds a job while its client waits and gives one answer for the whole job. Nothing is
+//! stored: if the entry dies, its jobs are lost and the agents stop their tasks. The crate uses no
+//! clock, socket or thread: [`Dispatcher::handle`] takes a time and an event and appends the
+//! resulting actions.
 
 mod admission;
 mod agents;
--- a/components/dispatch/src/planned_stop.rs
+++ b/components/dispatch/src/planned_stop.rs
@@ -1,11 +1,9 @@
 //! The steps of an entry's planned stop.
 //!
-//! The entry reports to the load balancer that it is not ready and continues to serve until the
-//! balancer has noticed. Then it closes idle connections, so that their clients connect to other
-//! entries, and admits only jobs that certainly end in time. The listener stays open, as the
-//! balancer still sends requests here if all entries are stopping. The entry ends once nothing is
-//! in progress and no request has arrived for a while. Jobs that are still open near the end of the
-//! platform's grace period are answered then.
+//! The load balancer sends requests until it notices that the entry is not ready, and longer if all
+//! entries are stopping. So the entry first serves as before, then admits only jobs that certainly
+//! end in time, and closes its listener once no requests arrive or the grace period is nearly over.
+//! Jobs that are still open shortly before its end are answered then.
 
 use std::time::Duration;
 
@@ -89,9 +87,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopStep {
     /// The balancer has noticed: admit only jobs that certainly end by this time, and close
-    /// connections once they are idle.
+    /// connections once they are idle, so that their clients connect to other entries.
     AdmitOnlyJobsEndingBy(Time),
-    /// Close the listener.
+    /// Close the listener. It stays open until then, as the balancer still sends requests here if
+    /// all entries are stopping.
     CloseListener,
     /// Answer all open jobs.
     AnswerAll,
@@ -101,7 +100,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// The balancer has not noticed yet.
+    /// The balancer has not noticed yet that the entry is not ready. Requests are served as before.
     AwaitingBalancer,
     /// The balancer has noticed. The listener is still open.
     Draining,
--- a/components/dispatch/src/retry_schedule.rs
+++ b/components/dispatch/src/retry_schedule.rs
@@ -2,11 +2,7 @@
 //!
 //! If all clients got the same delay, they would return together, overload the fleet again and
 //! displace new clients. So each client is assigned the first second for which the returning work
-//! is below a fraction of this entry's throughput. Part of that fraction is kept for the most
-//! urgent clients, so that they return first.
-//!
-//! This serves more clients at their first try and with fewer tries in total. The last clients of a
-//! burst wait longer in return.
+//! is below a fraction of this entry's throughput.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -24,7 +20,8 @@
 pub(crate) const MAX_RETRY_AFTER: Duration = Duration::from_secs(MAX_DELAY_SECONDS as u64);
 /// Fraction of the throughput that may be assigned to each second.
 const RETRY_FRACTION: f64 = 0.8;
-/// Fraction of that share that is open to all priorities. The rest is kept for the most urgent.
+/// Fraction of that share that is open to all priorities. The rest is kept for the most urgent
+/// clients, so that they return first.
 const COMMON_FRACTION: f64 = 0.6;
 /// Weight of the last second in the moving average of the throughput.
 const RATE_SMOOTHING: f64 = 0.3;
@@ -64,7 +61,8 @@
         self.done += work;
     }
 
-    /// Assigns a second to rejected work and returns the delay until then.
+    /// Assigns rejected work to the first second whose limit allows it, or else to the least
+    /// booked one. Returns the delay until then.
     fn book(&mut self, now: Time, work: f64, priority: u8) -> Duration {
         self.advance(now);
         let share = self.rate.max(self.done) * RETRY_FRACTION;
--- a/components/journal/src/format.rs
+++ b/components/journal/src/format.rs
@@ -1,10 +1,8 @@
-//! File format of the journal.
+//! File format of the journal: an eight-byte magic, followed by records and sync markers.
 //!
-//! A file starts with an eight-byte magic, followed by records and sync markers. A record consists
-//! of a twelve-byte header (payload length, CRC of the payload, CRC of the first eight header
-//! bytes; little-endian), the payload, and a nonzero end byte, so that a truncated record that the
-//! file system fills with zeros is never valid. A sync marker states that all bytes before it were
-//! synced; its content is determined by its offset. Files of version 1 have no markers.
+//! A record consists of a twelve-byte header (payload length, CRC of the payload, CRC of the first
+//! eight header bytes; little-endian), the payload and an end byte. A sync marker states that all
+//! bytes before it were synced. Files of version 1 have no markers.
 
 /// Magic of the current version.
 pub(crate) const MAGIC: &[u8; 8] = b"dockjrn2";
@@ -21,7 +19,8 @@
 const MAX_CORRUPT_MARKER_BYTES: usize = 2;
 /// Length of a record header in bytes.
 const HEADER_LEN: usize = 12;
-/// Byte after the payload.
+/// Byte after the payload. It is nonzero, so that a truncated record that the file system fills
+/// with zeros is never valid.
 const END_BYTE: u8 = 0xA5;
 
 /// Version of the file format.
@@ -69,7 +68,7 @@
     buffer.push(END_BYTE);
 }
 
-/// Returns the marker for an offset.
+/// Returns the marker for an offset, which determines its content.
 pub(crate) fn encode_marker(offset: u64) -> [u8; MARKER_LEN] {
     let mut marker = [0; MARKER_LEN];
     marker[..4].copy_from_slice(&MARKER_PREFIX);
--- a/components/keeper/src/full_disk.rs
+++ b/components/keeper/src/full_disk.rs
@@ -1,12 +1,9 @@
 //! Operation of a keeper whose disk is full.
 //!
-//! The keeper neither handles messages of other keepers nor sends anything that depends on the
-//! rejected records until these are stored. A leader first hands over leadership, so that changes
-//! are accepted again without waiting for an election timeout. Nodes are still served from memory
-//! with the committed state and the list of nodes, which a restart would lose.
-//!
-//! Whatever this keeper knows as committed is on the disks of a quorum, so it can be served. This
-//! does not hold if the keeper is the only voter.
+//! Until the rejected records are stored, the keeper neither handles messages of other keepers nor
+//! sends anything that depends on these records. Nodes are still served the committed state from
+//! memory. Whatever this keeper knows as committed is on the disks of a quorum, so it can be
+//! served; this does not hold if the keeper is the only voter.
 
 use consensus::Action as ReplicaAction;
 use model::Time;
@@ -14,9 +11,10 @@
 use crate::{Action, Event, Keeper, Reply};
 
 impl Keeper {
-    /// Handles a full disk. `rejected` are the actions whose records could not be stored; it is
-    /// empty if the first records of the journal could not be written. The caller keeps these
-    /// records and calls [`Keeper::disk_is_writable`] once they are stored.
+    /// Handles a full disk. A leader hands over leadership, so that changes are accepted again
+    /// without waiting for an election timeout. `rejected` are the actions whose records could not
+    /// be stored; it is empty if the first records of the journal could not be written. The caller
+    /// keeps these records and calls [`Keeper::disk_is_writable`] once they are stored.
     pub fn disk_is_full(&mut self, now: Time, rejected: Vec<Action>, actions: &mut Vec<Action>) {
         self.disk_full = true;
         actions.extend(rejected.into_iter().filter_map(without_unstored_effects));
@@ -39,6 +37,8 @@
         self.replica.voters().len() == 1
     }
 
+    /// Handles an event while the disk is full. Nodes still register and are answered from memory,
+    /// as a restart would lose the list of nodes.
     pub(crate) fn handle_without_disk(
         &mut self,
         now: Time,
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -1,10 +1,9 @@
 //! The settings store of the keepers: a replicated log of changes with versions and deltas.
 //!
 //! Besides the settings tree it holds the configuration document, which operators replace as a
-//! whole, the emptied halls, and a list of registered nodes, which is not replicated.
-//!
-//! The crate does no I/O and reads no clock: [`Keeper::handle`] takes the current time and an event
-//! and returns the actions to perform.
+//! whole, the emptied halls, and a list of registered nodes, which is not replicated. The crate
+//! does no I/O and reads no clock: [`Keeper::handle`] takes the current time and an event and
+//! appends the resulting actions.
 
 mod apply;
 mod event;
--- a/components/keeper/src/registry.rs
+++ b/components/keeper/src/registry.rs
@@ -1,10 +1,8 @@
 //! The nodes registered at this keeper, and those of them that wait for updates.
 //!
 //! The list is soft state: every node registers repeatedly at every keeper it knows, so a keeper
-//! that has just started soon has the complete list.
-//!
-//! Only entries are listed, as no node looks up agents. A node that has an earlier revision of the
-//! list receives the changes since then instead of the whole list.
+//! that has just started soon has the complete list. Nodes are sent only the entries, as no node
+//! looks up agents.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -175,8 +173,9 @@
         first.into_iter().chain(self.notify_at).min()
     }
 
-    /// The update of the list for a node that has this revision; `None` if the node is up to date
-    /// or takes the list from other keepers.
+    /// The update of the list for a node that has this revision: the changes since then, or the
+    /// whole list if some of them are no longer kept. `None` if the node is up to date or takes the
+    /// list from other keepers.
     pub fn list_update(&self, revision: Option<u64>) -> Option<NodeListUpdate> {
         let revision = revision.filter(|revision| *revision != self.revision)?;
         // A revision from an earlier start of this keeper differs in the high bits, so the
--- a/components/keeper/src/roster.rs
+++ b/components/keeper/src/roster.rs
@@ -3,9 +3,6 @@
 //! Nodes without a disk know only the keepers that their settings name. After a power loss of the
 //! whole fleet, other keepers may start first and would be unknown to the nodes. A starting keeper
 //! therefore notifies the nodes that it knew before, and they then register.
-//!
-//! A notice may be lost and is repeated for a few seconds. The stored list is only a hint; it is
-//! neither replicated nor part of the journal.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -15,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use wire::NodeInfo;
 
-/// Interval between two notices to a node.
+/// Interval between two notices to a node. They are repeated, as a notice may be lost.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(60);
 /// Time after the start for which nodes that have not registered are notified. Later, nodes find
 /// the keeper through their settings.
@@ -53,7 +50,8 @@
     last_contact: Option<Time>,
 }
 
-/// The nodes known to a keeper, including those stored before its start.
+/// The nodes known to a keeper, including those stored before its start. The stored list is only a
+/// hint; it is neither replicated nor part of the journal.
 #[derive(Debug)]
 pub struct Roster {
     started_at: Time,
--- a/components/membership/src/detector.rs
+++ b/components/membership/src/detector.rs
@@ -1,10 +1,9 @@
 //! SWIM failure detector (Das, Gupta, Motivala: SWIM, DSN 2002).
 //!
-//! Each node probes one other node per period, asks other nodes for indirect probes if no
-//! acknowledgement arrives, marks the target as suspect before it declares it dead, and piggybacks
-//! membership updates on the probe messages. The load per node does not depend on the number of
-//! nodes. A suspected node refutes the suspicion with a higher generation, so a process that is
-//! paused for less than the suspicion timeout is never declared dead.
+//! Each node probes one other node per period, indirectly if no acknowledgement arrives, and marks
+//! it as suspect before it declares it dead. A suspected node refutes the suspicion with a higher
+//! generation, so a process that is paused for no longer than [`Timing::max_stall`] is not declared
+//! dead.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
--- a/components/membership/src/host_list.rs
+++ b/components/membership/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's host list, parsed from INI with one section per node.
+//! The platform's host list, parsed from INI with one section per node:
 //!
 //! ```ini
 //! [a1]
@@ -8,9 +8,6 @@
 //! rack = r1
 //! state = live
 //! ```
-//!
-//! The list is eventually consistent. It defines which nodes may exist and which are leaving;
-//! liveness is determined by the failure detector.
 
 use std::net::SocketAddr;
 
@@ -55,7 +52,8 @@
     pub state: HostState,
 }
 
-/// The platform's host list.
+/// The platform's host list. It is eventually consistent and defines which nodes may exist and
+/// which are leaving; liveness is determined by the failure detector.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
     /// The nodes, sorted by name.
--- a/components/runner/src/instances.rs
+++ b/components/runner/src/instances.rs
@@ -1,15 +1,9 @@
 //! Tracks which instance of the target is the current one.
 //!
-//! Reports may arrive late: after newer reports of the same instance, or after the instance has
-//! crashed and another one has taken over its address. Instances cannot be ordered by id, clock,
-//! sequence number or start time, as the wall clock may be set back. But only one instance listens
-//! at an address at a time. An unknown instance that reports while another one is in use becomes a
-//! candidate and is probed with a hold. If the candidate answers a hold that was sent after its
-//! report arrived, it is the current instance and all earlier ones have ended; if another instance
-//! answers, the candidate has ended.
-//!
-//! A command carries only the id. If a target keeps its id, its next instance also accepts commands
-//! meant for the previous one, so only an answer with a start time identifies the instance.
+//! Reports may arrive late, and instances cannot be ordered by id, clock, sequence number or start
+//! time. But only one instance listens at an address at a time. So an unknown instance that reports
+//! while another one is in use becomes a candidate and is probed with a hold: if it answers a hold
+//! that was sent after its report arrived, it is current and all earlier instances have ended.
 
 use model::{TaskId, Time};
 use wire::Refusal;
@@ -166,7 +160,9 @@
     }
 
     /// Checks whether a hold sent to the current instance was answered by an instance with another
-    /// start time. If so, replaces the current instance by that one and returns true.
+    /// start time. If so, replaces the current instance by that one and returns true. A command
+    /// carries only the id, so an instance also accepts commands meant for an earlier one with the
+    /// same id; only the start time in the answer distinguishes them.
     pub(crate) fn other_instance_answered(
         &mut self,
         now: Time,
@@ -196,10 +192,10 @@
         true
     }
 
-    /// Processes an answer to a candidate's hold. Returns true if nothing more follows from the
-    /// answer: the candidate remains one or has ended. Returns false if the candidate has become
-    /// the current instance, so that the answer is processed as the target's, or if there is no
-    /// such candidate.
+    /// Processes an answer to a candidate's hold. If another instance answered, the candidate has
+    /// ended. Returns true if nothing more follows from the answer: the candidate remains one or
+    /// has ended. Returns false if the candidate has become the current instance, so that the
+    /// answer is processed as the target's, or if there is no such candidate.
     pub(crate) fn candidate_answered(
         &mut self,
         now: Time,
--- a/components/runner/src/lib.rs
+++ b/components/runner/src/lib.rs
@@ -1,15 +1,9 @@
 //! The agent's decision logic for a target that accepts work by capacity under a lease.
 //!
-//! The agent is the only process that sends commands to its target. It admits tasks of several
-//! entries into the target's capacity, renews the target's lease, collects the ends of runs, and
-//! stops the runs of an entry as soon as their session is lost.
-//!
-//! The lease is renewed by a *hold*: a long-poll request that the target answers when a run ends or
-//! its wait is over, with the runs that are active and those that have ended. Each process of a
-//! target is an *instance*; a restarted target is a new instance, possibly under the same id.
-//!
-//! The crate has no clock, sockets or threads: [`Runner::handle`] takes a time and an event and
-//! returns the resulting actions.
+//! The agent is the only process that sends commands to its target, and stops the runs of an entry
+//! as soon as their session is lost. It renews the lease by a *hold*: a long-poll request that the
+//! target answers when a run ends or its wait is over. The crate has no clock, sockets or threads:
+//! [`Runner::handle`] takes a time and an event and appends the resulting actions.
 
 mod commands;
 mod event;
--- a/components/runner/src/round_robin.rs
+++ b/components/runner/src/round_robin.rs
@@ -2,9 +2,8 @@
 //!
 //! If a full target reported freed capacity to all entries, each waiting entry would send a task:
 //! one would start, and the others would wait in vain and be placed elsewhere late. So while
-//! capacity is scarce, it is offered to one entry at a time for a few milliseconds, and the others
-//! are reported none. Only entries that have recently sent starts take turns; the others are
-//! reported the actual load and take turns once they have sent a start.
+//! capacity is scarce, it is offered to one entry at a time, and the others that have recently sent
+//! starts are reported none.
 
 use std::time::Duration;
 
@@ -62,7 +61,8 @@
         now + TURN
     }
 
-    /// Whether an entry with this last start takes turns.
+    /// Whether an entry with this last start takes turns. The others are reported the actual load
+    /// and take turns once they have sent a start.
     pub fn is_active(now: Time, last_start: Option<Time>) -> bool {
         last_start.is_some_and(|at| now.since(at) < ACTIVE_WINDOW)
     }
