--- a/daemon/tests/fault_injection.rs
+++ b/daemon/tests/fault_injection.rs
@@ -1,10 +1,5 @@
 //! Seeded runs of real processes under overlapping faults: signals to processes, link faults,
 //! silent connections, and large configurations over slow links.
-//!
-//! `DOCKPASS_FAULT_SEEDS` (signals only), `DOCKPASS_LINK_SEEDS` (with link faults),
-//! `DOCKPASS_SILENT_SEEDS` (with silent connections) and `DOCKPASS_LARGE_SEEDS` (with large
-//! configurations) select other seeds as `FIRST..END`; `DOCKPASS_LINK_ENTRIES`,
-//! `DOCKPASS_LINK_AGENTS` and `DOCKPASS_LINK_CLIENTS` set the size of fleets with proxies.
 
 // Tests measure wall-clock time and sleep.
 #![allow(clippy::disallowed_methods)]
--- a/soak/src/capacity/halls.rs
+++ b/soak/src/capacity/halls.rs
@@ -1,10 +1,7 @@
 //! Halls that operators empty and refill during faults.
 //!
-//! Agents are assigned to halls in turn. The simulation acts as the keepers: after a command is
-//! acknowledged, it notifies some of the processes, also those that restart later; the others
-//! receive the change from their sessions.
-//!
-//! A separate random stream keeps runs without hall commands unchanged.
+//! The simulation acts as the keepers: after a command is acknowledged, it notifies some of the
+//! processes, also those that restart later; the others receive the change from their sessions.
 
 use std::time::Duration;
 
@@ -16,7 +13,8 @@
 use super::faults::Fault;
 use super::simulation::{CALM_START, FAULT_PERIOD, SimEvent, Simulation};
 
-/// Separates this random stream from the others of the seed.
+/// Separates this random stream from the others of the seed, so that runs without hall commands
+/// stay unchanged.
 const RNG_STREAM: u64 = 0x4a11_0f0f_2b2b;
 /// The halls of a run.
 const HALLS: [&str; 2] = ["h0", "h1"];
@@ -67,7 +65,7 @@
         }
     }
 
-    /// Returns the hall of an agent's target.
+    /// Returns the hall of an agent's target. Agents are assigned to halls in turn.
     pub fn of_agent(agent: usize) -> &'static str {
         HALLS[agent % HALLS.len()]
     }
--- a/soak/src/keepers/moves.rs
+++ b/soak/src/keepers/moves.rs
@@ -1,11 +1,8 @@
 //! Moves of keepers to other hosts: a new keeper with an empty disk and a new name replaces the old
 //! one.
 //!
-//! Some replaced keepers return with their old disk. The keepers that were not replaced, or have
-//! returned, are present; after each move, the contacts of all keepers are drawn from them. Some
-//! keepers lose their disk a second time right after a restart.
-//!
-//! A separate random stream keeps runs without moves unchanged.
+//! Some replaced keepers return with their old disk. Some moves instead lose the disk of a keeper
+//! twice, the second time right after a restart.
 
 use std::time::Duration;
 
@@ -18,7 +15,8 @@
 use super::disks::KeeperNode;
 use super::simulation::{KeeperSimulation, SimEvent};
 
-/// Separates this random stream from the others of the seed.
+/// Separates this random stream from the others of the seed, so that runs without moves stay
+/// unchanged.
 const RNG_STREAM: u64 = 0x0d0e_5a11_f0e5;
 /// Longest time between two moves.
 const MAX_PAUSE: Duration = Duration::from_secs(6);
@@ -125,7 +123,8 @@
         self.lose_disk(number);
     }
 
-    /// Sets the contacts of all keepers to a random selection of the present ones.
+    /// Sets the contacts of all keepers to a random selection of the present ones: those that were
+    /// not replaced, or have returned.
     fn update_contacts(&mut self) {
         let names = self.present_names();
         let Some(moves) = &mut self.moves else { return };
