--- a/daemon/src/config/keys.rs
+++ b/daemon/src/config/keys.rs
@@ -54,19 +54,19 @@
         name: "node_port",
         value_type: ValueType::Integer { min: 0, max: 65_535, unit: "port" },
         default: "0",
-        help: "With room: the port at which every keeper listens for nodes. Has to be written.",
+        help: "With scheduling = room: the port at which every keeper listens for nodes. Has to be written.",
     },
     Key {
         name: "metrics",
         value_type: ValueType::Text,
         default: "",
-        help: "With room: IP:PORT where counters and latencies are served as text at /metrics.",
+        help: "With scheduling = room: IP:PORT where counters and latencies are served as text at /metrics.",
     },
     Key {
         name: "stop_grace_s",
         value_type: ValueType::Seconds { min_ms: 1_000, max_ms: 600_000 },
         default: "6",
-        help: "With room: how long the platform waits from SIGTERM until it ends the process by force.",
+        help: "With scheduling = room: how long the platform waits from SIGTERM until it ends the process by force.",
     },
     Key {
         name: "logs",
@@ -93,19 +93,19 @@
         name: "ready_listen",
         value_type: ValueType::Text,
         default: "",
-        help: "With room: IP:PORT where the balancer asks whether it is ready. Has to be written.",
+        help: "With scheduling = room: IP:PORT where the balancer asks whether it is ready. Has to be written.",
     },
     Key {
         name: "peer_listen",
         value_type: ValueType::Address,
         default: "",
-        help: "Where other entries (with room: agents) reach it. Has to be written.",
+        help: "Where other entries (with scheduling = room: agents) reach it. Has to be written.",
     },
     Key {
         name: "peer_address",
         value_type: ValueType::Text,
         default: "",
-        help: "With room: IP:PORT at which agents reach it, if other than peer_listen.",
+        help: "With scheduling = room: IP:PORT at which agents reach it, if other than peer_listen.",
     },
     Key {
         name: "drain_notice_ms",
@@ -120,7 +120,7 @@
         name: "listen",
         value_type: ValueType::Address,
         default: "",
-        help: "Where entries (with room: its target) reach it. Has to be written.",
+        help: "Where entries (with scheduling = room: its target) reach it. Has to be written.",
     },
     Key {
         name: "target",
@@ -150,19 +150,19 @@
         name: "entries_served",
         value_type: ValueType::Integer { min: 1, max: 1_024, unit: "entries" },
         default: "6",
-        help: "With room: minimum number of entries to have sessions with, if there are as many.",
+        help: "With scheduling = room: minimum number of entries to have sessions with, if there are as many.",
     },
     Key {
         name: "agents_of_entry",
         value_type: ValueType::Integer { min: 1, max: 4_096, unit: "agents" },
         default: "28",
-        help: "With room: agents of its service that each entry has at least, on average.",
+        help: "With scheduling = room: agents of its service that each entry has at least, on average.",
     },
     Key {
         name: "longest_lease_ms",
         value_type: ValueType::Integer { min: 100, max: 3_600_000, unit: "ms" },
         default: "15000",
-        help: "With room: the longest lease that its target grants, whatever a command asks for.",
+        help: "With scheduling = room: the longest lease that its target grants, whatever a command asks for.",
     },
 ];
 
@@ -195,13 +195,13 @@
         name: "found",
         value_type: ValueType::Flag,
         default: "false",
-        help: "With room: creates a new cluster on an empty disk, if it is one of [node] keepers.",
+        help: "With scheduling = room: creates a new cluster on an empty disk, if it is one of [node] keepers.",
     },
     Key {
         name: "tolerated_losses",
         value_type: ValueType::Integer { min: 0, max: 3, unit: "keepers" },
         default: "1",
-        help: "With room: keepers that may be lost at once; twice this number plus one vote.",
+        help: "With scheduling = room: keepers that may be lost at once; twice this number plus one vote.",
     },
     Key {
         name: "peers",
@@ -216,7 +216,7 @@
     name: "without",
     value_type: ValueType::Text,
     default: "",
-    help: "With room: parts of the policy that are switched off, separated by spaces.",
+    help: "With scheduling = room: parts of the policy that are switched off, separated by spaces.",
 }];
 
 /// The sections of the reference page with their keys.
