--- a/components/runner/src/commands.rs
+++ b/components/runner/src/commands.rs
@@ -200,7 +200,7 @@
         if stopping {
             return;
         }
-        actions.push(Action::Log(LogEvent::StartSilent(task.clone())));
+        actions.push(Action::Log(LogEvent::StartUnanswered(task.clone())));
         let Some(run) = self.runs.get_mut(task) else { return };
         run.unanswered_starts += 1;
         if run.unanswered_starts < MAX_UNANSWERED_STARTS {
--- a/components/runner/src/event.rs
+++ b/components/runner/src/event.rs
@@ -296,22 +296,22 @@
 /// A decision or a change of state, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A new target instance is in use.
-    TargetFound {
+    /// A new target instance became the current one.
+    TargetAdopted {
         /// The instance.
         instance: TargetInstance,
         /// Fencing token of the agent's commands to this instance.
         fencing_token: u64,
     },
     /// The target instance has ended.
-    TargetGone {
+    TargetEnded {
         /// The instance.
         instance: TargetInstance,
         /// Number of runs that ended with the instance.
         lost: usize,
     },
     /// An unknown instance reported while another one is in use; it is probed with a hold.
-    TargetAsked(TargetInstance),
+    CandidateProbed(TargetInstance),
     /// A report was older than an earlier one of its instance, or its instance has ended. The
     /// report is ignored, except that draining is kept if the instance is the current one.
     TargetReportLate {
@@ -324,10 +324,10 @@
         /// Highest sequence number received from the current instance; 0 if there is no instance.
         present_sequence: u64,
     },
-    /// The target does not answer.
-    TargetSilent(TargetInstance),
+    /// The target has stopped answering holds.
+    TargetUnresponsive(TargetInstance),
     /// The target answers again.
-    TargetHeard(TargetInstance),
+    TargetAnsweredAgain(TargetInstance),
     /// The set of emptied halls has changed.
     Halls {
         /// The emptied halls with their revision.
@@ -338,16 +338,16 @@
         source: HallsSource,
     },
     /// The target is about to leave and gets no new work.
-    TargetDrains(TargetInstance),
+    TargetDraining(TargetInstance),
     /// The target is excluded for a while because its runs fail.
-    TargetLeftOut {
+    TargetExcluded {
         /// Number of consecutive failures.
         failures: u32,
         /// Duration of the exclusion, in ms.
         for_ms: u64,
     },
     /// The target completes tasks again and is no longer excluded.
-    TargetTakenBack,
+    TargetRestored,
     /// A session with an entry opened.
     SessionOpened(SessionId),
     /// A session was lost; its runs are stopped.
@@ -386,7 +386,7 @@
         estimated_ms: u32,
     },
     /// A start was not answered; it is sent again or stopped.
-    StartSilent(TaskId),
+    StartUnanswered(TaskId),
     /// The target lists a run that the agent does not track, such as one of an earlier agent
     /// process; it is stopped.
     Orphan(TaskId),
--- a/components/runner/src/hold.rs
+++ b/components/runner/src/hold.rs
@@ -39,7 +39,7 @@
         let silent = now.since(target.last_hold_answer) > timing.hold_wait + timing.target_timeout;
         if silent && !target.silent {
             target.silent = true;
-            actions.push(Action::Log(LogEvent::TargetSilent(target.instance().clone())));
+            actions.push(Action::Log(LogEvent::TargetUnresponsive(target.instance().clone())));
             self.mark_load_changed();
         }
         self.end_runs_of_expired_lease(now, actions);
@@ -133,7 +133,7 @@
                     target.unconfirmed_leave.take_if(|left| *left < sent).is_some();
                 let was_silent = std::mem::take(&mut target.silent);
                 if was_silent {
-                    actions.push(Action::Log(LogEvent::TargetHeard(instance.clone())));
+                    actions.push(Action::Log(LogEvent::TargetAnsweredAgain(instance.clone())));
                 }
                 if was_silent || had_unconfirmed_leave {
                     self.mark_load_changed();
--- a/components/runner/src/instances.rs
+++ b/components/runner/src/instances.rs
@@ -91,7 +91,7 @@
         if self.candidates.len() == MAX_CANDIDATES {
             self.candidates.remove(0);
         }
-        actions.push(Action::Log(LogEvent::TargetAsked(report.instance.clone())));
+        actions.push(Action::Log(LogEvent::CandidateProbed(report.instance.clone())));
         let mut candidate = Target::new(report, now);
         if let Some(target) = &self.target {
             candidate.inherit_fencing_token(target);
@@ -117,7 +117,7 @@
             self.send_hello(actions);
         }
         if starts_draining {
-            actions.push(Action::Log(LogEvent::TargetDrains(instance)));
+            actions.push(Action::Log(LogEvent::TargetDraining(instance)));
             self.refuse_waiting(now, Refusal::Closed, actions);
         }
         self.mark_load_changed();
@@ -318,7 +318,7 @@
 
     /// Makes an instance the current one. Nothing starts on it before it has answered a hold.
     fn adopt_instance(&mut self, target: Target, actions: &mut Vec<Action>) {
-        actions.push(Action::Log(LogEvent::TargetFound {
+        actions.push(Action::Log(LogEvent::TargetAdopted {
             instance: target.instance().clone(),
             fencing_token: target.fencing_token,
         }));
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -338,7 +338,7 @@
         let ended = self.runs.iter().filter(|(task, run)| !is_carried_over(task, run));
         let ends: Vec<(TaskId, TaskEnd)> =
             ended.map(|(task, run)| (task.clone(), end_of(run))).collect();
-        actions.push(Action::Log(LogEvent::TargetGone {
+        actions.push(Action::Log(LogEvent::TargetEnded {
             instance: target.instance().clone(),
             lost: ends.len(),
         }));
@@ -468,8 +468,8 @@
         HealthChange::None => {}
         HealthChange::Excluded { failures, exclusion } => {
             let for_ms = exclusion.as_millis() as u64;
-            actions.push(Action::Log(LogEvent::TargetLeftOut { failures, for_ms }));
+            actions.push(Action::Log(LogEvent::TargetExcluded { failures, for_ms }));
         }
-        HealthChange::Restored => actions.push(Action::Log(LogEvent::TargetTakenBack)),
+        HealthChange::Restored => actions.push(Action::Log(LogEvent::TargetRestored)),
     }
 }
--- a/daemon/src/capacity/agent_log.rs
+++ b/daemon/src/capacity/agent_log.rs
@@ -16,17 +16,17 @@
 /// Writes an event as one log line.
 pub(super) fn write_event(log: &EventLog, event: &LogEvent) {
     match event {
-        LogEvent::TargetFound { instance, fencing_token } => log.line(
+        LogEvent::TargetAdopted { instance, fencing_token } => log.line(
             "target-found",
             Budget::Full,
             || json!({"target": instance.to_string(), "fencing_token": fencing_token}),
         ),
-        LogEvent::TargetGone { instance, lost } => log.line(
+        LogEvent::TargetEnded { instance, lost } => log.line(
             "target-gone",
             Budget::Full,
             || json!({"target": instance.to_string(), "lost": lost}),
         ),
-        LogEvent::TargetAsked(instance) => {
+        LogEvent::CandidateProbed(instance) => {
             log.line("target-asked", Budget::Full, || json!({"target": instance.to_string()}));
         }
         LogEvent::TargetReportLate { instance, sequence, present, present_sequence } => {
@@ -36,27 +36,27 @@
                     "present_sequence": present_sequence})
             });
         }
-        LogEvent::TargetSilent(instance) => {
+        LogEvent::TargetUnresponsive(instance) => {
             log.line("target-silent", Budget::Full, || json!({"target": instance.to_string()}));
         }
-        LogEvent::TargetHeard(instance) => {
+        LogEvent::TargetAnsweredAgain(instance) => {
             log.line("target-heard", Budget::Full, || json!({"target": instance.to_string()}));
         }
         LogEvent::Halls { halls, emptied, source } => log.line("halls", Budget::Full, || {
             json!({"revision": halls.revision, "emptied": halls.to_string(), "own": emptied,
                 "from": halls_source(*source)})
         }),
-        LogEvent::TargetDrains(instance) => {
+        LogEvent::TargetDraining(instance) => {
             log.line("target-drains", Budget::Full, || json!({"target": instance.to_string()}));
         }
-        LogEvent::TargetLeftOut { failures, for_ms } => {
+        LogEvent::TargetExcluded { failures, for_ms } => {
             log.line(
                 "target-left-out",
                 Budget::Full,
                 || json!({"failures": failures, "for_ms": for_ms}),
             );
         }
-        LogEvent::TargetTakenBack => log.line("target-taken-back", Budget::Full, || json!({})),
+        LogEvent::TargetRestored => log.line("target-taken-back", Budget::Full, || json!({})),
         LogEvent::SessionOpened(session) => {
             log.line("session-opened", Budget::Full, || json!({"session": session.0}));
         }
@@ -83,7 +83,7 @@
             json!({"job": task.job.as_str(), "task": task.index, "ran_ms": ran_ms,
                 "estimated_ms": estimated_ms})
         }),
-        LogEvent::StartSilent(task) => log.line(
+        LogEvent::StartUnanswered(task) => log.line(
             "start-silent",
             Budget::Full,
             || json!({"job": task.job.as_str(), "task": task.index}),
