--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -59,7 +59,7 @@
     /// this.
     pub max_start_age: Duration,
     /// A gap between two events after which the process counts as paused.
-    pub max_event_gap: Duration,
+    pub pause_threshold: Duration,
     /// Minimum time between two load reports to an entry.
     pub min_load_interval: Duration,
     /// Upper bound of the time between two load reports while the load changes; the faster
@@ -91,7 +91,7 @@
             idle_session_timeout: Duration::from_millis(900),
             retire_notice: Duration::from_millis(500),
             max_start_age: Duration::from_millis(400),
-            max_event_gap: Duration::from_millis(400),
+            pause_threshold: Duration::from_millis(400),
             min_load_interval: Duration::from_millis(8),
             max_adaptive_load_interval: Duration::from_millis(90),
             load_change_fraction: 0.5,
@@ -193,7 +193,7 @@
 
     /// Processes an event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        if now.since(self.last_event) > self.timing.max_event_gap {
+        if now.since(self.last_event) > self.timing.pause_threshold {
             // Queued events may be outdated, and entries have given up on this agent.
             self.lose_all_sessions("stood still", actions);
         }
