--- a/components/dispatch/src/admission.rs
+++ b/components/dispatch/src/admission.rs
@@ -123,7 +123,12 @@
         actions.push(Action::Answer(call, outcome));
     }
 
-    pub(crate) fn abandon(&mut self, now: Time, call: CallId, actions: &mut Vec<Action>) {
+    pub(crate) fn handle_client_disconnect(
+        &mut self,
+        now: Time,
+        call: CallId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(id) = self.calls.remove(&call) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.calls.retain(|other| *other != call);
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -188,7 +188,7 @@
             Event::AgentClosed(id) => self.remove_agent(id, "closed", actions),
             Event::FromAgent(id, message) => self.handle_agent_message(now, id, message, actions),
             Event::Submit(call, request) => self.submit(now, call, request, actions),
-            Event::Abandon(call) => self.abandon(now, call, actions),
+            Event::ClientDisconnected(call) => self.handle_client_disconnect(now, call, actions),
             Event::Cancel(job) => self.cancel(now, &job, actions),
             Event::CancelledElsewhere(job) => self.cancel_local(now, &job, actions),
             Event::EmptiedHalls(halls) => {
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -175,7 +175,7 @@
     /// A client submits a job.
     Submit(CallId, JobRequest),
     /// A client disconnected before it was answered.
-    Abandon(CallId),
+    ClientDisconnected(CallId),
     /// A client cancels a job, which may belong to another entry.
     Cancel(JobId),
     /// Another entry reports that a client cancelled this job there.
--- a/components/dispatch/tests/dispatcher.rs
+++ b/components/dispatch/tests/dispatcher.rs
@@ -92,7 +92,7 @@
     let mut entry = Entry::with_agents([16_000]);
     let call = entry.submit(job(3, 200));
     entry.take_starts();
-    entry.handle(Event::Abandon(call));
+    entry.handle(Event::ClientDisconnected(call));
     assert_eq!(entry.take_stops().len(), 3);
     assert_eq!(entry.dispatcher.active_jobs(), 0);
     assert_eq!(entry.answer(call), None, "no client waits");
@@ -103,7 +103,7 @@
     let mut entry = Entry::with_agents([16_000]);
     let first = entry.submit(job(1, 200));
     let starts = entry.take_starts();
-    entry.handle(Event::Abandon(first));
+    entry.handle(Event::ClientDisconnected(first));
     let second = entry.submit(job(1, 200));
     entry.run_for(50, &[(1, 16_000)]);
     assert!(entry.take_starts().is_empty(), "the first run may not have ended");
@@ -184,7 +184,7 @@
     let mut entry = Entry::with_agents([16_000]);
     let first = entry.submit(job(1, 200));
     let starts = entry.take_starts();
-    entry.handle(Event::Abandon(first));
+    entry.handle(Event::ClientDisconnected(first));
     let second = entry.submit(job(1, 200));
     entry.handle(Event::Cancel(JobId::new("5c0e7a21d94b36f8")));
     assert_eq!(entry.answer(second), Some(Outcome::Cancelled));
@@ -319,9 +319,9 @@
     let mut entry = Entry::with_agents([16_000]);
     let first = entry.submit(job(1, 200));
     let starts = entry.take_starts();
-    entry.handle(Event::Abandon(first));
+    entry.handle(Event::ClientDisconnected(first));
     let second = entry.submit(job(1, 200));
-    entry.handle(Event::Abandon(second));
+    entry.handle(Event::ClientDisconnected(second));
     entry.report_end(&starts[0], TaskEnd::Stopped);
     entry.run_for(50, &[(1, 16_000)]);
     assert!(entry.take_starts().is_empty(), "no client waits");
@@ -332,7 +332,7 @@
     let mut entry = Entry::with_agents([16_000]);
     let first = entry.submit(job(1, 200));
     let starts = entry.take_starts();
-    entry.handle(Event::Abandon(first));
+    entry.handle(Event::ClientDisconnected(first));
     let second = entry.submit(job(1, 200));
     let third = entry.submit(job(1, 200));
     assert!(matches!(entry.answer(second), Some(Outcome::MayHaveRun(_))));
--- a/components/dispatch/tests/planned_stop.rs
+++ b/components/dispatch/tests/planned_stop.rs
@@ -141,7 +141,7 @@
     let mut entry = Entry::with_agents([16_000]);
     let first = entry.submit(job(1, 556));
     entry.take_starts();
-    entry.handle(Event::Abandon(first));
+    entry.handle(Event::ClientDisconnected(first));
     let second = entry.submit(job(1, 556));
     entry.handle(Event::AnswerAll);
     assert_eq!(entry.answer(second), Some(Outcome::MayHaveRun(Reason::Draining)));
@@ -157,7 +157,7 @@
     let mut entry = Entry::with_agents([16_000]);
     let first = entry.submit(job(1, 556));
     let starts = entry.take_starts();
-    entry.handle(Event::Abandon(first));
+    entry.handle(Event::ClientDisconnected(first));
     let second = entry.submit(job(1, 556));
     entry.handle(Event::AdmitOnlyJobsEndingBy(entry.now + Duration::from_millis(500)));
     entry.report_end(&starts[0], TaskEnd::Done);
--- a/daemon/src/capacity/entry.rs
+++ b/daemon/src/capacity/entry.rs
@@ -343,7 +343,7 @@
     }
 
     /// Submits a job; its outcome arrives on the returned channel. Dropping the guard before that
-    /// abandons the call.
+    /// reports that the client has disconnected.
     pub fn submit(
         self: &Rc<Self>,
         request: dispatch::JobRequest,
@@ -365,7 +365,8 @@
     }
 }
 
-/// A client that waits for an outcome; dropping it early reports that the client is gone.
+/// A client that waits for an outcome; dropping it early reports that the client has
+/// disconnected.
 pub(super) struct CallGuard {
     entry: Rc<Entry>,
     call_id: CallId,
@@ -374,7 +375,7 @@
 impl Drop for CallGuard {
     fn drop(&mut self) {
         if self.entry.pending_calls.borrow_mut().remove(&self.call_id).is_some() {
-            self.entry.handle_event(Event::Abandon(self.call_id));
+            self.entry.handle_event(Event::ClientDisconnected(self.call_id));
         }
     }
 }
--- a/soak/src/capacity/simulation.rs
+++ b/soak/src/capacity/simulation.rs
@@ -95,8 +95,8 @@
     Submit(JobId),
     /// An entry reads a request that arrived during its pause.
     QueuedSubmit(usize, u64, CallId, JobRequest),
-    /// An entry notices that a client has closed its request.
-    Abandon(usize, u64, CallId),
+    /// An entry notices that a client has closed the connection of its request.
+    ClientDisconnected(usize, u64, CallId),
     /// The deadline of a client, with the number of its try.
     ClientTimeout(JobId, u32),
     Fault(Fault),
@@ -451,12 +451,15 @@
                     self.deliver_to_entry(entry, dispatch::Event::Submit(call_id, request));
                 }
             }
-            SimEvent::Abandon(entry, incarnation, call_id) => {
+            SimEvent::ClientDisconnected(entry, incarnation, call_id) => {
                 let paused_until = self.entries[entry].paused_until;
                 if paused_until > self.now {
-                    self.schedule_at(paused_until, SimEvent::Abandon(entry, incarnation, call_id));
+                    self.schedule_at(
+                        paused_until,
+                        SimEvent::ClientDisconnected(entry, incarnation, call_id),
+                    );
                 } else if self.entries[entry].incarnation == incarnation {
-                    self.deliver_to_entry(entry, dispatch::Event::Abandon(call_id));
+                    self.deliver_to_entry(entry, dispatch::Event::ClientDisconnected(call_id));
                 }
             }
             SimEvent::ClientTimeout(id, tries) => self.client_timed_out(&id, tries),
--- a/soak/src/capacity/submissions.rs
+++ b/soak/src/capacity/submissions.rs
@@ -58,7 +58,10 @@
         process.jobs.remove(&CallId(call_id));
         let (paused_until, incarnation) = (process.paused_until, process.incarnation);
         let noticed_at = paused_until.max(self.now);
-        self.schedule_at(noticed_at, SimEvent::Abandon(entry, incarnation, CallId(call_id)));
+        self.schedule_at(
+            noticed_at,
+            SimEvent::ClientDisconnected(entry, incarnation, CallId(call_id)),
+        );
         self.send_again(id);
     }
 
