--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -108,7 +108,7 @@
     let watch = agent.start_watch(&context, &config);
     reload_until_stopped(&context, |config| {
         agent.stop_grace.set(config.node.stop_grace);
-        watch.set_seeds(&config.node.keepers);
+        watch.set_contacts(&config.node.keepers);
     })
     .await;
     agent.drain().await;
--- a/daemon/src/capacity/entry.rs
+++ b/daemon/src/capacity/entry.rs
@@ -127,7 +127,7 @@
     reload_until_stopped(&context, |config| {
         entry.stop.grace.set(config.node.stop_grace);
         if let Some(watch) = &*entry.watch.borrow() {
-            watch.set_seeds(&config.node.keepers);
+            watch.set_contacts(&config.node.keepers);
         }
     })
     .await;
--- a/daemon/src/capacity/keeper_watch.rs
+++ b/daemon/src/capacity/keeper_watch.rs
@@ -73,7 +73,7 @@
     node_port: u16,
     callbacks: WatchCallbacks,
     /// Keepers named in the configuration.
-    seeds: RefCell<BTreeSet<SocketAddr>>,
+    contacts: RefCell<BTreeSet<SocketAddr>>,
     /// Keepers that other keepers report, by the reporting keeper.
     reported: RefCell<BTreeMap<SocketAddr, Vec<SocketAddr>>>,
     /// Keepers that this node connects to or tries to reach.
@@ -100,7 +100,7 @@
         tasks: Spawner,
         log: EventLog,
         node_port: u16,
-        seeds: &[SocketAddr],
+        contacts: &[SocketAddr],
         callbacks: WatchCallbacks,
     ) -> Rc<Self> {
         let watch = Rc::new(Self {
@@ -109,7 +109,7 @@
             log,
             node_port,
             callbacks,
-            seeds: RefCell::default(),
+            contacts: RefCell::default(),
             reported: RefCell::default(),
             followed: RefCell::default(),
             listings: RefCell::default(),
@@ -117,7 +117,7 @@
             fetch: RefCell::default(),
             clock: Clock::start(),
         });
-        watch.set_seeds(seeds);
+        watch.set_contacts(contacts);
         watch.listen_for_announcements();
         watch
     }
@@ -160,11 +160,11 @@
     }
 
     /// Replaces the configured keepers and follows new ones.
-    pub fn set_seeds(self: &Rc<Self>, seeds: &[SocketAddr]) {
+    pub fn set_contacts(self: &Rc<Self>, contacts: &[SocketAddr]) {
         let port = self.node_port;
-        let seeds = seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect();
-        *self.seeds.borrow_mut() = seeds;
-        let all: Vec<SocketAddr> = self.seeds.borrow().iter().copied().collect();
+        let contacts = contacts.iter().map(|contact| SocketAddr::new(contact.ip(), port)).collect();
+        *self.contacts.borrow_mut() = contacts;
+        let all: Vec<SocketAddr> = self.contacts.borrow().iter().copied().collect();
         all.into_iter().for_each(|keeper| self.add_keeper(keeper));
     }
 
@@ -182,7 +182,7 @@
             .borrow()
             .iter()
             .any(|(by, reported)| *by != keeper && reported.contains(&keeper));
-        by_others || self.seeds.borrow().contains(&keeper)
+        by_others || self.contacts.borrow().contains(&keeper)
     }
 
     /// Follows a keeper until it stays unreachable and nothing refers to it any more.
--- a/daemon/src/keeper_role/mod.rs
+++ b/daemon/src/keeper_role/mod.rs
@@ -254,8 +254,9 @@
     if node.scheduling != Scheduling::Capacity {
         return Vec::new();
     }
-    let name =
-        |seed: &SocketAddr| NodeName::new(&SocketAddr::new(seed.ip(), node.node_port).to_string());
+    let name = |contact: &SocketAddr| {
+        NodeName::new(&SocketAddr::new(contact.ip(), node.node_port).to_string())
+    };
     node.keepers.iter().map(name).collect()
 }
 
