--- a/components/agent/src/event.rs
+++ b/components/agent/src/event.rs
@@ -92,7 +92,7 @@
     Tick,
 }
 
-/// An output of the agent's state machine, carried out by the daemon.
+/// An output of the agent's state machine, executed by the daemon.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Answers a call.
--- a/components/consensus/src/lib.rs
+++ b/components/consensus/src/lib.rs
@@ -2,8 +2,8 @@
 //! single-server membership changes.
 //!
 //! The crate does no I/O and reads no clock: [`Replica::handle`] takes the current time and an
-//! event and returns the actions to perform. Records in a store action have to be synced before any
-//! later action is performed.
+//! event and returns the actions to execute. Records in a store action have to be synced before any
+//! later action is executed.
 //!
 //! Ongaro, Ousterhout: In Search of an Understandable Consensus Algorithm, USENIX ATC 2014. Unlike
 //! in Raft, a replica may rejoin after it has lost its disk. It is then *blank*: it neither votes
--- a/components/consensus/tests/cluster/mod.rs
+++ b/components/consensus/tests/cluster/mod.rs
@@ -125,7 +125,7 @@
     }
 
     /// Cuts the power while the next message is processed: only the first `kept` unsynced records
-    /// are stored, and no later action is performed.
+    /// are stored, and no later action is executed.
     pub fn lose_power(&mut self, name: &NodeName, kept: usize) {
         let now = self.now;
         let to_replica = self.messages.iter().filter(|(_, (_, to, _))| to == name);
--- a/components/entry/src/event.rs
+++ b/components/entry/src/event.rs
@@ -158,7 +158,7 @@
     Tick,
 }
 
-/// An output of the entry's state machine, carried out by the daemon.
+/// An output of the entry's state machine, executed by the daemon.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Answers a waiting caller.
--- a/components/keeper/src/apply.rs
+++ b/components/keeper/src/apply.rs
@@ -30,7 +30,7 @@
 }
 
 impl Keeper {
-    /// Passes an event to the replica and performs the resulting actions.
+    /// Passes an event to the replica and executes the resulting actions.
     pub(crate) fn step_replica(
         &mut self,
         now: Time,
@@ -40,7 +40,7 @@
         let mut replica_actions = Vec::new();
         self.replica.handle(now, event, &mut replica_actions);
         for action in replica_actions {
-            self.perform_action(now, action, actions);
+            self.execute_action(now, action, actions);
         }
         if self.needs_compaction() {
             self.compact(actions);
@@ -53,7 +53,7 @@
         many_entries || self.replica.committed_bytes() > COMPACT_AT_BYTES
     }
 
-    fn perform_action(&mut self, now: Time, action: consensus::Action, actions: &mut Vec<Action>) {
+    fn execute_action(&mut self, now: Time, action: consensus::Action, actions: &mut Vec<Action>) {
         use consensus::Action as ReplicaAction;
         match action {
             ReplicaAction::Store(records) => actions.push(Action::Store(records)),
--- a/components/keeper/src/event.rs
+++ b/components/keeper/src/event.rs
@@ -80,11 +80,11 @@
     NotLeader(Option<NodeName>),
 }
 
-/// An output of a keeper. Actions have to be performed in order, as later ones may depend on
+/// An output of a keeper. Actions have to be executed in order, as later ones may depend on
 /// earlier stores.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Appends records to the journal; they have to be synced before any later action is performed.
+    /// Appends records to the journal; they have to be synced before any later action is executed.
     Store(Vec<Record>),
     /// Atomically replaces all records of the journal by these and syncs it.
     Rewrite(Vec<Record>),
--- a/components/keeper/src/lib.rs
+++ b/components/keeper/src/lib.rs
@@ -4,7 +4,7 @@
 //! whole, the emptied halls, and a list of registered nodes, which is not replicated.
 //!
 //! The crate does no I/O and reads no clock: [`Keeper::handle`] takes the current time and an event
-//! and returns the actions to perform.
+//! and returns the actions to execute.
 
 mod apply;
 mod event;
--- a/components/runner/src/event.rs
+++ b/components/runner/src/event.rs
@@ -276,7 +276,7 @@
     Tick,
 }
 
-/// An action that the caller performs for the agent.
+/// An action that the caller executes for the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Sends a message to an entry.
--- a/soak/src/keepers/disks.rs
+++ b/soak/src/keepers/disks.rs
@@ -69,7 +69,7 @@
 }
 
 impl KeeperSimulation {
-    /// Applies the writes among `actions`. Returns the actions to carry out next, which the keeper
+    /// Applies the writes among `actions`. Returns the actions to execute next, which the keeper
     /// replaces if its disk is full.
     pub fn store_or_refuse(&mut self, number: usize, actions: Vec<Action>) -> Vec<Action> {
         if self.keepers[number].full && actions.iter().any(is_store) {
@@ -86,7 +86,7 @@
     }
 
     /// Kills a keeper while it writes the result of its next message: only some of the first
-    /// records reach the disk, and no other action is carried out.
+    /// records reach the disk, and no other action is executed.
     pub fn crash_while_storing(&mut self, number: usize) {
         let now = self.now;
         let message = self.next_message(number);
