--- a/components/dispatch/src/planned_stop.rs
+++ b/components/dispatch/src/planned_stop.rs
@@ -14,9 +14,9 @@
 /// Times of a planned stop. Times named `..._after` count from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopTiming {
-    /// Number of not-ready responses after which the balancer sends no more requests.
-    pub required_notices: u32,
-    /// How long to wait for the balancer to ask that often.
+    /// Number of failed readiness checks after which the balancer sends no more requests.
+    pub required_failed_checks: u32,
+    /// How long to wait for that many checks.
     pub notice_timeout: Duration,
     /// Time without a new connection or request after which the balancer is taken to send no more.
     pub quiet_period: Duration,
@@ -32,7 +32,7 @@
 
 /// The balancer checks an entry at regular intervals and is taken to have removed it after this many
 /// failed checks.
-const REQUIRED_NOTICES: u32 = 2;
+const REQUIRED_FAILED_CHECKS: u32 = 2;
 /// Must cover that many checks at the balancer's interval.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// Must cover the delivery of a connection that the balancer opened before it noticed, and the time
@@ -61,7 +61,7 @@
     pub fn within(grace: Duration) -> Self {
         let before = |margin: Duration, divisor: u32| grace - margin.min(grace / divisor);
         Self {
-            required_notices: REQUIRED_NOTICES,
+            required_failed_checks: REQUIRED_FAILED_CHECKS,
             notice_timeout: NOTICE_TIMEOUT.min(grace / 2),
             quiet_period: QUIET_PERIOD,
             close_listener_after: before(CLOSE_LISTENER_MARGIN, CLOSE_LISTENER_MARGIN_DIVISOR),
@@ -75,8 +75,8 @@
 /// What a stopping entry observes about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopStatus {
-    /// Number of not-ready responses to the balancer so far.
-    pub notices: u32,
+    /// Number of readiness checks that failed since the stop started.
+    pub failed_readiness_checks: u32,
     /// Number of jobs that are not answered yet.
     pub jobs: usize,
     /// Number of connections on which a request may still need an answer.
@@ -161,7 +161,8 @@
     }
 
     fn balancer_has_noticed(&self, age: Duration, status: &StopStatus) -> bool {
-        status.notices >= self.timing.required_notices || age >= self.timing.notice_timeout
+        status.failed_readiness_checks >= self.timing.required_failed_checks
+            || age >= self.timing.notice_timeout
     }
 
     /// Whether the answers are sent or the time for them has passed. A process that was stalled past
--- a/components/dispatch/tests/planned_stop.rs
+++ b/components/dispatch/tests/planned_stop.rs
@@ -15,8 +15,12 @@
 const REFUSED: Outcome =
     Outcome::NotRun { reason: Reason::Draining, retry_after: Duration::from_secs(1) };
 /// Nothing is in progress and the quiet period has passed.
-const IDLE: StopStatus =
-    StopStatus { notices: 2, jobs: 0, busy_connections: 0, quiet_for: Duration::from_secs(9) };
+const IDLE: StopStatus = StopStatus {
+    failed_readiness_checks: 2,
+    jobs: 0,
+    busy_connections: 0,
+    quiet_for: Duration::from_secs(9),
+};
 
 fn after(millis: u64) -> Time {
     START + Duration::from_millis(millis)
@@ -38,15 +42,17 @@
 
 #[test]
 fn an_idle_entry_ends_once_the_balancer_has_noticed() {
-    let status =
-        |age| StopStatus { notices: u32::from(age >= 200) + u32::from(age >= 1_200), ..IDLE };
+    let status = |age| StopStatus {
+        failed_readiness_checks: u32::from(age >= 200) + u32::from(age >= 1_200),
+        ..IDLE
+    };
     let expected = [(1_200, ADMIT), (1_300, StopStep::CloseListener), (1_350, StopStep::End)];
     assert_eq!(steps(status), expected);
 }
 
 #[test]
 fn the_wait_for_a_balancer_that_does_not_ask_times_out() {
-    let first = steps(|_| StopStatus { notices: 0, ..IDLE })[0];
+    let first = steps(|_| StopStatus { failed_readiness_checks: 0, ..IDLE })[0];
     assert_eq!(first, (2_400, ADMIT));
 }
 
@@ -220,11 +226,11 @@
         let mut stop = PlannedStop::new(timing, START);
         let mut answered = false;
         let mut ended = None;
-        for (index, (notices, jobs, open, quiet)) in observations.iter().enumerate() {
+        for (index, (failed_checks, jobs, open, quiet)) in observations.iter().enumerate() {
             let age = grace.mul_f64(index as f64 / 120.0);
             let jobs = if answered { 0 } else { *jobs };
             let quiet_for = Duration::from_millis(*quiet);
-            let status = StopStatus { notices: *notices, jobs, busy_connections: *open, quiet_for };
+            let status = StopStatus { failed_readiness_checks: *failed_checks, jobs, busy_connections: *open, quiet_for };
             while let Some(step) = stop.next_step(START + age, &status) {
                 prop_assert!(ended.is_none(), "no step follows the end");
                 match step {
--- a/daemon/src/capacity/entry_stop.rs
+++ b/daemon/src/capacity/entry_stop.rs
@@ -71,7 +71,7 @@
 
     fn status(&self, jobs: usize) -> StopStatus {
         StopStatus {
-            notices: self.readiness_checks.get(),
+            failed_readiness_checks: self.readiness_checks.get(),
             jobs,
             busy_connections: self.connections.active_count(),
             quiet_for: self.connections.time_since_arrival(),
