--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -83,7 +83,7 @@
     /// Jobs that were cancelled or whose client disconnected.
     pub cancelled: u64,
     /// Starts sent to agents.
-    pub starts: u64,
+    pub starts_sent: u64,
     /// Starts that agents refused.
     pub refused_starts: u64,
     /// Task runs that failed.
--- a/components/dispatch/src/placement.rs
+++ b/components/dispatch/src/placement.rs
@@ -193,7 +193,7 @@
             pass.max_free_cpu =
                 max_free_cpu(pass.changed.select(&self.agents), pass.now, &self.timing);
         }
-        self.counters.starts += 1;
+        self.counters.starts_sent += 1;
         self.pending_starts.entry((id, queued.job.clone())).or_default().push(start);
         pass.placed.push(queued.clone());
     }
--- a/components/runner/src/commands.rs
+++ b/components/runner/src/commands.rs
@@ -152,7 +152,7 @@
             return self.end_run(now, task, TaskEnd::NotRun(Refusal::Target), actions);
         }
         if reason == StartRefusal::NoCapacity {
-            self.counters.no_capacity += 1;
+            self.counters.starts_without_capacity += 1;
         }
         if unconfirmed && !matches!(reason, StartRefusal::StaleToken | StartRefusal::DeadlinePassed)
         {
--- a/components/runner/src/instances.rs
+++ b/components/runner/src/instances.rs
@@ -345,7 +345,7 @@
         sequence: u64,
         actions: &mut Vec<Action>,
     ) {
-        self.counters.late_reports += 1;
+        self.counters.late_target_reports += 1;
         let present = self.target.as_ref().map(|target| &target.report);
         actions.push(Action::Log(LogEvent::TargetReportLate {
             instance: instance.clone(),
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -120,13 +120,13 @@
     /// Tasks that ran when the target crashed.
     pub crashed: u64,
     /// Starts that the target refused for lack of capacity.
-    pub no_capacity: u64,
+    pub starts_without_capacity: u64,
     /// Starts that the target did not answer.
     pub unanswered_starts: u64,
     /// Sessions that were lost.
     pub sessions_lost: u64,
     /// Reports that arrived after newer ones of their instance, or after the end of the instance.
-    pub late_reports: u64,
+    pub late_target_reports: u64,
 }
 
 /// The state of an agent.
--- a/components/runner/tests/late_reports.rs
+++ b/components/runner/tests/late_reports.rs
@@ -41,7 +41,7 @@
         assert_eq!(start_task(&mut agent, &format!("b{sequence}")), [target("t1")]);
     }
     assert!(agent.reports.is_empty());
-    assert_eq!(agent.runner.counters().late_reports, 5, "every late report is counted");
+    assert_eq!(agent.runner.counters().late_target_reports, 5, "every late report is counted");
 }
 
 #[test]
--- a/components/runner/tests/reordered_reports.rs
+++ b/components/runner/tests/reordered_reports.rs
@@ -18,7 +18,7 @@
     agent.run_for(10);
     assert!(!agent.open);
     assert!(start_task(&mut agent, "a").is_empty());
-    assert_eq!(agent.runner.counters().late_reports, 1);
+    assert_eq!(agent.runner.counters().late_target_reports, 1);
 }
 
 #[test]
--- a/daemon/src/capacity/agent.rs
+++ b/daemon/src/capacity/agent.rs
@@ -286,10 +286,10 @@
         for (end, count) in ends {
             page.value("tasks_ended_total", &format!("{{end=\"{end}\"}}"), count);
         }
-        page.value("starts_without_room_total", "", counters.no_capacity);
+        page.value("starts_without_room_total", "", counters.starts_without_capacity);
         page.value("starts_unanswered_total", "", counters.unanswered_starts);
         page.value("sessions_lost_total", "", counters.sessions_lost);
-        page.value("target_reports_late_total", "", counters.late_reports);
+        page.value("target_reports_late_total", "", counters.late_target_reports);
         for (kind, count) in &*self.rejected_reports.borrow() {
             let label = format!("{{why=\"{kind}\"}}");
             page.value("target_reports_refused_total", &label, *count);
--- a/daemon/src/capacity/entry_metrics.rs
+++ b/daemon/src/capacity/entry_metrics.rs
@@ -95,7 +95,7 @@
         for (outcome, count) in outcomes {
             page.value("jobs_total", &format!("{{outcome=\"{outcome}\"}}"), count);
         }
-        page.value("starts_total", "", counters.starts);
+        page.value("starts_total", "", counters.starts_sent);
         page.value("starts_refused_total", "", counters.refused_starts);
         page.value("task_failures_total", "", counters.task_failures);
         page.value("task_losses_total", "", counters.task_losses);
--- a/soak/src/capacity/load.rs
+++ b/soak/src/capacity/load.rs
@@ -387,7 +387,7 @@
         .filter_map(|entry| entry.dispatcher.as_ref())
         .map(|dispatcher| dispatcher.counters())
         .collect();
-    let starts: u64 = counters.iter().map(|counters| counters.starts).sum();
+    let starts: u64 = counters.iter().map(|counters| counters.starts_sent).sum();
     let load_stats = &mut simulation.load_stats;
     load_stats.first_starts.sort_unstable();
     let percentile = |quantile: f64| {
