--- a/soak/src/keepers/checks.rs
+++ b/soak/src/keepers/checks.rs
@@ -28,7 +28,7 @@
     /// Power losses of all keepers, each right after an acknowledgement.
     pub power_losses: u64,
     /// Writes that were refused by a full disk.
-    pub full_disks: u64,
+    pub refused_writes: u64,
     /// Injected faults.
     pub faults: u64,
     /// Hall commands that were acknowledged.
@@ -36,9 +36,9 @@
     /// Keepers that were replaced by one on another host.
     pub moves: u64,
     /// Replaced keepers that returned with their old disk.
-    pub repaired: u64,
+    pub returned_keepers: u64,
     /// Disks that were lost a second time right after a restart of their keeper.
-    pub wiped_twice: u64,
+    pub disks_lost_twice: u64,
 }
 
 impl KeeperSummary {
@@ -52,12 +52,12 @@
         self.elections += other.elections;
         self.disks_lost += other.disks_lost;
         self.power_losses += other.power_losses;
-        self.full_disks += other.full_disks;
+        self.refused_writes += other.refused_writes;
         self.faults += other.faults;
         self.hall_commands += other.hall_commands;
         self.moves += other.moves;
-        self.repaired += other.repaired;
-        self.wiped_twice += other.wiped_twice;
+        self.returned_keepers += other.returned_keepers;
+        self.disks_lost_twice += other.disks_lost_twice;
     }
 }
 
--- a/soak/src/keepers/disks.rs
+++ b/soak/src/keepers/disks.rs
@@ -132,7 +132,7 @@
             actions.iter().filter(|action| is_store(action)).cloned().collect();
         let mut replacement = Vec::new();
         machine.disk_is_full(now, actions, &mut replacement);
-        self.checks.summary.full_disks += 1;
+        self.checks.summary.refused_writes += 1;
         replacement
     }
 
--- a/soak/src/keepers/moves.rs
+++ b/soak/src/keepers/moves.rs
@@ -97,7 +97,7 @@
     /// Restarts a replaced keeper with its old disk.
     pub(super) fn return_keeper(&mut self, number: usize) {
         self.keepers[number].removed = false;
-        self.checks.summary.repaired += 1;
+        self.checks.summary.returned_keepers += 1;
         self.start_keeper(number);
     }
 
@@ -116,7 +116,7 @@
             return;
         }
         self.wipe_disk(number);
-        self.checks.summary.wiped_twice += 1;
+        self.checks.summary.disks_lost_twice += 1;
         self.start_keeper(number);
     }
 
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -63,7 +63,7 @@
     // The runs must cover these events.
     assert!(total.accepted > 2_000 && total.refused > 500, "{total:?}");
     assert!(total.elections > 400 && total.disks_lost > 100, "{total:?}");
-    assert!(total.power_losses > 100 && total.full_disks > 200, "{total:?}");
+    assert!(total.power_losses > 100 && total.refused_writes > 200, "{total:?}");
     assert!(total.settings_received > 2_000 && total.reads > 2_000, "{total:?}");
 }
 
@@ -73,7 +73,7 @@
     let total = run_all(HALL_SEEDS, runner, KeeperSummary::add);
     // The runs must cover these events.
     assert!(total.hall_commands > 1_500 && total.power_losses > 150, "{total:?}");
-    assert!(total.disks_lost > 100 && total.full_disks > 200, "{total:?}");
+    assert!(total.disks_lost > 100 && total.refused_writes > 200, "{total:?}");
 }
 
 /// Seeds in which a keeper carried out a late copy of a hall command whose sender had disconnected.
@@ -94,8 +94,11 @@
     let runner = |options| run_keepers(&Options { moves: true, halls: true, ..options });
     let total = run_all(MOVE_SEEDS, runner, KeeperSummary::add);
     // The runs must cover these events.
-    assert!(total.moves > 250 && total.repaired > 80 && total.wiped_twice > 50, "{total:?}");
-    assert!(total.power_losses > 150 && total.full_disks > 200, "{total:?}");
+    assert!(
+        total.moves > 250 && total.returned_keepers > 80 && total.disks_lost_twice > 50,
+        "{total:?}"
+    );
+    assert!(total.power_losses > 150 && total.refused_writes > 200, "{total:?}");
 }
 
 /// Seeds in which no leader was elected after a power loss, as the harness counted a keeper as
