--- a/components/dispatch/tests/planned_stop.rs
+++ b/components/dispatch/tests/planned_stop.rs
@@ -230,7 +230,12 @@
             let age = grace.mul_f64(index as f64 / 120.0);
             let jobs = if answered { 0 } else { *jobs };
             let quiet_for = Duration::from_millis(*quiet);
-            let status = StopStatus { failed_readiness_checks: *failed_checks, jobs, busy_connections: *open, quiet_for };
+            let status = StopStatus {
+                failed_readiness_checks: *failed_checks,
+                jobs,
+                busy_connections: *open,
+                quiet_for,
+            };
             while let Some(step) = stop.next_step(START + age, &status) {
                 prop_assert!(ended.is_none(), "no step follows the end");
                 match step {
