--- a/components/dispatch/src/planned_stop.rs
+++ b/components/dispatch/src/planned_stop.rs
@@ -30,8 +30,8 @@
     pub end_after: Duration,
 }
 
-/// The balancer checks an entry at regular intervals and is taken to have removed it after this many
-/// failed checks.
+/// The balancer checks an entry at regular intervals and is taken to have removed it after this
+/// many failed checks.
 const REQUIRED_FAILED_CHECKS: u32 = 2;
 /// Must cover that many checks at the balancer's interval.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(2_400);
@@ -165,8 +165,8 @@
             || age >= self.timing.notice_timeout
     }
 
-    /// Whether the answers are sent or the time for them has passed. A process that was stalled past
-    /// that time still gets a moment to send them.
+    /// Whether the answers are sent or the time for them has passed. A process that was stalled
+    /// past that time still gets a moment to send them.
     fn answers_are_sent(&self, now: Time, age: Duration, status: &StopStatus) -> bool {
         let lingered = now.since(self.phase_since) >= self.timing.linger;
         status.busy_connections == 0 || (age >= self.timing.end_after && lingered)
@@ -179,8 +179,8 @@
     }
 
     /// Whether nothing has been in progress or has arrived for the quiet period. Requests that the
-    /// balancer sent before it noticed may still be in transit, so the period starts no earlier than
-    /// the current phase.
+    /// balancer sent before it noticed may still be in transit, so the period starts no earlier
+    /// than the current phase.
     fn is_quiet(&self, now: Time, status: &StopStatus) -> bool {
         let quiet = status.quiet_for.min(now.since(self.phase_since));
         status.jobs == 0 && status.busy_connections == 0 && quiet >= self.timing.quiet_period
--- a/components/dispatch/tests/planned_stop.rs
+++ b/components/dispatch/tests/planned_stop.rs
@@ -214,8 +214,8 @@
 }
 
 proptest! {
-    /// With any input, a stop ends within the grace period, does not end early while a request is in
-    /// progress, and leaves no job unanswered.
+    /// With any input, a stop ends within the grace period, does not end early while a request is
+    /// in progress, and leaves no job unanswered.
     #[test]
     fn every_stop_ends_in_time_and_after_its_requests(
         observations in prop::collection::vec((0u32..4, 0usize..3, 0usize..3, 0u64..1_000), 121),
--- a/components/explain/src/history.rs
+++ b/components/explain/src/history.rs
@@ -35,7 +35,8 @@
     pub cause: String,
 }
 
-/// The log lines of a job, and the concurrent state changes of the nodes involved. Both are sorted by time.
+/// The log lines of a job, and the concurrent state changes of the nodes involved. Both are sorted
+/// by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
     /// The lines about the job.
--- a/components/explain/src/line.rs
+++ b/components/explain/src/line.rs
@@ -37,7 +37,8 @@
         self.fields.get(JOB_KEY).and_then(Value::as_str) == Some(id)
     }
 
-    /// Whether the line records a state change of its node, that is, an event that is not about a job.
+    /// Whether the line records a state change of its node, that is, an event that is not about a
+    /// job.
     pub fn is_state_change(&self) -> bool {
         !self.fields.contains_key(JOB_KEY)
     }
--- a/components/model/src/cancelled.rs
+++ b/components/model/src/cancelled.rs
@@ -5,8 +5,8 @@
 
 use crate::{JobId, Time};
 
-/// How long a cancelled job is remembered, since its submission may arrive after the cancel on a slower connection.
-/// Far longer than clients wait for a job.
+/// How long a cancelled job is remembered, since its submission may arrive after the cancel on a
+/// slower connection. Far longer than clients wait for a job.
 const RETENTION: Duration = Duration::from_secs(20);
 
 /// The cancelled jobs with their expiry times. A job that is submitted after its cancel is refused.
--- a/components/model/src/digest.rs
+++ b/components/model/src/digest.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Hashes a text prefixed with its length, so that texts split at different positions get different digests.
+/// Hashes a text prefixed with its length, so that texts split at different positions get different
+/// digests.
 fn update_with_text(hasher: &mut Xxh3, text: &str) {
     hasher.update(&(text.len() as u64).to_le_bytes());
     hasher.update(text.as_bytes());
--- a/components/model/src/failure.rs
+++ b/components/model/src/failure.rs
@@ -24,7 +24,8 @@
     UnknownKind,
     /// The service is stopped.
     ServiceStopped,
-    /// The submission id is older than the retention period, so a recorded outcome may have expired.
+    /// The submission id is older than the retention period, so a recorded outcome may have
+    /// expired.
     IdTooOld,
     /// The creation time of the submission id is in the future.
     IdTooNew,
--- a/components/model/src/id.rs
+++ b/components/model/src/id.rs
@@ -26,8 +26,8 @@
 pub struct SubmissionId(Uuid);
 
 impl SubmissionId {
-    /// Builds an id from its creation time, truncated to milliseconds, and the upper 80 bits of `random`, some of which
-    /// the version and the variant of the UUID overwrite.
+    /// Builds an id from its creation time, truncated to milliseconds, and the upper 80 bits of
+    /// `random`, some of which the version and the variant of the UUID overwrite.
     pub fn from_parts(created_at: Time, random: u128) -> Self {
         let millis = created_at.as_micros() / 1_000;
         let bytes = random.to_be_bytes();
@@ -79,11 +79,11 @@
     pub submission: SubmissionId,
     /// Index of the task in the submission, from 0.
     pub index: u32,
-    /// Number of the placement attempt, from 0. A further attempt requires proof that the previous one did
-    /// not run, unless the request is repeatable.
+    /// Number of the placement attempt, from 0. A further attempt requires proof that the previous
+    /// one did not run, unless the request is repeatable.
     pub attempt: u32,
-    /// The incarnation of the entry for a repeatable request, which several entries may start. Otherwise 0,
-    /// so that a task has the same key whichever entry starts it.
+    /// The incarnation of the entry for a repeatable request, which several entries may start.
+    /// Otherwise 0, so that a task has the same key whichever entry starts it.
     pub origin: u64,
 }
 
--- a/components/model/src/interner.rs
+++ b/components/model/src/interner.rs
@@ -8,8 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Interned(u32);
 
-/// Maps values to small handles, which keeps tables with many records of few distinct values small. Values
-/// are never removed, so it is only suitable for slowly growing sets such as the processes of nodes.
+/// Maps values to small handles, which keeps tables with many records of few distinct values small.
+/// Values are never removed, so it is only suitable for slowly growing sets such as the processes
+/// of nodes.
 #[derive(Clone, Debug)]
 pub struct Interner<T> {
     handles: Map<T, Interned>,
--- a/components/model/src/time.rs
+++ b/components/model/src/time.rs
@@ -8,8 +8,9 @@
 
 /// A point in time, in microseconds since the Unix epoch.
 ///
-/// The daemon reads the wall clock once at startup and adds the time of a monotonic clock, so timestamps never
-/// decrease within a process. The clocks of two hosts may differ by up to the `clock_skew_ms` setting.
+/// The daemon reads the wall clock once at startup and adds the time of a monotonic clock, so
+/// timestamps never decrease within a process. The clocks of two hosts may differ by up to the
+/// `clock_skew_ms` setting.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -34,8 +34,8 @@
     pub unanswered_retention: Duration,
     /// Lower bound of a hold's wait on an unreliable target; limits the CPU time spent on holds.
     pub short_hold_wait_min: Duration,
-    /// Upper bound of a hold's wait on an unreliable target, as a run that starts during the hold may
-    /// end before those that were active when it was sent.
+    /// Upper bound of a hold's wait on an unreliable target, as a run that starts during the hold
+    /// may end before those that were active when it was sent.
     pub short_hold_wait_max: Duration,
     /// Timeout for the answer to a hold on an unreliable target, beyond its wait. A hold that times
     /// out costs a connection.
@@ -55,8 +55,8 @@
     /// Minimum time between the announcement that a retired session accepts no more work and its
     /// end; starts in flight are still carried out.
     pub retire_notice: Duration,
-    /// A start is refused if the last load that its entry had received from this agent is older than
-    /// this.
+    /// A start is refused if the last load that its entry had received from this agent is older
+    /// than this.
     pub max_start_age: Duration,
     /// A gap between two events after which the process counts as paused.
     pub pause_threshold: Duration,
--- a/components/runner/tests/crashes.rs
+++ b/components/runner/tests/crashes.rs
@@ -1,5 +1,6 @@
-//! Tasks that ran when their target crashed are reported apart from other lost tasks, so that one job
-//! does not crash target after target. A target that only leaves commands unanswered has not crashed.
+//! Tasks that ran when their target crashed are reported apart from other lost tasks, so that one
+//! job does not crash target after target. A target that only leaves commands unanswered has not
+//! crashed.
 
 mod support;
 
--- a/components/runner/tests/random_order.rs
+++ b/components/runner/tests/random_order.rs
@@ -1,5 +1,5 @@
-//! Randomly ordered reports, answers and restarts. Guards against a healthy target that gets no more
-//! work because the agent took a late report of an earlier instance for its successor's.
+//! Randomly ordered reports, answers and restarts. Guards against a healthy target that gets no
+//! more work because the agent took a late report of an earlier instance for its successor's.
 
 mod support;
 
--- a/components/runner/tests/reordered_reports.rs
+++ b/components/runner/tests/reordered_reports.rs
@@ -1,5 +1,5 @@
-//! Reports of one target instance that arrive out of order. Guards against work on a leaving target,
-//! or beyond its capacity, because an older report overrides a newer one.
+//! Reports of one target instance that arrive out of order. Guards against work on a leaving
+//! target, or beyond its capacity, because an older report overrides a newer one.
 
 mod support;
 
--- a/components/runner/tests/reused_ids.rs
+++ b/components/runner/tests/reused_ids.rs
@@ -1,5 +1,6 @@
-//! Targets that restart under the same id, so that only the start time identifies an instance. Guards
-//! against tasks that run twice, ends that are never reported, and a healthy target without work.
+//! Targets that restart under the same id, so that only the start time identifies an instance.
+//! Guards against tasks that run twice, ends that are never reported, and a healthy target without
+//! work.
 
 mod support;
 
--- a/components/telemetry/src/breach.rs
+++ b/components/telemetry/src/breach.rs
@@ -5,7 +5,8 @@
 use model::{JobId, NodeRef, SubmissionId, TaskKey};
 use serde::{Deserialize, Serialize};
 
-/// A violated invariant. The cause is a bug, or a clock that deviates by more than the allowed skew.
+/// A violated invariant. The cause is a bug, or a clock that deviates by more than the allowed
+/// skew.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Breach {
     /// Two entries started tasks of the same submission.
@@ -19,7 +20,8 @@
     },
     /// A task that was not running was reported as ended.
     EndedTwice(TaskKey),
-    /// A non-repeatable task was about to be retried without proof that the previous attempt did not run.
+    /// A non-repeatable task was about to be retried without proof that the previous attempt did
+    /// not run.
     StartWithoutProof(TaskKey),
     /// A submission was about to be answered without the results of all tasks.
     PartialAnswer(SubmissionId),
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,4 +1,5 @@
-//! Telemetry of the roles: counters, message counts, latency histograms, invariant violations and scheduling decisions.
+//! Telemetry of the roles: counters, message counts, latency histograms, invariant violations and
+//! scheduling decisions.
 //!
 //! The types are plain data without I/O; the daemon exports them to logs and metrics.
 
--- a/components/wire/src/agent.rs
+++ b/components/wire/src/agent.rs
@@ -1,5 +1,5 @@
-//! Messages between an entry and an agent in token scheduling. The agent lends entries tokens for its slots, and an
-//! entry spends one to start a task.
+//! Messages between an entry and an agent in token scheduling. The agent lends entries tokens for
+//! its slots, and an entry spends one to start a task.
 
 use std::sync::Arc;
 
@@ -29,7 +29,8 @@
     pub rack: String,
     /// The number of tasks that the target runs at once.
     pub slots: u32,
-    /// The agent votes only on claims to submission ids created after this time, as a restart loses its earlier votes.
+    /// The agent votes only on claims to submission ids created after this time, as a restart loses
+    /// its earlier votes.
     pub votes_from: Time,
     /// Whether the agent is shutting down.
     pub leaving: bool,
@@ -48,7 +49,8 @@
     pub task: Arc<str>,
     /// The time after which the answer is no longer useful.
     pub deadline: Time,
-    /// The total of tokens that the owner currently requests from this agent: its share of the waiting tasks.
+    /// The total of tokens that the owner currently requests from this agent: its share of the
+    /// waiting tasks.
     pub wanted: u32,
 }
 
@@ -74,8 +76,8 @@
     NotRun(StartRefusal),
     /// The task ended earlier, and the agent has evicted its outcome.
     OutcomeDropped,
-    /// The task may have run: the request is for another incarnation of the agent, another owner has
-    /// started the task, or its record has expired.
+    /// The task may have run: the request is for another incarnation of the agent, another owner
+    /// has started the task, or its record has expired.
     Unknown,
 }
 
@@ -84,11 +86,13 @@
 pub struct StartReply {
     /// The result of the start.
     pub result: StartResult,
-    /// Whether the entry may spend the slot token again: the task has ended, or the start did not spend the token.
+    /// Whether the entry may spend the slot token again: the task has ended, or the start did not
+    /// spend the token.
     pub token: bool,
 }
 
-/// Asks for the result of a start whose reply was lost. A task that has not started is barred from starting.
+/// Asks for the result of a start whose reply was lost. A task that has not started is barred from
+/// starting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
     /// The key of the task.
@@ -108,7 +112,8 @@
     Ended(TaskOutcome),
     /// The task ended, and the agent has evicted its outcome.
     OutcomeDropped,
-    /// The task may have run: the start went to an earlier incarnation of the agent, or its record has expired.
+    /// The task may have run: the start went to an earlier incarnation of the agent, or its record
+    /// has expired.
     Unknown,
 }
 
@@ -123,7 +128,8 @@
     pub counters: AgentCounters,
 }
 
-/// Keeps the session of an entry alive and exchanges tokens; the agent delays its reply until something has changed.
+/// Keeps the session of an entry alive and exchanges tokens; the agent delays its reply until
+/// something has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
     /// The total of tokens that the entry currently requests.
--- a/components/wire/src/document.rs
+++ b/components/wire/src/document.rs
@@ -1,7 +1,8 @@
 //! The operators' configuration document and its transfer in compressed parts.
 //!
-//! A slow link may need longer for a whole document than the silence after which a connection counts as dead. Messages
-//! therefore announce only its version, and the receiver requests the compressed text part by part.
+//! A slow link may need longer for a whole document than the silence after which a connection
+//! counts as dead. Messages therefore announce only its version, and the receiver requests the
+//! compressed text part by part.
 
 use std::fmt;
 use std::sync::{Arc, OnceLock};
@@ -11,17 +12,19 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Largest part of a document, in bytes. Small enough not to delay a heartbeat that is queued behind it on a slow link,
-/// large enough that transfer time outweighs the round trip of each request.
+/// Largest part of a document, in bytes. Small enough not to delay a heartbeat that is queued
+/// behind it on a slow link, large enough that transfer time outweighs the round trip of each
+/// request.
 pub const PART_BYTES_MAX: usize = 32 * 1024;
 
-/// Upper bound of a decompressed document, in bytes; above the limit on what an operator can submit.
+/// Upper bound of a decompressed document, in bytes; above the limit on what an operator can
+/// submit.
 const DECOMPRESSED_BYTES_MAX: usize = 64 * 1024 * 1024;
 /// The fastest compression level, which keeps the load on keepers low.
 const COMPRESSION_LEVEL: u8 = 1;
 
-/// A version of the configuration as operators submit it. Keepers store and distribute the text without
-/// interpreting it.
+/// A version of the configuration as operators submit it. Keepers store and distribute the text
+/// without interpreting it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// The version that the operators assigned; the highest one is in force.
@@ -32,8 +35,8 @@
     compressed: CompressedOnce,
 }
 
-/// The compressed form of a document, computed on first use and shared by all clones. It is derived from the text and
-/// therefore ignored by comparisons.
+/// The compressed form of a document, computed on first use and shared by all clones. It is derived
+/// from the text and therefore ignored by comparisons.
 #[derive(Clone, Default)]
 struct CompressedOnce(Arc<OnceLock<Compressed>>);
 
@@ -73,8 +76,8 @@
     pub version: u64,
     /// Size of the compressed document, in bytes.
     pub total: usize,
-    /// Hash of the compressed document. Program versions may compress one text differently, and only
-    /// parts with equal digests fit together.
+    /// Hash of the compressed document. Program versions may compress one text differently, and
+    /// only parts with equal digests fit together.
     pub digest: u64,
     /// Byte offset of the part in the compressed document.
     pub offset: usize,
@@ -92,7 +95,8 @@
     pub fn from_compressed(version: u64, bytes: Vec<u8>) -> Option<Self> {
         let text = decompress_to_vec_with_limit(&bytes, DECOMPRESSED_BYTES_MAX).ok()?;
         let document = Self::new(version, String::from_utf8(text).ok()?);
-        // Later part requests are served from the received bytes without compressing the text again.
+        // Later part requests are served from the received bytes without compressing the text
+        // again.
         document.compressed.0.get_or_init(|| Compressed::new(bytes));
         Some(document)
     }
--- a/components/wire/src/halls.rs
+++ b/components/wire/src/halls.rs
@@ -1,4 +1,5 @@
-//! Data halls that operators have emptied. Targets of an emptied hall get no new work until it is refilled.
+//! Data halls that operators have emptied. Targets of an emptied hall get no new work until it is
+//! refilled.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -58,7 +59,8 @@
 /// The set of emptied halls that the keepers have committed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EmptiedHalls {
-    /// Rises with each change; equal revisions mean equal sets on all nodes. 0 before the first command.
+    /// Rises with each change; equal revisions mean equal sets on all nodes. 0 before the first
+    /// command.
     pub revision: u64,
     /// The names of the emptied halls.
     pub halls: BTreeSet<HallName>,
@@ -75,8 +77,8 @@
         changed
     }
 
-    /// Replaces the set with a newer revision; returns whether `other` was newer. A delayed message never reverts
-    /// a newer command.
+    /// Replaces the set with a newer revision; returns whether `other` was newer. A delayed message
+    /// never reverts a newer command.
     pub fn update(&mut self, other: &Self) -> bool {
         let newer = other.revision > self.revision;
         if newer {
--- a/components/wire/src/keeper.rs
+++ b/components/wire/src/keeper.rs
@@ -9,7 +9,8 @@
 /// An operator's change to the settings tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// The operator's id of the change, a UUID. A change that is sent again gets the result of the first attempt.
+    /// The operator's id of the change, a UUID. A change that is sent again gets the result of the
+    /// first attempt.
     pub change: String,
     /// The version that the edits are based on.
     pub base_version: u64,
@@ -26,11 +27,13 @@
         /// The version that the change created.
         version: u64,
     },
-    /// Another change has modified the same sections since the base version, or the keeper does not have that version.
+    /// Another change has modified the same sections since the base version, or the keeper does not
+    /// have that version.
     Conflict {
         /// The version in force.
         version: u64,
-        /// The sections that both changes modify; every edited section if the base version is too old to compare.
+        /// The sections that both changes modify; every edited section if the base version is too
+        /// old to compare.
         sections: Vec<String>,
     },
     /// The edited tree would not be valid.
@@ -66,7 +69,8 @@
         /// The edits of each version, oldest version first.
         edits: Vec<Vec<Edit>>,
     },
-    /// All settings, for a node that has none, or whose delta is no longer available or would be too large.
+    /// All settings, for a node that has none, or whose delta is no longer available or would be
+    /// too large.
     Snapshot {
         /// The version of the tree.
         version: u64,
@@ -91,7 +95,8 @@
     async fn peer(message: PeerMessage);
     /// Long poll for settings that are newer than the node's.
     async fn pull(request: PullRequest) -> PullReply;
-    /// Registers a node and long-polls for a newer document, node list, set of halls or set of keepers.
+    /// Registers a node and long-polls for a newer document, node list, set of halls or set of
+    /// keepers.
     async fn watch(request: WatchRequest) -> WatchReply;
     /// Returns a part of the document; `None` if this keeper does not have the version.
     async fn document(request: PartRequest) -> Option<DocumentPart>;
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Messages between the processes of dockpass, and the tarpc services that carry them.
 //!
-//! Messages are plain data types that simulations and traces share with the daemon. They are encoded by position, so
-//! the order of fields and variants is part of the protocol.
+//! Messages are plain data types that simulations and traces share with the daemon. They are
+//! encoded by position, so the order of fields and variants is part of the protocol.
 
 // `tarpc::service` generates undocumented public items.
 #![allow(missing_docs)]
--- a/components/wire/src/registry.rs
+++ b/components/wire/src/registry.rs
@@ -40,15 +40,16 @@
     pub keeper: SocketAddr,
 }
 
-/// Long poll for state that is newer than the node's; also registers the node at the keeper for a few seconds.
+/// Long poll for state that is newer than the node's; also registers the node at the keeper for a
+/// few seconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
     /// The registration of the polling node.
     pub node: NodeInfo,
     /// The latest document version that this keeper has announced to the node; 0 for none.
     pub document: u64,
-    /// The revision of this keeper's node list that the node has, 0 for none; `None` if it follows another keeper's
-    /// list.
+    /// The revision of this keeper's node list that the node has, 0 for none; `None` if it follows
+    /// another keeper's list.
     pub revision: Option<u64>,
     /// The latest revision of the emptied halls that this keeper has sent to the node; 0 for none.
     pub halls: u64,
@@ -56,8 +57,8 @@
     pub keepers: u64,
 }
 
-/// The entries that are registered at one keeper. Agents are far more numerous and never looked up, so
-/// they are not listed.
+/// The entries that are registered at one keeper. Agents are far more numerous and never looked up,
+/// so they are not listed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeList {
     /// Rises with each change; comparable only between lists of the same keeper.
@@ -117,7 +118,8 @@
 pub struct WatchReply {
     /// The version of the committed document at this keeper; 0 for none.
     pub version: u64,
-    /// The update of the node list; `None` if the node's revision is current or the node follows another keeper's list.
+    /// The update of the node list; `None` if the node's revision is current or the node follows
+    /// another keeper's list.
     pub nodes: Option<NodeListUpdate>,
     /// The emptied halls; `None` if the node has this revision from this keeper.
     pub halls: Option<EmptiedHalls>,
--- a/components/wire/src/session.rs
+++ b/components/wire/src/session.rs
@@ -1,8 +1,9 @@
-//! Messages of a session between an entry and an agent in capacity scheduling. A session is a connection
-//! that the agent opens and that carries messages in both directions.
+//! Messages of a session between an entry and an agent in capacity scheduling. A session is a
+//! connection that the agent opens and that carries messages in both directions.
 //!
-//! Either side closes the session when it has received nothing for too long. The agent then stops the tasks
-//! that it runs for the entry, so that a job resubmitted elsewhere never runs twice at the same time.
+//! Either side closes the session when it has received nothing for too long. The agent then stops
+//! the tasks that it runs for the entry, so that a job resubmitted elsewhere never runs twice at
+//! the same time.
 
 use std::sync::Arc;
 
@@ -33,15 +34,16 @@
     pub at: Time,
     /// Free resources, after subtracting those of the tasks that wait at the agent.
     pub free: Resources,
-    /// Recent rate at which other entries have taken capacity, in thousandths of a core per millisecond.
+    /// Recent rate at which other entries have taken capacity, in thousandths of a core per
+    /// millisecond.
     pub taken_per_ms: u32,
     /// Sequence of the last start of this session that the report accounts for.
     #[serde(rename = "seen")]
     pub last_start_sequence: u64,
     /// Whether the agent accepts new work.
     pub open: bool,
-    /// Whether the target was excluded after repeated failures and is not restored yet; after the exclusion, it is
-    /// probed with one task at a time.
+    /// Whether the target was excluded after repeated failures and is not restored yet; after the
+    /// exclusion, it is probed with one task at a time.
     pub on_trial: bool,
     /// Recent run time of tasks relative to their estimates, in percent.
     pub slowdown_percent: u32,
@@ -77,8 +79,8 @@
     },
     /// Starts tasks of one job.
     Start {
-        /// The agent's time in the latest load report that the entry has received. The agent refuses the start if it
-        /// is too old, as the message may have been delayed.
+        /// The agent's time in the latest load report that the entry has received. The agent
+        /// refuses the start if it is too old, as the message may have been delayed.
         #[serde(rename = "heard")]
         agent_clock: Time,
         /// The job that the tasks belong to.
@@ -105,8 +107,8 @@
     Room,
     /// The agent accepts no new work.
     Closed,
-    /// The target refused the task, or did not answer and can no longer start it, or another run of the task has not
-    /// ended.
+    /// The target refused the task, or did not answer and can no longer start it, or another run of
+    /// the task has not ended.
     Target,
     /// The start was based on a load report that is too old.
     Late,
@@ -129,7 +131,8 @@
     NotRun(Refusal),
     /// The task ran, and its outcome is unknown.
     Lost,
-    /// The target crashed while the task ran. Any of the tasks running at that time may have caused the crash.
+    /// The target crashed while the task ran. Any of the tasks running at that time may have caused
+    /// the crash.
     Crashed,
 }
 
@@ -153,8 +156,8 @@
     Hello {
         /// The agent and its target.
         profile: AgentProfile,
-        /// The newest document version that the agent has; 0 for none. The text is sent only on request, because a
-        /// restarted entry receives this message from all of its agents at once.
+        /// The newest document version that the agent has; 0 for none. The text is sent only on
+        /// request, because a restarted entry receives this message from all of its agents at once.
         document: u64,
         /// The emptied halls that the agent knows of.
         halls: EmptiedHalls,
@@ -174,8 +177,8 @@
     DocumentPart(Option<DocumentPart>),
     /// The emptied halls, sent when the agent has received a newer revision.
     Halls(EmptiedHalls),
-    /// The target has crashed while these tasks, of any entry, were running. Sent to all entries, since clients may
-    /// resubmit the jobs anywhere.
+    /// The target has crashed while these tasks, of any entry, were running. Sent to all entries,
+    /// since clients may resubmit the jobs anywhere.
     TargetCrashed(Vec<TaskId>),
 }
 
