--- a/components/runner/src/event.rs
+++ b/components/runner/src/event.rs
@@ -297,14 +297,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// A new target instance became the current one.
-    TargetAdopted {
+    InstanceAdopted {
         /// The instance.
         instance: TargetInstance,
         /// Fencing token of the agent's commands to this instance.
         fencing_token: u64,
     },
     /// The target instance has ended.
-    TargetEnded {
+    InstanceEnded {
         /// The instance.
         instance: TargetInstance,
         /// Number of runs that ended with the instance.
@@ -324,7 +324,7 @@
         /// Highest sequence number received from the current instance; 0 if there is no instance.
         present_sequence: u64,
     },
-    /// The target has stopped answering holds.
+    /// The target has not answered a hold for too long.
     TargetUnresponsive(TargetInstance),
     /// The target answers again.
     TargetAnsweredAgain(TargetInstance),
--- a/components/runner/src/instances.rs
+++ b/components/runner/src/instances.rs
@@ -318,7 +318,7 @@
 
     /// Makes an instance the current one. Nothing starts on it before it has answered a hold.
     fn adopt_instance(&mut self, target: Target, actions: &mut Vec<Action>) {
-        actions.push(Action::Log(LogEvent::TargetAdopted {
+        actions.push(Action::Log(LogEvent::InstanceAdopted {
             instance: target.instance().clone(),
             fencing_token: target.fencing_token,
         }));
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -338,7 +338,7 @@
         let ended = self.runs.iter().filter(|(task, run)| !is_carried_over(task, run));
         let ends: Vec<(TaskId, TaskEnd)> =
             ended.map(|(task, run)| (task.clone(), end_of(run))).collect();
-        actions.push(Action::Log(LogEvent::TargetEnded {
+        actions.push(Action::Log(LogEvent::InstanceEnded {
             instance: target.instance().clone(),
             lost: ends.len(),
         }));
--- a/daemon/src/capacity/agent_log.rs
+++ b/daemon/src/capacity/agent_log.rs
@@ -16,12 +16,12 @@
 /// Writes an event as one log line.
 pub(super) fn write_event(log: &EventLog, event: &LogEvent) {
     match event {
-        LogEvent::TargetAdopted { instance, fencing_token } => log.line(
+        LogEvent::InstanceAdopted { instance, fencing_token } => log.line(
             "target-found",
             Budget::Full,
             || json!({"target": instance.to_string(), "fencing_token": fencing_token}),
         ),
-        LogEvent::TargetEnded { instance, lost } => log.line(
+        LogEvent::InstanceEnded { instance, lost } => log.line(
             "target-gone",
             Budget::Full,
             || json!({"target": instance.to_string(), "lost": lost}),
