--- a/components/dispatch/tests/planned_stop.rs
+++ b/components/dispatch/tests/planned_stop.rs
@@ -15,8 +15,12 @@
 const REFUSED: Outcome =
     Outcome::NotRun { reason: Reason::Draining, retry_after: Duration::from_secs(1) };
 /// Nothing is in progress and the quiet period has passed.
-const IDLE: StopStatus =
-    StopStatus { notices: 2, jobs: 0, busy_connections: 0, quiet_for: Duration::from_secs(9) };
+const IDLE: StopStatus = StopStatus {
+    failed_readiness_checks: 2,
+    jobs: 0,
+    busy_connections: 0,
+    quiet_for: Duration::from_secs(9),
+};
 
 fn after(millis: u64) -> Time {
     START + Duration::from_millis(millis)
@@ -38,15 +42,17 @@
 
 #[test]
 fn an_idle_entry_ends_once_the_balancer_has_noticed() {
-    let status =
-        |age| StopStatus { notices: u32::from(age >= 200) + u32::from(age >= 1_200), ..IDLE };
+    let status = |age| StopStatus {
+        failed_readiness_checks: u32::from(age >= 200) + u32::from(age >= 1_200),
+        ..IDLE
+    };
     let expected = [(1_200, ADMIT), (1_300, StopStep::CloseListener), (1_350, StopStep::End)];
     assert_eq!(steps(status), expected);
 }
 
 #[test]
 fn the_wait_for_a_balancer_that_does_not_ask_times_out() {
-    let first = steps(|_| StopStatus { notices: 0, ..IDLE })[0];
+    let first = steps(|_| StopStatus { failed_readiness_checks: 0, ..IDLE })[0];
     assert_eq!(first, (2_400, ADMIT));
 }
 
@@ -141,7 +147,7 @@
     let mut entry = Entry::with_agents([16_000]);
     let first = entry.submit(job(1, 556));
     entry.take_starts();
-    entry.handle(Event::Abandon(first));
+    entry.handle(Event::ClientDisconnected(first));
     let second = entry.submit(job(1, 556));
     entry.handle(Event::AnswerAll);
     assert_eq!(entry.answer(second), Some(Outcome::MayHaveRun(Reason::Draining)));
@@ -157,7 +163,7 @@
     let mut entry = Entry::with_agents([16_000]);
     let first = entry.submit(job(1, 556));
     let starts = entry.take_starts();
-    entry.handle(Event::Abandon(first));
+    entry.handle(Event::ClientDisconnected(first));
     let second = entry.submit(job(1, 556));
     entry.handle(Event::AdmitOnlyJobsEndingBy(entry.now + Duration::from_millis(500)));
     entry.report_end(&starts[0], TaskEnd::Done);
@@ -208,8 +214,8 @@
 }
 
 proptest! {
-    /// With any input, a stop ends within the grace period, does not end early while a request is in
-    /// progress, and leaves no job unanswered.
+    /// With any input, a stop ends within the grace period, does not end early while a request is
+    /// in progress, and leaves no job unanswered.
     #[test]
     fn every_stop_ends_in_time_and_after_its_requests(
         observations in prop::collection::vec((0u32..4, 0usize..3, 0usize..3, 0u64..1_000), 121),
@@ -220,11 +226,16 @@
         let mut stop = PlannedStop::new(timing, START);
         let mut answered = false;
         let mut ended = None;
-        for (index, (notices, jobs, open, quiet)) in observations.iter().enumerate() {
+        for (index, (failed_checks, jobs, open, quiet)) in observations.iter().enumerate() {
             let age = grace.mul_f64(index as f64 / 120.0);
             let jobs = if answered { 0 } else { *jobs };
             let quiet_for = Duration::from_millis(*quiet);
-            let status = StopStatus { notices: *notices, jobs, busy_connections: *open, quiet_for };
+            let status = StopStatus {
+                failed_readiness_checks: *failed_checks,
+                jobs,
+                busy_connections: *open,
+                quiet_for,
+            };
             while let Some(step) = stop.next_step(START + age, &status) {
                 prop_assert!(ended.is_none(), "no step follows the end");
                 match step {
--- a/components/runner/src/commands.rs
+++ b/components/runner/src/commands.rs
@@ -152,7 +152,7 @@
             return self.end_run(now, task, TaskEnd::NotRun(Refusal::Target), actions);
         }
         if reason == StartRefusal::NoCapacity {
-            self.counters.no_capacity += 1;
+            self.counters.starts_without_capacity += 1;
         }
         if unconfirmed && !matches!(reason, StartRefusal::StaleToken | StartRefusal::DeadlinePassed)
         {
@@ -200,7 +200,7 @@
         if stopping {
             return;
         }
-        actions.push(Action::Log(LogEvent::StartSilent(task.clone())));
+        actions.push(Action::Log(LogEvent::StartUnanswered(task.clone())));
         let Some(run) = self.runs.get_mut(task) else { return };
         run.unanswered_starts += 1;
         if run.unanswered_starts < MAX_UNANSWERED_STARTS {
--- a/components/runner/src/instances.rs
+++ b/components/runner/src/instances.rs
@@ -85,7 +85,7 @@
         if self.candidates.len() == MAX_CANDIDATES {
             self.candidates.remove(0);
         }
-        actions.push(Action::Log(LogEvent::TargetAsked(report.instance.clone())));
+        actions.push(Action::Log(LogEvent::CandidateProbed(report.instance.clone())));
         let mut candidate = Target::new(report, now);
         if let Some(target) = &self.target {
             candidate.inherit_fencing_token(target);
@@ -111,7 +111,7 @@
             self.send_hello(actions);
         }
         if starts_draining {
-            actions.push(Action::Log(LogEvent::TargetDrains(instance)));
+            actions.push(Action::Log(LogEvent::TargetDraining(instance)));
             self.refuse_waiting(now, Refusal::Closed, actions);
         }
         self.mark_load_changed();
@@ -314,7 +314,7 @@
 
     /// Makes an instance the current one. Nothing starts on it before it has answered a hold.
     fn adopt_instance(&mut self, target: Target, actions: &mut Vec<Action>) {
-        actions.push(Action::Log(LogEvent::TargetFound {
+        actions.push(Action::Log(LogEvent::InstanceAdopted {
             instance: target.instance().clone(),
             fencing_token: target.fencing_token,
         }));
@@ -341,7 +341,7 @@
         sequence: u64,
         actions: &mut Vec<Action>,
     ) {
-        self.counters.late_reports += 1;
+        self.counters.late_target_reports += 1;
         let present = self.target.as_ref().map(|target| &target.report);
         actions.push(Action::Log(LogEvent::TargetReportLate {
             instance: instance.clone(),
--- a/components/runner/src/runner.rs
+++ b/components/runner/src/runner.rs
@@ -34,8 +34,8 @@
     pub unanswered_retention: Duration,
     /// Lower bound of a hold's wait on an unreliable target; limits the CPU time spent on holds.
     pub short_hold_wait_min: Duration,
-    /// Upper bound of a hold's wait on an unreliable target, as a run that starts during the hold may
-    /// end before those that were active when it was sent.
+    /// Upper bound of a hold's wait on an unreliable target, as a run that starts during the hold
+    /// may end before those that were active when it was sent.
     pub short_hold_wait_max: Duration,
     /// Timeout for the answer to a hold on an unreliable target, beyond its wait. A hold that times
     /// out costs a connection.
@@ -55,11 +55,11 @@
     /// Minimum time between the announcement that a retired session accepts no more work and its
     /// end; starts in flight are still carried out.
     pub retire_notice: Duration,
-    /// A start is refused if the last load that its entry had received from this agent is older than
-    /// this.
+    /// A start is refused if the last load that its entry had received from this agent is older
+    /// than this.
     pub max_start_age: Duration,
     /// A gap between two events after which the process counts as paused.
-    pub max_event_gap: Duration,
+    pub pause_threshold: Duration,
     /// Minimum time between two load reports to an entry.
     pub min_load_interval: Duration,
     /// Upper bound of the time between two load reports while the load changes; the faster
@@ -91,7 +91,7 @@
             idle_session_timeout: Duration::from_millis(900),
             retire_notice: Duration::from_millis(500),
             max_start_age: Duration::from_millis(400),
-            max_event_gap: Duration::from_millis(400),
+            pause_threshold: Duration::from_millis(400),
             min_load_interval: Duration::from_millis(8),
             max_adaptive_load_interval: Duration::from_millis(90),
             load_change_fraction: 0.5,
@@ -120,13 +120,13 @@
     /// Tasks that ran when the target crashed.
     pub crashed: u64,
     /// Starts that the target refused for lack of capacity.
-    pub no_capacity: u64,
+    pub starts_without_capacity: u64,
     /// Starts that the target did not answer.
     pub unanswered_starts: u64,
     /// Sessions that were lost.
     pub sessions_lost: u64,
     /// Reports that arrived after newer ones of their instance, or after the end of the instance.
-    pub late_reports: u64,
+    pub late_target_reports: u64,
 }
 
 /// The state of an agent.
@@ -193,7 +193,7 @@
 
     /// Processes an event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        if now.since(self.last_event) > self.timing.max_event_gap {
+        if now.since(self.last_event) > self.timing.pause_threshold {
             // Queued events may be outdated, and entries have given up on this agent.
             self.lose_all_sessions("stood still", actions);
         }
@@ -338,7 +338,7 @@
         let ended = self.runs.iter().filter(|(task, run)| !is_carried_over(task, run));
         let ends: Vec<(TaskId, TaskEnd)> =
             ended.map(|(task, run)| (task.clone(), end_of(run))).collect();
-        actions.push(Action::Log(LogEvent::TargetGone {
+        actions.push(Action::Log(LogEvent::InstanceEnded {
             instance: target.instance().clone(),
             lost: ends.len(),
         }));
@@ -468,8 +468,8 @@
         HealthChange::None => {}
         HealthChange::Excluded { failures, exclusion } => {
             let for_ms = exclusion.as_millis() as u64;
-            actions.push(Action::Log(LogEvent::TargetLeftOut { failures, for_ms }));
+            actions.push(Action::Log(LogEvent::TargetExcluded { failures, for_ms }));
         }
-        HealthChange::Restored => actions.push(Action::Log(LogEvent::TargetTakenBack)),
+        HealthChange::Restored => actions.push(Action::Log(LogEvent::TargetRestored)),
     }
 }
