--- a/components/api/src/body.rs
+++ b/components/api/src/body.rs
@@ -91,21 +91,18 @@
 fn validate(submission: Submission) -> Result<Submission, Failure> {
     let bad_body = |message: &str| Err(Failure::new(Code::BadBody, Verdict::NotRun, message));
     if submission.tasks.is_empty() {
-        return bad_body("a job needs at least one task");
+        return bad_body("a job has at least one task");
     }
     if submission.tasks.len() > TASKS_MAX {
-        let message = format!(
-            "the job has {} tasks, at most {TASKS_MAX} are allowed",
-            submission.tasks.len()
-        );
+        let message = format!("{} tasks, at most {TASKS_MAX}", submission.tasks.len());
         return Err(Failure::new(Code::TooLarge, Verdict::NotRun, message));
     }
     if submission.deadline_ms.is_some_and(|millis| millis == 0 || millis > DEADLINE_MAX_MS) {
-        return bad_body("deadline_ms must be between 1 and 600000");
+        return bad_body("deadline_ms is 1 to 600000");
     }
     Ok(submission)
 }
 
 fn invalid_json(error: serde_json::Error) -> Failure {
-    Failure::new(Code::BadBody, Verdict::NotRun, format!("invalid request body: {error}"))
+    Failure::new(Code::BadBody, Verdict::NotRun, format!("not the JSON asked for: {error}"))
 }
--- a/components/api/src/route.rs
+++ b/components/api/src/route.rs
@@ -50,6 +50,6 @@
 
 fn no_such_path(method: &str, path: &str) -> Result<Route, Failure> {
     let path: String = path.chars().take(100).collect();
-    let message = format!("no route for {method} {path}");
+    let message = format!("nothing answers {method} {path}");
     Err(Failure::new(Code::NoSuchPath, Verdict::NotRun, message))
 }
--- a/components/entry/src/claim_rounds.rs
+++ b/components/entry/src/claim_rounds.rs
@@ -219,7 +219,7 @@
         actions: &mut Vec<Action>,
     ) {
         let unreachable = || {
-            let message = "the entry that owns the submission is unreachable";
+            let message = "the entry that owns the submission can't be reached";
             Err(Failure::new(Code::OwnerLost, Verdict::MayHaveRun, message))
         };
         let reply = reply.unwrap_or_else(unreachable);
@@ -251,12 +251,12 @@
 
 /// The failure of a submission whose outcome this process no longer holds.
 fn answer_dropped() -> Failure {
-    let message = "the submission was admitted before, and its outcome is no longer held";
+    let message = "the submission was taken before, and its outcome is no longer held";
     Failure::new(Code::AnswerDropped, Verdict::MayHaveRun, message)
 }
 
 /// The failure of a submission whose owner is gone or no longer holds its outcome.
 pub(crate) fn owner_lost(owner: &NodeRef) -> Failure {
-    let message = format!("the submission's owner {owner} is gone or no longer holds its outcome");
+    let message = format!("its owner {owner} is gone, or no longer holds its outcome");
     Failure::new(Code::OwnerLost, Verdict::MayHaveRun, message)
 }
--- a/components/entry/src/intake.rs
+++ b/components/entry/src/intake.rs
@@ -36,8 +36,7 @@
             return self.join_known(now, call, digest, request, actions);
         }
         let Some(catalog) = self.catalog.clone() else {
-            let failure =
-                Failure::new(Code::NotReady, Verdict::MayHaveRun, "the entry has no settings yet");
+            let failure = Failure::new(Code::NotReady, Verdict::MayHaveRun, "no settings yet");
             return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), actions);
         };
         if let Err(failure) = check_age(request.submission, &catalog, now) {
@@ -134,11 +133,8 @@
         };
         check_size(settings, request)?;
         if self.settings_are_stale(now) {
-            return refuse(
-                Code::NotReady,
-                "the entry can't confirm that its settings are current".to_owned(),
-            )
-            .map_err(|failure: Failure| failure.retry_after(RETRY_AFTER_MS));
+            return refuse(Code::NotReady, "settings can't be confirmed".to_owned())
+                .map_err(|failure: Failure| failure.retry_after(RETRY_AFTER_MS));
         }
         if settings.state == ServiceState::Stopped {
             return refuse(Code::ServiceStopped, format!("{service}/{kind} is stopped"));
@@ -173,11 +169,8 @@
         if estimate <= limit {
             return Ok(());
         }
-        let message = format!(
-            "estimated completion in {} ms, after the deadline of {} ms",
-            estimate.as_millis(),
-            limit.as_millis()
-        );
+        let message =
+            format!("would take about {} ms of {} ms", estimate.as_millis(), limit.as_millis());
         let wait = u64::try_from((estimate - limit).as_millis()).unwrap_or(RETRY_AFTER_MS);
         Err(Failure::new(Code::Overloaded, Verdict::MayHaveRun, message).retry_after(wait.max(1)))
     }
@@ -289,13 +282,12 @@
             }
         }
         if relayed {
-            let message = "the submission's owner does not know it";
+            let message = "its owner does not know the submission";
             let failure = Failure::new(Code::UnknownId, Verdict::MayHaveRun, message);
             return respond(call, Err(failure), actions);
         }
         let Some(catalog) = self.catalog.clone() else {
-            let failure =
-                Failure::new(Code::NotReady, Verdict::MayHaveRun, "the entry has no settings yet");
+            let failure = Failure::new(Code::NotReady, Verdict::MayHaveRun, "no settings yet");
             return respond(call, Err(failure.retry_after(RETRY_AFTER_MS)), actions);
         };
         if let Err(failure) = check_age(submission, &catalog, now) {
@@ -312,13 +304,13 @@
 
 /// The failure of a fetch of a submission that was refused here or whose claim round had no quorum.
 fn not_started() -> Failure {
-    let message = "the submission was refused here and has not started; submit it again";
+    let message = "it was refused here and has not started; submit it again";
     Failure::new(Code::UnknownId, Verdict::MayHaveRun, message)
 }
 
 /// The failure of a request that reuses the id of a submission with different work.
 pub(crate) fn id_conflict(id: SubmissionId) -> Failure {
-    let message = format!("submission id {id} was used before with other work");
+    let message = format!("{id} was used before with other work");
     Failure::new(Code::IdConflict, Verdict::MayHaveRun, message)
 }
 
@@ -349,18 +341,14 @@
         Age::TooOld => (
             Code::IdTooOld,
             Verdict::MayHaveRun,
-            "the submission id is too old to know whether it ran",
-        ),
-        Age::TooNew => (
-            Code::IdTooNew,
-            Verdict::MayHaveRun,
-            "the submission id's time is ahead of this entry's clock",
-        ),
-        Age::Impossible => (
-            Code::IdTooNew,
-            Verdict::NotRun,
-            "the submission id's time is far ahead of every entry's clock",
+            "the id was made too long ago to know whether it ran",
         ),
+        Age::TooNew => {
+            (Code::IdTooNew, Verdict::MayHaveRun, "the id's time is ahead of this entry's clock")
+        }
+        Age::Impossible => {
+            (Code::IdTooNew, Verdict::NotRun, "the id's time is far ahead of every entry's clock")
+        }
     };
     Err(Failure::new(code, verdict, message))
 }
@@ -370,17 +358,11 @@
     let tasks = request.tasks.len();
     let too_large = |message| Err(Failure::new(Code::TooLarge, Verdict::MayHaveRun, message));
     if tasks > kind.tasks_max {
-        return too_large(format!(
-            "{tasks} tasks in the request, at most {} allowed",
-            kind.tasks_max
-        ));
+        return too_large(format!("{tasks} tasks, at most {}", kind.tasks_max));
     }
     let longest = request.tasks.iter().map(|text| text.len()).max().unwrap_or(0);
     if longest > kind.task_bytes_max {
-        return too_large(format!(
-            "a task of {longest} bytes in the request, at most {} allowed",
-            kind.task_bytes_max
-        ));
+        return too_large(format!("a task of {longest} bytes, at most {}", kind.task_bytes_max));
     }
     Ok(())
 }
--- a/components/entry/src/owner_lookup.rs
+++ b/components/entry/src/owner_lookup.rs
@@ -104,10 +104,8 @@
         let reply = match state {
             RoundState::Open => return,
             // The submission may still be in transit, so "not run" is not proven.
-            RoundState::Won => unknown("no submission with this id is known"),
-            RoundState::NoQuorum => {
-                unknown("too few claim holders replied to look up the submission's owner")
-            }
+            RoundState::Won => unknown("no submission of this id is known"),
+            RoundState::NoQuorum => unknown("too few claim holders replied to know"),
             RoundState::Lost(claim) if claim.owner.name == self.setup.node.name => {
                 Err(owner_lost(&claim.owner))
             }
--- a/components/entry/src/placing.rs
+++ b/components/entry/src/placing.rs
@@ -117,7 +117,7 @@
         else {
             return;
         };
-        let message = "the deadline can no longer be met";
+        let message = "the deadline can't be met any more";
         let failure = Failure::new(Code::DeadlinePassed, verdict, message);
         self.finish(id, Err(failure), actions);
     }
@@ -205,9 +205,7 @@
                 self.place_again(now, key, actions);
             }
             StartResult::OutcomeDropped => self.outcome_dropped(key, actions),
-            StartResult::Unknown => {
-                self.task_lost(now, key, "its agent does not know whether it ran", actions)
-            }
+            StartResult::Unknown => self.task_lost(now, key, "its agent can't tell", actions),
         }
     }
 
@@ -343,20 +341,15 @@
         let Some(gather) = self.table.get_mut(id).and_then(|job| job.gather_mut()) else { return };
         gather.fail(key.index, key.attempt);
         let verdict = gather.verdict();
-        let message = format!("task {} ran, but its agent no longer holds the answer", key.index);
+        let message = format!("task {} ran, and its answer is no longer held", key.index);
         self.finish(id, Err(Failure::new(Code::AnswerDropped, verdict, message)), actions);
     }
 
     /// Fails a submission whose deadline passed before it had an outcome.
     pub(crate) fn deadline_passed(&mut self, id: SubmissionId, actions: &mut Vec<Action>) {
         let Some(job) = self.table.get(id) else { return };
-        let failure = |verdict| {
-            Err(Failure::new(
-                Code::DeadlinePassed,
-                verdict,
-                "the deadline passed before the submission had an outcome",
-            ))
-        };
+        let failure =
+            |verdict| Err(Failure::new(Code::DeadlinePassed, verdict, "the deadline passed"));
         match &job.phase {
             Phase::Admitted(gather) => {
                 let reply = failure(gather.verdict());
--- a/components/entry/src/settle.rs
+++ b/components/entry/src/settle.rs
@@ -22,7 +22,7 @@
         }
         let state = self.targets.get_mut(target);
         if state.dead {
-            return self.task_lost(now, key, "its agent process died", actions);
+            return self.task_lost(now, key, "its agent is gone", actions);
         }
         state.unsettled.insert(key);
         self.send_settles(target, actions);
@@ -72,7 +72,7 @@
             Some(SettleReply::Ended(outcome)) => self.task_ended(now, key, outcome, actions),
             Some(SettleReply::OutcomeDropped) => self.outcome_dropped(key, actions),
             Some(SettleReply::Unknown) => {
-                self.task_lost(now, key, "its agent restarted after the start was sent", actions);
+                self.task_lost(now, key, "its agent restarted since", actions);
             }
         }
     }
@@ -86,7 +86,7 @@
         }
         state.dead = true;
         for key in std::mem::take(&mut state.unsettled) {
-            self.task_lost(now, key, "its agent process died", actions);
+            self.task_lost(now, key, "its agent is gone", actions);
         }
     }
 }
--- a/components/model/src/id.rs
+++ b/components/model/src/id.rs
@@ -14,10 +14,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidSubmissionId {
     /// The text is not a UUID.
-    #[error("invalid submission id: not a UUID")]
+    #[error("a submission id is a UUID")]
     NotUuid,
     /// The UUID has a version other than 7.
-    #[error("invalid submission id: not a UUID of version 7")]
+    #[error("a submission id is a UUID of version 7")]
     NotVersion7,
 }
 
--- a/components/net/src/client.rs
+++ b/components/net/src/client.rs
@@ -26,17 +26,17 @@
 #[derive(Debug, Error)]
 pub enum ClientError {
     /// Connecting or the HTTP handshake failed; the request was not sent.
-    #[error("cannot connect: {0}")]
+    #[error("can't connect: {0}")]
     Connect(#[source] io::Error),
     /// The path or the host header is invalid; the request was not sent.
-    #[error("invalid request: {0}")]
+    #[error("not a request: {0}")]
     InvalidRequest(String),
     /// The connection failed after at least a part of the request was sent, or the response was
     /// invalid or too long.
-    #[error("no complete response: {0}")]
+    #[error("broke off: {0}")]
     Disconnected(String),
     /// No complete response arrived within the timeout.
-    #[error("no complete response within the timeout")]
+    #[error("no answer in time")]
     Timeout,
 }
 
--- a/components/net/src/server.rs
+++ b/components/net/src/server.rs
@@ -37,14 +37,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
     /// The body exceeds [`Limits::max_body_bytes`].
-    #[error("the request body exceeds the size limit")]
+    #[error("the body is too long")]
     TooLong,
     /// The body was not complete within [`Limits::read_timeout`], or the client stopped sending
     /// while the server was shutting down.
-    #[error("the request body was not complete in time")]
+    #[error("the body did not come in time")]
     Timeout,
     /// The connection failed or the body was malformed.
-    #[error("the request body could not be read")]
+    #[error("the body broke off")]
     Disconnected,
 }
 
--- a/components/settings/src/path.rs
+++ b/components/settings/src/path.rs
@@ -107,16 +107,16 @@
             return Ok(Self::root());
         }
         if text.len() > PATH_BYTES_MAX {
-            return refuse("the path is longer than 128 bytes");
+            return refuse("the path is over 128 bytes");
         }
         if !text.split('/').all(is_path_word) {
-            return refuse("a path consists of words of a-z, 0-9 and '-', separated by '/'");
+            return refuse("a path is words of a-z, 0-9 and '-', parted by '/'");
         }
         let parts = text.split('/').count();
         let path = Self(text.to_owned());
         match path.scope() {
-            Scope::Team if parts != 2 => refuse("a team's section must be [teams/NAME]"),
-            _ if text.starts_with("fleet/") => refuse("[fleet] cannot have child sections"),
+            Scope::Team if parts != 2 => refuse("a team's section is [teams/NAME]"),
+            _ if text.starts_with("fleet/") => refuse("[fleet] has no children"),
             _ => Ok(path),
         }
     }
--- a/components/wire/src/halls.rs
+++ b/components/wire/src/halls.rs
@@ -13,7 +13,7 @@
 
 /// The text is not a valid hall name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("invalid hall name: expected 1 to {HALL_NAME_BYTES_MAX} letters, digits, '-', '_' or '.'")]
+#[error("a hall's name has 1 to {HALL_NAME_BYTES_MAX} letters, digits, '-', '_' or '.'")]
 pub struct InvalidHallName;
 
 /// The validated name of a data hall.
--- a/daemon/src/keeper_role/listen.rs
+++ b/daemon/src/keeper_role/listen.rs
@@ -213,7 +213,7 @@
             Ok(body) => handle_change(input_sender, &body).await,
             Err(error) => error_response(400, "bad-body", &error.to_string()),
         },
-        _ => error_response(404, "no-such-path", "unknown path, see the operators' documentation"),
+        _ => error_response(404, "no-such-path", "see the operators' pages"),
     }
 }
 
@@ -221,21 +221,17 @@
 async fn command_hall(context: &OperatorContext, path: &str) -> Response<Body> {
     let Some((hall, action)) = path.strip_prefix(HALLS_PATH).and_then(|rest| rest.split_once('/'))
     else {
-        return error_response(
-            404,
-            "no-such-path",
-            "unknown path, see the operators' documentation",
-        );
+        return error_response(404, "no-such-path", "see the operators' pages");
     };
     let takes_work = match action {
         "empty" => false,
         "refill" => true,
         _ => {
-            return error_response(404, "no-such-path", "the action for a hall is empty or refill");
+            return error_response(404, "no-such-path", "a hall is emptied or refilled");
         }
     };
     if !context.capacity_scheduling {
-        let message = "halls can be emptied and refilled only with scheduling = room";
+        let message = "halls are emptied by order only where nodes schedule by room";
         return error_response(409, "not-supported", message);
     }
     match hall.parse() {
@@ -278,7 +274,7 @@
     match submit(&context.input_sender, request).await {
         Some(Reply::Replaced | Reply::Halls(_)) => json_response(200, &serde_json::json!({})),
         Some(Reply::Document(Some(document))) => document_response(&document.body),
-        Some(Reply::Document(None)) => error_response(503, "no-document", "no document is stored"),
+        Some(Reply::Document(None)) => error_response(503, "no-document", "there never was one"),
         Some(Reply::NotLeader(Some(leader))) => redirect_to_leader(context.address, &leader, path),
         _ => not_leader_response(None),
     }
@@ -298,7 +294,7 @@
         return not_leader_response(None);
     };
     let location = format!("http://{}{path}", SocketAddr::new(address.ip(), own.port()));
-    let mut response = error_response(307, "not-leader", "retry at the leader");
+    let mut response = error_response(307, "not-leader", "ask the leader");
     match HeaderValue::from_str(&location) {
         Ok(location) => {
             response.headers_mut().insert(LOCATION, location);
@@ -328,7 +324,7 @@
 
 fn not_leader_response(leader: Option<model::NodeName>) -> Response<Body> {
     let message = match leader {
-        Some(leader) => format!("retry at {leader}, the last known leader"),
+        Some(leader) => format!("ask {leader}, which may lead"),
         None => "no leader is known".to_owned(),
     };
     error_response(503, "not-leader", &message)
