--- a/components/consensus/src/lib.rs
+++ b/components/consensus/src/lib.rs
@@ -1,9 +1,11 @@
-//! A replicated log based on Raft, with pre-vote, leader lease, snapshots and membership changes.
+//! A replicated log based on Raft, with pre-vote, leader lease, snapshots and single-server
+//! membership changes.
+//! (Ongaro, Ousterhout: In Search of an Understandable Consensus Algorithm, USENIX ATC 2014.)
 //!
 //! Unlike in Raft, a replica may rejoin after it has lost its disk. It is then *blank*: it neither
 //! votes nor counts towards a quorum until it has caught up with a leader that holds a valid lease.
 //! The crate does no I/O and reads no clock: [`Replica::handle`] takes the current time and an
-//! event and appends the resulting actions, which have to be performed in order.
+//! event and appends the resulting actions, which have to be executed in order.
 
 mod election;
 mod event;
