--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Tells where the worth of one played day went: by part of the goal, kind, hall and moment.
+"""Shows where the worth of one played day was lost: by part of the goal, kind, hall and time.
 
     fleetbench run SITE DAY --report DAY.json --why TEXT
     tools/lost_worth.py DAY.json [--svg PICTURE.svg]
 
-Reads the report that the users' bench writes of a day. The picture shows, for every two seconds, how many requests were in
-time, late, refused and failed, with the disruptions below.
+Reads the report of a day that the users' bench writes. The picture shows the numbers of requests in time, late, refused
+and failed in each window of two seconds, with the disruptions below.
 """
 
 import argparse
@@ -13,20 +13,20 @@
 import pathlib
 from html import escape
 
-# A window that earned less than this part of its worth is shown.
+# A window that earned less than this fraction of its worth is shown.
 WINDOW_SHOWN = 0.95
-# Prices below this are left out of the table.
+# Prices below this are omitted from the table.
 PRICE_SHOWN = 0.002
-# What becomes of requests, and the colour of each in the picture.
+# The outcomes of requests, and the colour of each in the picture.
 OUTCOMES = {"in_aim": "#4c9f70", "late": "#e6b54a", "refused": "#c8553d", "failed": "#5b3a54"}
-# Of the picture, in pixels.
+# Dimensions of the picture, in pixels.
 WIDTH, BARS_HEIGHT, EVENT_HEIGHT, MARGIN = 900, 240, 14, 40
-# From one window to the next, in seconds.
+# Length of a window, in seconds.
 WINDOW_S = 2
 
 
 def overlapping(report: dict, begins: float) -> list:
-    """The disruptions that last into a window."""
+    """Returns the kinds of the disruptions that overlap a window."""
     ends = begins + WINDOW_S
     return [event["kind"] for event in report["events"]
             if event["at_s"] < ends and event["to_s"] > begins]
@@ -60,7 +60,7 @@
 
 
 def bars(report: dict, scale: float, most: int) -> list:
-    """One bar of stacked outcomes for each window."""
+    """Returns a bar of stacked outcomes for each window."""
     shapes = []
     for window in report["windows"]:
         x = MARGIN + float(window["name"]) * scale
@@ -74,7 +74,7 @@
 
 
 def events(report: dict, scale: float, last: float) -> list:
-    """One line for each disruption, below the bars."""
+    """Returns a line for each disruption, below the bars."""
     shapes = []
     for number, event in enumerate(report["events"]):
         y = MARGIN + BARS_HEIGHT + 24 + number * EVENT_HEIGHT
@@ -102,8 +102,8 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("report", type=pathlib.Path, help="what a run wrote with --report")
-    parser.add_argument("--svg", type=pathlib.Path, help="where the picture goes")
+    parser.add_argument("report", type=pathlib.Path, help="report that a run wrote with --report")
+    parser.add_argument("--svg", type=pathlib.Path, help="file for the picture")
     arguments = parser.parse_args()
     report = json.loads(arguments.report.read_text())
     print_parts(report)
--- a/tools/panel.py
+++ b/tools/panel.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Plays a panel of days on several checkouts of dockpass and compares them day by day.
+"""Runs a panel of days on several checkouts of dockpass and compares them day by day.
 
     tools/panel.py --bench PATH --site FILE --days a,b --seeds 1,2,3 --why TEXT base=DIR new=DIR...
 
-Each checkout is a directory with its own build and its own journal. A day is played once for each
-seed and checkout, the checkouts of one day side by side, so that they see the same load of the
-machine. The first checkout named is the one that the others are compared with: of each, the table
-shows the mean difference in worth and its standard error, over the pairs of the same day and seed.
+Each checkout is a directory with its own build and its own journal. A day is run once per seed and
+checkout, the checkouts of one day side by side, so that they see the same load of the machine. The
+first checkout is the baseline: for each other one, the table shows the mean difference in worth and
+its standard error, over the pairs of the same day and seed.
 """
 
 import argparse
@@ -22,15 +22,15 @@
 
 # The last line of a run's output names its entry in the journal.
 ENTRY_LINE = re.compile(r"^snapshot ([0-9a-f]+)$", re.MULTILINE)
-# A line of the table by kind of request: asked, in time, late, refused, failed, not owed, worth.
+# A row of the table by kind of request: asked, in time, late, refused, failed, not owed, worth.
 CLASS_LINE = re.compile(r"^(\S+)\s+(\d+)\s+(\d+)\s+(\d+)\s+(\d+)\s+(\d+)\s+(\d+)\s+(\d\.\d+)")
-# Prices below this are left out of the table.
+# Prices below this are omitted from the table.
 PRICE_SHOWN = 0.004
 
 
 @dataclass(frozen=True)
 class Play:
-    """One day to be played."""
+    """One run of a day on one checkout."""
 
     label: str
     checkout: pathlib.Path
@@ -42,7 +42,7 @@
 
 @dataclass
 class Result:
-    """What the bench said of a day."""
+    """The bench's results for one day."""
 
     worth: float
     classes: dict
@@ -51,7 +51,7 @@
 
 
 def read_classes(output: str) -> dict:
-    """Reads the table by kind of request out of what a run printed."""
+    """Parses the table by kind of request from the output of a run."""
     classes, in_table = {}, False
     for line in output.splitlines():
         if line.startswith("class "):
@@ -64,7 +64,7 @@
 
 
 def read_result(checkout: pathlib.Path, output: str) -> Result | None:
-    """Reads what came of a run from its entry in the journal; none where it was not played."""
+    """Reads the result of a run from its journal entry; `None` if the day was not played."""
     match = ENTRY_LINE.search(output)
     entries = sorted(checkout.glob(f"journal/*-{match[1]}.json")) if match else []
     if not entries:
@@ -81,7 +81,7 @@
 
 
 def play(bench: str, why: str, item: Play) -> Result | None:
-    """Plays one day and reads what came of it."""
+    """Runs one day and reads its result."""
     command = [bench, "run", str(item.site), item.day, "--jobs", "1", "--why", why]
     if item.seed != "own":
         command += ["--seed", item.seed]
@@ -95,7 +95,7 @@
 
 
 def mean_and_error(values: list) -> tuple:
-    """The mean, and its standard error."""
+    """Returns the mean and its standard error."""
     error = statistics.stdev(values) / math.sqrt(len(values)) if len(values) > 1 else math.nan
     return statistics.mean(values), error
 
@@ -152,16 +152,16 @@
 
 
 def main() -> None:
-    """Reads the arguments, plays the panel, prints the tables."""
+    """Parses the arguments, runs the panel and prints the tables."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--bench", required=True, help="the users' bench")
     parser.add_argument("--site", action="append", required=True, type=pathlib.Path)
-    parser.add_argument("--days", required=True, help="names of days, by commas")
-    parser.add_argument("--seeds", default="own", help="'own' is the day's own seed")
-    parser.add_argument("--small", action="store_true", help="small twins of the days")
+    parser.add_argument("--days", required=True, help="names of days, separated by commas")
+    parser.add_argument("--seeds", default="own", help="seeds, separated by commas; 'own' is the day's own seed")
+    parser.add_argument("--small", action="store_true", help="run the small twins of the days")
     parser.add_argument("--why", required=True)
-    parser.add_argument("--jobs", type=int, default=7, help="days played at once")
-    parser.add_argument("--json", type=pathlib.Path, help="where the figures go, as JSON")
+    parser.add_argument("--jobs", type=int, default=7, help="number of days that run at the same time")
+    parser.add_argument("--json", type=pathlib.Path, help="file for the results, as JSON")
     parser.add_argument("checkouts", nargs="+", help="LABEL=DIRECTORY; the first is the baseline")
     args = parser.parse_args()
     checkouts = dict(pair.split("=", 1) for pair in args.checkouts)
